--- a/balancer/api.go
+++ b/balancer/api.go
@@ -38,13 +38,13 @@
 const (
 	OK Result = iota
 	Errored
-	TurnedAway
+	Rejected
 	TimedOut
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
-	Spoilt // an answer came that cannot be read; it may have run
+	Skipped
+	Malformed // an answer came that cannot be read; it may have run
 )
 
 func (r Result) String() string {
@@ -53,21 +53,21 @@
 }
 
 // NeverRan reports whether the result proves that the attempt had no effect.
-func (r Result) NeverRan() bool { return r == TurnedAway || r == ConnectFailed || r == Moot }
+func (r Result) NeverRan() bool { return r == Rejected || r == ConnectFailed || r == Skipped }
 
 // Status is a host's state in the server list.
 type Status uint8
 
 // The states a list entry may have.
 const (
-	Gone Status = iota
+	Removed Status = iota
 	Ready
 	Draining
 )
 
-// Route is what a plan made for the whole fleet says of a zone: its part of this balancer's requests. With 0 it takes what
+// ZoneShare is what a plan made for the whole fleet says of a zone: its part of this balancer's requests. With 0 it takes what
 // finds no room elsewhere.
-type Route struct {
+type ZoneShare struct {
 	Zone  int
 	Share float64
 }
@@ -83,18 +83,18 @@
 	ListFailed                  // a watch or fetch failed, or the subscription broke; no entries
 )
 
-// Load is one value of a host's load report.
-type Load uint8
+// LoadMetric is one value of a host's load report.
+type LoadMetric uint8
 
 // The values a report may carry; LoadOther stands for any the module does not know.
 const (
-	LoadOther    Load = iota
-	LoadInflight      // requests in hand
-	LoadQueue         // requests waiting
-	LoadUtil          // share of CPU in use
-	LoadLatency       // recent service time in ms
-	LoadRate          // requests served a second
-	LoadErrors        // errors a second
+	LoadOther    LoadMetric = iota
+	LoadInflight            // requests in hand
+	LoadQueue               // requests waiting
+	LoadUtil                // share of CPU in use
+	LoadLatency             // recent service time in ms
+	LoadRate                // requests served a second
+	LoadErrors              // errors a second
 )
 
 // Class describes one kind of request.
@@ -114,35 +114,35 @@
 
 // Config is what a Balancer is told at start. Zero values stand for settings that were not given.
 type Config struct {
-	Seed           uint64
-	Me, Balancers  int
-	Zone           int
-	Classes        []Class
-	Tenants        []Tenant
-	OverShareWorth float64
-	WorthByWork    bool // worth grows with the request's work
-	Weighted       bool // Host.Weight is a steady size and may be compared
-	WarmKeys       bool // a host that met a key lately does less work for it
-	AskForList     bool // the list comes only when asked for
-	Report         []Load
-	Prices         Prices
-	Punctual       float64 // weight of the worth that counts in full only while few miss their aim; 0: none
-	MissAllowed    float64 // share of a class's requests that may miss their aim for that
-	MaxAttempts    int
-	SecondCopies   bool
-	Cancelling     bool
-	Probes         bool
-	Gated          bool // a gate beside each host bounds what it has in hand and turns the rest away: no limits from here
-	Agreed         bool // a host is left out for what must not run twice only by Host.Condemned, which all agree on
-	PeerMessages   bool
-	MaxCoolDown    float64 // longest wait a client honours after a refusal, seconds; 0: none is passed on
-	ConnectTimeout float64 // seconds
-	AskWithin      float64 // seconds after which an unasked list counts as known
-	DrainGrace     float64 // seconds within which sends to a draining or gone host must stop
-	ColdFrom       float64 // share of its capacity with which a host starts
-	ColdFor        float64 // seconds until a started host is warm
-	FallMultiple   float64 // multiple of present capacity that pushes a cold host over
-	FallAfter      float64 // seconds of it that do so
+	Seed             uint64
+	Me, Balancers    int
+	Zone             int
+	Classes          []Class
+	Tenants          []Tenant
+	OverShareWorth   float64
+	WorthByWork      bool // worth grows with the request's work
+	Weighted         bool // Host.Weight is a steady size and may be compared
+	WarmKeys         bool // a host that met a key lately does less work for it
+	AskForList       bool // the list comes only when asked for
+	Report           []LoadMetric
+	Prices           Prices
+	Punctual         float64 // weight of the worth that counts in full only while few miss their aim; 0: none
+	MissAllowed      float64 // share of a class's requests that may miss their aim for that
+	MaxAttempts      int
+	SecondCopies     bool
+	Cancelling       bool
+	Probes           bool
+	ServerSideLimits bool // a gate beside each host bounds what it has in hand and turns the rest away: no limits from here
+	AgreedEjection   bool // a host is left out for what must not run twice only by Host.Condemned, which all agree on
+	PeerMessages     bool
+	MaxCoolDown      float64 // longest wait a client honours after a refusal, seconds; 0: none is passed on
+	ConnectTimeout   float64 // seconds
+	AskWithin        float64 // seconds after which an unasked list counts as known
+	DrainGrace       float64 // seconds within which sends to a draining or gone host must stop
+	ColdFrom         float64 // share of its capacity with which a host starts
+	ColdFor          float64 // seconds until a started host is warm
+	FallMultiple     float64 // multiple of present capacity that pushes a cold host over
+	FallAfter        float64 // seconds of it that do so
 }
 
 // Host is one entry of the server list.
@@ -154,24 +154,24 @@
 	Status  Status
 	Started float64 // clock time of its last start; 0: long ago
 
-	Condemned bool // with Config.Agreed: all agree that it fails
+	AgreedEjected bool // with Config.Agreed: all agree that it fails
 }
 
 // Request is what a client asks.
 type Request struct {
-	ID     RequestID
-	Class  int
-	Tenant int
-	Key    uint64  // 0: none
-	Work   float64 // expected seconds on a standard core; 0: unknown
-	Budget float64 // seconds until the client gives this try up
-	Repeat bool    // the client marked it as a repeat
-	Coming bool    // its body is still coming: hosts begin, and its time counts, with Whole
-	Only   HostID  // the one host that can serve it; 0: any. It may be picked whatever is thought of it: it is the whole set
+	ID          RequestID
+	Class       int
+	Tenant      int
+	Key         uint64  // 0: none
+	Work        float64 // expected seconds on a standard core; 0: unknown
+	Budget      float64 // seconds until the client gives this try up
+	Repeat      bool    // the client marked it as a repeat
+	BodyPending bool    // its body is still coming: hosts begin, and its time counts, with Whole
+	OnlyHost    HostID  // the one host that can serve it; 0: any. It may be picked whatever is thought of it: it is the whole set
 }
 
 // allows reports whether a host can serve the request.
-func (r *Request) allows(h HostID) bool { return r.Only == 0 || r.Only == h }
+func (r *Request) allows(h HostID) bool { return r.OnlyHost == 0 || r.OnlyHost == h }
 
 // Outcome is the end of one attempt. Final means that the request has its answer, by this outcome or earlier.
 type Outcome struct {
@@ -200,30 +200,30 @@
 	Cancel(id RequestID, attempt int)
 	Probe(host HostID)
 	Timer(after float64, token uint64)
-	Watch()           // asks for the list and its changes
-	Fetch()           // asks for the list once
-	Tell(data []byte) // a message to every peer; data is valid only during the call
+	Watch()                // asks for the list and its changes
+	Fetch()                // asks for the list once
+	Broadcast(data []byte) // a message to every peer; data is valid only during the call
 	Log(text string)
 }
 
 // Handler is the set of events; *Balancer implements it. Every event carries the present time in seconds.
 type Handler interface {
-	Members(now float64, kind ListKind, hosts []Host)
+	UpdateHosts(now float64, kind ListKind, hosts []Host)
 	Request(now float64, r Request)
-	Whole(now float64, id RequestID)              // the last byte of one that was coming
-	Begun(now float64, id RequestID, attempt int) // a streamed answer has started
+	BodyReceived(now float64, id RequestID)                 // the last byte of one that was coming
+	ResponseStarted(now float64, id RequestID, attempt int) // a streamed answer has started
 	Outcome(now float64, o Outcome)
 	Probed(now float64, p ProbeResult)
 	Timer(now float64, token uint64)
-	Peer(now float64, from int, data []byte)
-	Gone(now float64, id RequestID) // the client left
+	PeerMessage(now float64, from int, data []byte)
+	ClientLeft(now float64, id RequestID) // the client left
 
 	// Configure takes over other settings; kept names, for each class, what it was until now, -1: none.
 	Configure(now float64, cfg Config, kept []int)
 
 	// Plan takes over the zones that count, and with which share. Zones that it does not name are out; what the shares
 	// lack of 1 is refused at once. Empty: there is no plan, and the balancer finds out alone.
-	Plan(now float64, routes []Route)
+	Plan(now float64, routes []ZoneShare)
 
 	// Avoided counts the hosts that take requests by the list and get none from here, by this balancer's choice. It
 	// changes nothing.
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -5,7 +5,7 @@
 // givesWay refuses cheaper work by chance while dearer finds no room, and would get what is free by chance.
 func (b *Balancer) givesWay(o *op) bool {
 	chance, dearest := b.refused, o.density
-	if b.cfg.Gated { // the gates say what there is room for
+	if b.cfg.ServerSideLimits { // the gates say what there is room for
 		return b.random() < chance
 	}
 	for c := range b.cfg.Classes {
@@ -145,14 +145,14 @@
 		drift(&b.strain[o.Class], 0)
 	}
 	a := attempt{h: h, at: b.now, out: true, place: 1}
-	if o.Coming {
+	if o.BodyPending {
 		a.place = 0
 	}
 	o.attempts = append(o.attempts, a)
 	o.out++
 	h.inflight += a.place
 	b.act.Send(o.ID, h.ID, timeout)
-	if !o.Coming {
+	if !o.BodyPending {
 		b.timeMark(o, len(o.attempts)-1)
 	}
 }
@@ -165,8 +165,8 @@
 // worthAnother says whether a further attempt could still earn anything. What never reached a host costs
 // nothing to send again; other failures are followed by one attempt, so that they cannot multiply the load.
 func (b *Balancer) worthAnother(o *op, r Result) bool {
-	worthless := r == TimedOut || r == Moot || b.now >= o.aimAt && o.class.LateWorth <= 0
-	free := r == ConnectFailed || r == TurnedAway && b.cfg.Gated // it was at no host
+	worthless := r == TimedOut || r == Skipped || b.now >= o.aimAt && o.class.LateWorth <= 0
+	free := r == ConnectFailed || r == Rejected && b.cfg.ServerSideLimits // it was at no host
 	return !worthless && (free || len(o.attempts) < mostTries)
 }
 
--- a/balancer/attempt_test.go
+++ b/balancer/attempt_test.go
@@ -17,12 +17,12 @@
 		{"unsafe fails after a time-out", 1, TimedOut, 0, "fail"},
 		{"unsafe fails after a cancel", 1, Cancelled, 0, "fail"},
 		{"unsafe is sent again when the connection failed", 1, ConnectFailed, 0, "send"},
-		{"unsafe is sent again when turned away", 1, TurnedAway, 0, "send"},
+		{"unsafe is sent again when turned away", 1, Rejected, 0, "send"},
 		{"keyed is sent again inside its window", 2, Errored, 1, "send"},
 		{"keyed fails after its window", 2, Errored, 3.5, "fail"},
 		{"keyed over all hosts is refused after its window", 3, Errored, 3.5, "refuse"},
 		{"safe is refused after a time-out", 0, TimedOut, 0, "refuse"},
-		{"an attempt that was moot is no reason for another", 1, Moot, 0, "refuse"},
+		{"an attempt that was moot is no reason for another", 1, Skipped, 0, "refuse"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, r := start(testConfig(), fleet(6))
@@ -106,7 +106,7 @@
 	for _, c := range []struct {
 		result Result
 		want   int
-	}{{TurnedAway, 2}, {Errored, 2}, {ConnectFailed, 4}, {TimedOut, 1}} {
+	}{{Rejected, 2}, {Errored, 2}, {ConnectFailed, 4}, {TimedOut, 1}} {
 		b, r := start(testConfig(), fleet(9))
 		h := r.ask(b, 1, 0, 7)
 		for try := 0; r.last().kind == "send" && try < 9; try++ {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -73,9 +73,9 @@
 	hosts   []*host // by id: listed, or gone with something still out
 	index   map[HostID]*host
 	zones   map[int]*zone
-	set     []ranked // of the pick at hand
-	routes  []Route  // of the plan; none: there is no plan
-	refused float64  // share of all requests that it refuses
+	set     []ranked    // of the pick at hand
+	routes  []ZoneShare // of the plan; none: there is no plan
+	refused float64     // share of all requests that it refuses
 	ops     map[RequestID]*op
 	longest float64    // longest aim
 	mean    float64    // in flight from here to a host of mean size
@@ -148,14 +148,14 @@
 	o.aimAt = min(o.deadline, b.now+o.class.Aim+o.class.AimStretch*o.work)
 }
 
-// Whole takes word that a body has come. Until then its host only reads: no place is held, nothing is late.
-func (b *Balancer) Whole(now float64, id RequestID) {
+// BodyReceived takes word that a body has come. Until then its host only reads: no place is held, nothing is late.
+func (b *Balancer) BodyReceived(now float64, id RequestID) {
 	b.now = now
 	o := b.ops[id]
-	if o == nil || !o.Coming {
+	if o == nil || !o.BodyPending {
 		return
 	}
-	o.Coming = false
+	o.BodyPending = false
 	b.setTimes(o)
 	for n := range o.attempts {
 		if a := &o.attempts[n]; a.out {
@@ -166,8 +166,8 @@
 	}
 }
 
-// Begun takes the start of a streamed answer: the attempt is the client's from now on.
-func (b *Balancer) Begun(now float64, id RequestID, n int) {
+// ResponseStarted takes the start of a streamed answer: the attempt is the client's from now on.
+func (b *Balancer) ResponseStarted(now float64, id RequestID, n int) {
 	b.now = now
 	o := b.ops[id]
 	if o == nil || n < 0 || n >= len(o.attempts) {
@@ -246,8 +246,8 @@
 	}
 }
 
-// Gone takes word that a client left: nothing is owed, and what is out is called off.
-func (b *Balancer) Gone(now float64, id RequestID) {
+// ClientLeft takes word that a client left: nothing is owed, and what is out is called off.
+func (b *Balancer) ClientLeft(now float64, id RequestID) {
 	b.now = now
 	if o := b.ops[id]; o != nil && !o.done {
 		b.finish(o)
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -137,7 +137,7 @@
 			w.state[id] = h
 		}
 	}
-	w.b.Members(w.r.now, ListChanges, changes)
+	w.b.UpdateHosts(w.r.now, ListChanges, changes)
 }
 
 // finish ends a random outstanding attempt of the oldest requests in a random way.
@@ -191,7 +191,7 @@
 		case k == 1 && len(w.live) > 0:
 			id := RequestID(1 + w.rnd.IntN(i+1))
 			delete(w.live, id)
-			w.b.Gone(w.r.now, id)
+			w.b.ClientLeft(w.r.now, id)
 		case k < 12:
 			q := Request{ID: RequestID(i + 1), Class: w.rnd.IntN(len(w.cfg.Classes)), Key: uint64(w.rnd.IntN(20)),
 				Work: 0.05, Budget: w.rnd.Float64() * 4}
--- a/balancer/configure.go
+++ b/balancer/configure.go
@@ -52,7 +52,7 @@
 }
 
 // Plan takes over which zones count. It decides nothing: pick and givesWay act on it.
-func (b *Balancer) Plan(now float64, routes []Route) {
+func (b *Balancer) Plan(now float64, routes []ZoneShare) {
 	b.now, b.routes, b.refused = now, slices.Clone(routes), 0
 	if len(routes) > 0 {
 		b.refused = 1
@@ -74,7 +74,7 @@
 
 // planShuts says whether the plan leaves a zone out.
 func (b *Balancer) planShuts(n int) bool {
-	return len(b.routes) > 0 && !slices.ContainsFunc(b.routes, func(r Route) bool { return r.Zone == n })
+	return len(b.routes) > 0 && !slices.ContainsFunc(b.routes, func(r ZoneShare) bool { return r.Zone == n })
 }
 
 // adopt makes room for what is learned of each class, and of those that went away while requests of theirs were open.
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -47,7 +47,7 @@
 		cfg.Seed, cfg.Me, cfg.Zone = uint64(i), i, i%2
 		p := &proxy{c: c, out: map[RequestID]int{}}
 		p.b = New(c.clock(), cfg, p)
-		p.b.Members(c.clock(), ListFull, hosts)
+		p.b.UpdateHosts(c.clock(), ListFull, hosts)
 		c.proxies = append(c.proxies, p)
 	}
 	return c
@@ -109,10 +109,10 @@
 func (p *proxy) Timer(after float64, token uint64) {
 	p.c.After(time.Duration(after*float64(time.Second)), func() { p.b.Timer(p.c.clock(), token) })
 }
-func (p *proxy) Watch()      {}
-func (p *proxy) Fetch()      {}
-func (p *proxy) Tell([]byte) {}
-func (p *proxy) Log(string)  {}
+func (p *proxy) Watch()           {}
+func (p *proxy) Fetch()           {}
+func (p *proxy) Broadcast([]byte) {}
+func (p *proxy) Log(string)       {}
 
 func crowdConfig() Config {
 	cfg := testConfig()
@@ -246,10 +246,10 @@
 // replace puts a new host in the place of one.
 func (c *crowd) replace(old, id HostID) {
 	gone, fresh := c.hosts[old].Host, c.hosts[old].Host
-	gone.Status, fresh.ID, fresh.Started = Gone, id, c.clock()
+	gone.Status, fresh.ID, fresh.Started = Removed, id, c.clock()
 	c.hosts[id] = &standIn{Host: fresh}
 	for _, p := range c.proxies {
-		p.b.Members(c.clock(), ListChanges, []Host{gone, fresh})
+		p.b.UpdateHosts(c.clock(), ListChanges, []Host{gone, fresh})
 	}
 }
 
--- a/balancer/hardening_test.go
+++ b/balancer/hardening_test.go
@@ -52,7 +52,7 @@
 	for i, from := range []float64{0, -1 << 20, 1 << 30} {
 		r := &recorder{now: from, tries: map[RequestID]int{}}
 		b := New(from, testConfig(), r)
-		b.Members(from, ListFull, fleet(5))
+		b.UpdateHosts(from, ListFull, fleet(5))
 		for n := range 300 {
 			r.advance(b, r.now+0.0078125)
 			if h := r.ask(b, RequestID(n+1), n%4, uint64(n%9+1)); h != 0 && n%3 > 0 {
@@ -75,9 +75,9 @@
 		r.now += 0.01
 		if i%50 == 0 {
 			host := Host{ID: HostID(1<<40 + i), Zone: i % 2, Status: Ready, Started: r.now}
-			b.Members(r.now, ListFull, []Host{host, {ID: 7, Status: Ready}})
+			b.UpdateHosts(r.now, ListFull, []Host{host, {ID: 7, Status: Ready}})
 		}
-		b.Peer(r.now, i, []byte{byte(i), byte(i >> 8)})
+		b.PeerMessage(r.now, i, []byte{byte(i), byte(i >> 8)})
 		id := RequestID(1<<51 + i)
 		if h := r.ask(b, id, i%4, uint64(i)); h != 0 {
 			r.end(b, id, 0, h, OK)
@@ -96,15 +96,15 @@
 	b, r := start(testConfig(), fleet(2))
 	h := r.ask(b, 1, 0, 5)
 	before := len(r.log)
-	b.Gone(r.now, 99)
+	b.ClientLeft(r.now, 99)
 	b.Outcome(r.now, Outcome{ID: 99, Host: h})
 	b.Outcome(r.now, Outcome{ID: 1, Attempt: 7, Host: h})
 	b.Outcome(r.now, Outcome{ID: 1, Attempt: -1, Host: h})
-	b.Begun(r.now, 99, 0)
-	b.Begun(r.now, 1, 9)
+	b.ResponseStarted(r.now, 99, 0)
+	b.ResponseStarted(r.now, 1, 9)
 	b.Probed(r.now, ProbeResult{Host: 12345})
 	b.Timer(r.now, 1<<64-1)
-	b.Peer(r.now, 3, nil)
+	b.PeerMessage(r.now, 3, nil)
 	b.Request(r.now, Request{ID: 1, Budget: 1}) // an id already known
 	if len(r.log) != before {
 		t.Fatalf("acted on unknown events: %+v", r.log[before:])
@@ -115,9 +115,9 @@
 func TestStream(t *testing.T) {
 	b, r := start(testConfig(), fleet(2))
 	h := r.ask(b, 1, 0, 5)
-	b.Begun(r.now, 1, 0)
+	b.ResponseStarted(r.now, 1, 0)
 	r.advance(b, r.now+30)
-	b.Gone(r.now, 1)
+	b.ClientLeft(r.now, 1)
 	if r.count("cancel") != 0 || r.count("fail") != 0 || r.count("refuse") != 0 {
 		t.Fatalf("acted on a stream under way: %+v", r.log)
 	}
@@ -131,15 +131,15 @@
 func TestLogLines(t *testing.T) {
 	l := &logger{recorder: recorder{now: 5, tries: map[RequestID]int{}}}
 	b := New(5, testConfig(), l)
-	b.Members(5, ListFull, fleet(2))
-	b.Members(5.1, ListFailed, nil)
+	b.UpdateHosts(5, ListFull, fleet(2))
+	b.UpdateHosts(5.1, ListFailed, nil)
 	for i, h := range b.hosts {
 		for range 4 {
 			b.now = 6 + 10*float64(i)
 			b.judge(h, failed, 1)
 		}
 	}
-	b.Members(17, ListFull, nil)
+	b.UpdateHosts(17, ListFull, nil)
 	b.span = 1
 	b.Request(17, Request{ID: 1, Budget: 3, Work: 0.1})
 	all := strings.Join(l.lines, "\n")
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -83,7 +83,7 @@
 		}
 		b.judge(h, broken, 0)
 		h.lost[o.Class] *= 1 - judgeStep[failed]
-	case TurnedAway: // proves load, not sickness
+	case Rejected: // proves load, not sickness
 		h.heard = true
 		b.feel(h, 1, 1)
 	case TimedOut:
@@ -94,7 +94,7 @@
 		}
 	case Errored, ConnectFailed:
 		b.judge(h, failed, 1)
-	case Reset, Spoilt: // it was there to take the request
+	case Reset, Malformed: // it was there to take the request
 		b.judge(h, broken, 1)
 	}
 }
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -12,7 +12,7 @@
 		{"two errors in a row", []Result{Errored, Errored}, true},
 		{"two failed connections", []Result{ConnectFailed, ConnectFailed}, true},
 		{"one error", []Result{OK, Errored, OK}, false},
-		{"turned away proves load", []Result{TurnedAway, TurnedAway, TurnedAway, TurnedAway}, false},
+		{"turned away proves load", []Result{Rejected, Rejected, Rejected, Rejected}, false},
 		{"own cancels", []Result{Cancelled, Cancelled, Cancelled}, false},
 		{"half fail", []Result{Errored, OK, Errored, OK, Errored, Errored, OK, Errored}, true},
 	} {
@@ -78,9 +78,9 @@
 		results []Result
 		out     bool
 	}{
-		{"two together", []Result{OK, Spoilt, Spoilt}, false},
-		{"every other one", []Result{Spoilt, OK, Spoilt, OK, Spoilt, OK, Spoilt, OK, Spoilt, OK}, false},
-		{"nothing else", []Result{Spoilt, Spoilt, Spoilt, Spoilt, Spoilt}, true},
+		{"two together", []Result{OK, Malformed, Malformed}, false},
+		{"every other one", []Result{Malformed, OK, Malformed, OK, Malformed, OK, Malformed, OK, Malformed, OK}, false},
+		{"nothing else", []Result{Malformed, Malformed, Malformed, Malformed, Malformed}, true},
 		{"two resets", []Result{OK, Reset, Reset}, false},
 		{"resets, then nothing else", []Result{OK, Reset, Reset, Reset, Reset, Reset}, true},
 		{"two errors", []Result{OK, Errored, Errored}, true},
@@ -136,10 +136,10 @@
 	for range 2 * int(lostSure) {
 		b.tells = tellSaved
 		b.lose(h, 1)
-		peer.Peer(b.now, 3, r.word)
+		peer.PeerMessage(b.now, 3, r.word)
 		for class := range cfg.Classes {
 			b.lose(all, class)
-			peer.Peer(b.now, 3, r.word)
+			peer.PeerMessage(b.now, 3, r.word)
 		}
 	}
 	for _, b := range []*Balancer{b, peer} {
--- a/balancer/known.go
+++ b/balancer/known.go
@@ -53,5 +53,5 @@
 
 // agreed says whether leaving a host out for a class takes the agreement of all.
 func (b *Balancer) agreed(class int) bool {
-	return b.cfg.Agreed && class < len(b.cfg.Classes) && b.cfg.Classes[class].Effect == Unsafe
+	return b.cfg.AgreedEjection && class < len(b.cfg.Classes) && b.cfg.Classes[class].Effect == Unsafe
 }
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -13,7 +13,7 @@
 	}
 	b.tells -= cost
 	binary.LittleEndian.PutUint32(b.told[:], tag(h.ID)|uint32(word))
-	b.act.Tell(b.told[:])
+	b.act.Broadcast(b.told[:])
 	return true
 }
 
@@ -72,8 +72,8 @@
 	return false
 }
 
-// Peer takes another balancer's word on the share that a host admits.
-func (b *Balancer) Peer(now float64, from int, data []byte) {
+// PeerMessage takes another balancer's word on the share that a host admits.
+func (b *Balancer) PeerMessage(now float64, from int, data []byte) {
 	b.now = now
 	if len(data) != len(b.told) {
 		return
--- a/balancer/load_test.go
+++ b/balancer/load_test.go
@@ -39,9 +39,9 @@
 		t.Fatal("peers were not told")
 	}
 	peer, _ := start(cfg, fleet(10))
-	peer.Peer(50, 3, r.word)
-	peer.Peer(50, 3, []byte{1, 2, 3})
-	peer.Peer(50, 3, []byte{1, 2, 3, 4})
+	peer.PeerMessage(50, 3, r.word)
+	peer.PeerMessage(50, 3, []byte{1, 2, 3})
+	peer.PeerMessage(50, 3, []byte{1, 2, 3, 4})
 	for _, other := range peer.hosts {
 		if (other.ID == h.ID) != (other.admit < 0.9) {
 			t.Fatalf("a peer's host %d admits %.2f", other.ID, other.admit)
@@ -153,7 +153,7 @@
 	}
 	work(1, 1000, 0)
 	rate := 0.1 * 100 / 2 // work a second to each warm host
-	b.Members(r.now, ListChanges, []Host{{ID: 200, Status: Ready, Started: r.now}})
+	b.UpdateHosts(r.now, ListChanges, []Host{{ID: 200, Status: Ready, Started: r.now}})
 	if got, most := work(2000, 100, 200), cfg.FallMultiple*cfg.ColdFrom*rate; got > most || got == 0 {
 		t.Fatalf("cold host got %.2f in its first second, of at most %.2f", got, most)
 	}
@@ -190,7 +190,7 @@
 				back[n].Started = r.now
 			}
 		}
-		b.Members(r.now, ListChanges, back)
+		b.UpdateHosts(r.now, ListChanges, back)
 	}
 	sent := map[HostID]float64{}
 	for i := range proxies {
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -9,7 +9,7 @@
 	b.set = b.set[:0]
 	home := [2]float64{math.Inf(1), math.Inf(1)} // the best score in this zone and in others
 	for _, h := range b.hosts {
-		out := o.Only == 0 && (!panicking && b.out(h, o.Class) || h.zone.out(b.now) && !b.agreed(o.Class))
+		out := o.OnlyHost == 0 && (!panicking && b.out(h, o.Class) || h.zone.out(b.now) && !b.agreed(o.Class))
 		if h.Status != Ready || out || !o.allows(h.ID) || o.tried(h) || !inGroup(o.class.Group, anchor, h) {
 			continue
 		}
@@ -59,12 +59,12 @@
 	for _, r := range b.set {
 		h := r.h
 		far := b.cfg.WarmKeys && r.score > home[h.side] && float64(h.inflight+1) > farShare*h.window
-		if far || !b.cfg.Gated && float64(h.inflight) >= h.window || warmOnly && b.warmth(h) < 1 {
+		if far || !b.cfg.ServerSideLimits && float64(h.inflight) >= h.window || warmOnly && b.warmth(h) < 1 {
 			continue
 		}
 		loaded := float64(h.inflight) >= max(passOverFloor, passOverMean*b.mean*h.weight+1) ||
 			b.alone && h.inflight > 0 // its part of any host's room is far under one
-		crowded := !b.cfg.Gated && b.admit*unit(mix(o.luck^uint64(h.ID))) >= b.share(h)
+		crowded := !b.cfg.ServerSideLimits && b.admit*unit(mix(o.luck^uint64(h.ID))) >= b.share(h)
 		doubted := b.doubts && !b.agreed(o.Class) && h.doubted(b.now, o.class.Effect)
 		if loaded || crowded || doubted {
 			r.score = lastRank * float64(h.inflight+1) / h.weight
@@ -78,7 +78,7 @@
 
 // out says whether a host is left out for a class: by what happened here, or by agreement where that is due.
 func (b *Balancer) out(h *host, class int) bool {
-	return b.agreed(class) && h.Condemned || !b.agreed(class) && (h.until > b.now || b.mute(h, class))
+	return b.agreed(class) && h.AgreedEjected || !b.agreed(class) && (h.until > b.now || b.mute(h, class))
 }
 
 // doubted says whether requests yield from a host that has failed. Once the doubt is over, what may be sent
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -28,7 +28,7 @@
 		return got
 	}
 	before := where(0)
-	b.Members(r.now, ListChanges, []Host{{ID: 102, Status: Gone}})
+	b.UpdateHosts(r.now, ListChanges, []Host{{ID: 102, Status: Removed}})
 	moved := 0
 	for k, h := range where(1000) {
 		if before[k] == 102 {
@@ -58,8 +58,8 @@
 				id := RequestID(i + 1)
 				h := r.ask(b, id, 0, uint64(i+1))
 				picked[h] = true
-				r.end(b, id, 0, h, TurnedAway)
-				b.Gone(r.now, id)
+				r.end(b, id, 0, h, Rejected)
+				b.ClientLeft(r.now, id)
 				for n := range r.tries[id] {
 					r.end(b, id, n, 0, Cancelled)
 				}
--- a/balancer/plan_test.go
+++ b/balancer/plan_test.go
@@ -19,7 +19,7 @@
 	p := c.proxies[0]
 	r := &planRecorder{proxy: p}
 	b := New(c.clock(), cfg, r)
-	b.Members(c.clock(), ListFull, hosts)
+	b.UpdateHosts(c.clock(), ListFull, hosts)
 	play := func() (shares [4]float64, refused float64, keys map[uint64]int) {
 		keys = map[uint64]int{}
 		const n = 20000
@@ -43,7 +43,7 @@
 			t.Errorf("%s: %.3f, want %.3f", what, got, want)
 		}
 	}
-	b.Plan(c.clock(), []Route{{Zone: 0, Share: 0.6}, {Zone: 1, Share: 0.3}, {Zone: 2}})
+	b.Plan(c.clock(), []ZoneShare{{Zone: 0, Share: 0.6}, {Zone: 1, Share: 0.3}, {Zone: 2}})
 	shares, refused, _ := play()
 	near("own zone", shares[0], 0.6)
 	near("next zone", shares[1], 0.3)
@@ -51,9 +51,9 @@
 	if shares[2]+shares[3] > 0 {
 		t.Errorf("zones without a share got some: %v", shares)
 	}
-	b.Plan(c.clock(), []Route{{Zone: 0, Share: 0.6}, {Zone: 1, Share: 0.4}, {Zone: 2}})
+	b.Plan(c.clock(), []ZoneShare{{Zone: 0, Share: 0.6}, {Zone: 1, Share: 0.4}, {Zone: 2}})
 	_, _, was := play()
-	b.Plan(c.clock(), []Route{{Zone: 0, Share: 0.6}, {Zone: 1, Share: 0.2}, {Zone: 2, Share: 0.2}})
+	b.Plan(c.clock(), []ZoneShare{{Zone: 0, Share: 0.6}, {Zone: 1, Share: 0.2}, {Zone: 2, Share: 0.2}})
 	shares, refused, is := play()
 	near("of zone 2", shares[2], 0.2)
 	near("refused now", refused, 0)
@@ -69,7 +69,7 @@
 			h.window, h.inflight = 1, 1
 		}
 	}
-	b.Plan(c.clock(), []Route{{Zone: 0, Share: 1}, {Zone: 1}, {Zone: 2}})
+	b.Plan(c.clock(), []ZoneShare{{Zone: 0, Share: 1}, {Zone: 1}, {Zone: 2}})
 	shares, _, _ = play()
 	near("what finds no room", shares[2], 1)
 	b.Plan(c.clock(), nil)
--- a/balancer/recorder_test.go
+++ b/balancer/recorder_test.go
@@ -40,7 +40,7 @@
 }
 func (r *recorder) Watch() { r.watch++ }
 func (r *recorder) Fetch() {}
-func (r *recorder) Tell(data []byte) {
+func (r *recorder) Broadcast(data []byte) {
 	r.word = slices.Clone(data)
 }
 func (r *recorder) Log(string) {}
@@ -109,7 +109,7 @@
 func start(cfg Config, hosts []Host) (*Balancer, *recorder) {
 	r := &recorder{now: 50, tries: map[RequestID]int{}}
 	b := New(r.now, cfg, r)
-	b.Members(r.now, ListFull, hosts)
+	b.UpdateHosts(r.now, ListFull, hosts)
 	return b, r
 }
 
--- a/balancer/roll.go
+++ b/balancer/roll.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Members takes a list, changes to it, or word that a call for it failed.
-func (b *Balancer) Members(now float64, kind ListKind, hosts []Host) {
+// UpdateHosts takes a list, changes to it, or word that a call for it failed.
+func (b *Balancer) UpdateHosts(now float64, kind ListKind, hosts []Host) {
 	b.now = now
 	if kind == ListFailed {
 		b.say("list lost, %d hosts known", len(b.hosts))
@@ -23,14 +23,14 @@
 	}
 	if kind != ListChanges {
 		for _, h := range b.hosts {
-			h.Status = Gone // if absent from a complete list
+			h.Status = Removed // if absent from a complete list
 		}
 	}
 	for _, e := range hosts {
 		b.learn(e)
 	}
 	b.hosts = slices.DeleteFunc(b.hosts, func(h *host) bool {
-		gone := h.Status == Gone && h.inflight == 0
+		gone := h.Status == Removed && h.inflight == 0
 		if gone {
 			delete(b.index, h.ID)
 		}
--- a/balancer/roll_test.go
+++ b/balancer/roll_test.go
@@ -10,7 +10,7 @@
 	hosts := fleet(4)
 	draining, absent := slices.Clone(hosts), slices.Clone(hosts[1:])
 	draining[0].Status = Draining
-	gone := []Host{{ID: 100, Status: Gone}}
+	gone := []Host{{ID: 100, Status: Removed}}
 	for _, c := range []struct {
 		name  string
 		kind  ListKind
@@ -18,7 +18,7 @@
 	}{{"draining", ListChanges, draining[:1]}, {"gone", ListChanges, gone}, {"absent", ListFull, absent}} {
 		t.Run(c.name, func(t *testing.T) {
 			b, r := start(testConfig(), hosts)
-			b.Members(r.now, c.kind, c.hosts)
+			b.UpdateHosts(r.now, c.kind, c.hosts)
 			for i := range 200 {
 				id := RequestID(i + 1)
 				if h := r.ask(b, id, 0, uint64(i+1)); h == 100 {
@@ -36,10 +36,10 @@
 	cfg := testConfig()
 	r := &recorder{now: 1, tries: map[RequestID]int{}}
 	b := New(1, cfg, r)
-	b.Members(1, ListCached, fleet(2))
+	b.UpdateHosts(1, ListCached, fleet(2))
 	for range 20 {
 		calls, asked := r.watch, r.now
-		b.Members(r.now, ListFailed, nil)
+		b.UpdateHosts(r.now, ListFailed, nil)
 		for r.watch == calls && r.now-asked <= cfg.AskWithin {
 			r.advance(b, r.now+0.1)
 		}
@@ -47,7 +47,7 @@
 			t.Fatalf("not asked again within %.1f s", r.now-asked)
 		}
 	}
-	b.Members(r.now, ListFull, fleet(2))
+	b.UpdateHosts(r.now, ListFull, fleet(2))
 	calls := r.watch
 	r.advance(b, r.now+60)
 	if r.watch != calls {
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -43,7 +43,7 @@
 				if set.Out(id) != isOut {
 					t.Fatalf("%s out: %v, want %v", id, set.Out(id), isOut)
 				}
-				status := rapid.SampledFrom([]balancer.Status{balancer.Ready, balancer.Draining, balancer.Gone}).Draw(t, "state")
+				status := rapid.SampledFrom([]balancer.Status{balancer.Ready, balancer.Draining, balancer.Removed}).Draw(t, "state")
 				started := rapid.SampledFrom([]float64{0, a.out, a.out + 0.05, now}).Draw(t, "started")
 				got := set.Merge(id, balancer.Host{Status: status, Started: started})
 				want := balancer.Host{Status: status, Started: started}
--- a/internal/mesh/sidecar/actions.go
+++ b/internal/mesh/sidecar/actions.go
@@ -25,16 +25,16 @@
 	p.tries[t.id] = t
 	switch {
 	case o.told, p.now >= o.deadline:
-		p.later(func() { p.ended(t, balancer.Moot, nil, "") })
+		p.later(func() { p.ended(t, balancer.Skipped, nil, "") })
 		return
 	case at == nil:
 		p.later(func() { p.ended(t, balancer.ConnectFailed, nil, "gone from the roll") })
 		return
 	case o.arrivals >= max(1, o.route.Tries):
-		p.later(func() { p.ended(t, balancer.Moot, nil, "no tries left") })
+		p.later(func() { p.ended(t, balancer.Skipped, nil, "no tries left") })
 		return
 	case o.arrivals > 0 && !p.budget.Spend(o.service):
-		p.later(func() { p.ended(t, balancer.Moot, nil, "no budget for a further try") })
+		p.later(func() { p.ended(t, balancer.Skipped, nil, "no budget for a further try") })
 		return
 	}
 	t.spent = o.arrivals > 0
@@ -150,8 +150,8 @@
 func (s *service) Watch() {}
 func (s *service) Fetch() {}
 
-// Tell would send a message to every peer.
-func (s *service) Tell([]byte) {}
+// Broadcast would send a message to every peer.
+func (s *service) Broadcast([]byte) {}
 
 // Log writes a line of the module's.
 func (s *service) Log(text string) {
--- a/internal/mesh/sidecar/departure.go
+++ b/internal/mesh/sidecar/departure.go
@@ -46,7 +46,7 @@
 	}
 	p.tell(o, Reply{Ours: true, Why: whyLeft})
 	if s := p.services[o.service]; s != nil {
-		s.bal.Gone(now, balancer.RequestID(o.id)) // it has the tries that are out cancelled
+		s.bal.ClientLeft(now, balancer.RequestID(o.id)) // it has the tries that are out cancelled
 	}
 	p.forget(o)
 	p.settle()
--- a/internal/mesh/sidecar/discovery.go
+++ b/internal/mesh/sidecar/discovery.go
@@ -222,11 +222,11 @@
 		}
 		at.source, at.station, at.told = source, r.Station, at.slow
 		s.hosts[h.ID], h.Weight = at, p.witness.part(p.now, r.Station)/(at.slow*at.slow)
-		h.Condemned = p.witness.condemned(p.now, r.Station)
+		h.AgreedEjected = p.witness.condemned(p.now, r.Station)
 		by[r.Carrier] = append(by[r.Carrier], h)
 	}
 	for _, name := range p.serviceNames() {
-		p.services[name].bal.Members(p.now, balancer.ListFull, by[name])
+		p.services[name].bal.UpdateHosts(p.now, balancer.ListFull, by[name])
 	}
 	p.budget.Share(len(n.records))
 }
--- a/internal/mesh/sidecar/dispatch.go
+++ b/internal/mesh/sidecar/dispatch.go
@@ -227,7 +227,7 @@
 	if s == nil {
 		return // its service is gone: it ends with its time
 	}
-	s.bal.Request(p.now, balancer.Request{ID: balancer.RequestID(o.id), Class: s.class(o.class), Key: p.random() | 1, Only: o.holder,
+	s.bal.Request(p.now, balancer.Request{ID: balancer.RequestID(o.id), Class: s.class(o.class), Key: p.random() | 1, OnlyHost: o.holder,
 		Budget: max(0, o.deadline-p.now)})
 }
 
@@ -240,7 +240,7 @@
 		}
 		p.tell(o, reply)
 		if s := p.services[o.service]; s != nil {
-			s.bal.Gone(p.now, balancer.RequestID(o.id))
+			s.bal.ClientLeft(p.now, balancer.RequestID(o.id))
 		}
 		p.forget(o)
 	}
--- a/internal/mesh/sidecar/introduction.go
+++ b/internal/mesh/sidecar/introduction.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		if t.order.told || p.now >= t.order.deadline {
-			p.ended(t, balancer.Moot, nil, "its time was over before it went")
+			p.ended(t, balancer.Skipped, nil, "its time was over before it went")
 			continue
 		}
 		t.held = false
--- a/internal/mesh/sidecar/tries.go
+++ b/internal/mesh/sidecar/tries.go
@@ -66,20 +66,20 @@
 		}
 	case outcome.Turned:
 		if c.BackMs > 0 { // it is full
-			p.ended(t, balancer.TurnedAway, nil, why)
+			p.ended(t, balancer.Rejected, nil, why)
 		} else {
 			p.ended(t, balancer.ConnectFailed, nil, why)
 		}
 	case outcome.HostTurned:
-		p.ended(t, balancer.TurnedAway, nil, why)
+		p.ended(t, balancer.Rejected, nil, why)
 	case outcome.Unclaimed:
 		if p.now > p.discovery.heardAt+coreGone || t.number > 0 || c.BackMs > 0 { // another proxy reaches no more of the control plane
-			p.ended(t, balancer.Moot, nil, why)
+			p.ended(t, balancer.Skipped, nil, why)
 		} else {
-			p.ended(t, balancer.TurnedAway, nil, why)
+			p.ended(t, balancer.Rejected, nil, why)
 		}
 	case outcome.Expired:
-		p.ended(t, balancer.Moot, nil, why)
+		p.ended(t, balancer.Skipped, nil, why)
 	case outcome.Late:
 		p.ended(t, balancer.TimedOut, nil, why)
 	case outcome.Busy:
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -28,7 +28,7 @@
 	up := o.hosts.find(host)
 	switch {
 	case f.answered, f.bound(), until <= now && f.request.up == nil, f.most > 0 && a.number >= f.most:
-		o.local = append(o.local, outcome{attempt: a, result: balancer.Moot})
+		o.local = append(o.local, outcome{attempt: a, result: balancer.Skipped})
 	case up == nil:
 		o.local = append(o.local, outcome{attempt: a, result: balancer.ConnectFailed})
 	default:
@@ -92,8 +92,8 @@
 // Fetch asks for the list once.
 func (o *owner) Fetch() { ask(o.list.fetch) }
 
-// Tell would send a message to every peer. The protocol has none, and the module is told so in its Config.
-func (o *owner) Tell([]byte) {}
+// Broadcast would send a message to every peer. The protocol has none, and the module is told so in its Config.
+func (o *owner) Broadcast([]byte) {}
 
 // Log writes a line of the module's.
 func (o *owner) Log(text string) { o.log.Info(text) }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -201,7 +201,7 @@
 	err := x.write(line{c.conn, func() error { return c.settle(ctx, call) }, call.stands})
 	if err != nil { // the last byte has not gone out, so the host has not begun it
 		c.close()
-		if r = call.drop(); r.err == nil && r.result == balancer.TurnedAway {
+		if r = call.drop(); r.err == nil && r.result == balancer.Rejected {
 			return r, r.result, false
 		}
 		c.up.hosts.bufs.FreeBody(&r.body)
@@ -224,7 +224,7 @@
 	case ctx.Err() != nil:
 		return r, balancer.TimedOut, false
 	case r.spoilt:
-		return r, balancer.Spoilt, false
+		return r, balancer.Malformed, false
 	}
 	return r, balancer.Reset, false
 }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -28,27 +28,27 @@
 		{"served, then closes", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", balancer.OK, false},
 		{"after an interim answer", "HTTP/1.1 103 Early Hints\r\n\r\n" + ok, balancer.OK, true},
 		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
-		{"turned away", turned, balancer.TurnedAway, true},
-		{"turned away late", strings.Replace(turned, "503", "504", 1), balancer.TurnedAway, true},
+		{"turned away", turned, balancer.Rejected, true},
+		{"turned away late", strings.Replace(turned, "503", "504", 1), balancer.Rejected, true},
 		{"503 without the word", "HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
 		{"too many requests without the word", "HTTP/1.1 429 T\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
 		{"500 with the word", strings.Replace(turned, "503", "500", 1), balancer.Errored, true},
-		{"garbage", "no such thing\r\n\r\n", balancer.Spoilt, false},
+		{"garbage", "no such thing\r\n\r\n", balancer.Malformed, false},
 		{"cut in the head", "HTTP/1.1 200 OK\r\nContent-", balancer.Reset, false},
 		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nabc", balancer.Reset, false},
-		{"broken chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", balancer.Spoilt, false},
-		{"body over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc", balancer.Spoilt, false},
+		{"broken chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", balancer.Malformed, false},
+		{"body over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc", balancer.Malformed, false},
 		{"ended by the close, as announced", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok", balancer.OK, false},
-		{"head over the limit", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHead), balancer.Spoilt, false},
-		{"endless interim answers", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxHead/4), balancer.Spoilt, false},
+		{"head over the limit", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHead), balancer.Malformed, false},
+		{"endless interim answers", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxHead/4), balancer.Malformed, false},
 		{"many interim answers", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", 20) + ok, balancer.OK, true},
 		{"a length beside chunks", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n" +
-			"2\r\nok\r\n0\r\n\r\n", balancer.Spoilt, false},
-		{"two lengths alike", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok", balancer.Spoilt, false},
-		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", balancer.Spoilt, false},
-		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", balancer.Spoilt, false},
-		{"folded head", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n 0\r\n\r\nok", balancer.Spoilt, false},
-		{"a name with a space", "HTTP/1.1 200 OK\r\nContent-Length : 2\r\n\r\nok", balancer.Spoilt, false},
+			"2\r\nok\r\n0\r\n\r\n", balancer.Malformed, false},
+		{"two lengths alike", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok", balancer.Malformed, false},
+		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", balancer.Malformed, false},
+		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", balancer.Malformed, false},
+		{"folded head", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n 0\r\n\r\nok", balancer.Malformed, false},
+		{"a name with a space", "HTTP/1.1 200 OK\r\nContent-Length : 2\r\n\r\nok", balancer.Malformed, false},
 		{"a report that is none", "HTTP/1.1 200 OK\r\nX-Pressure: %%%\r\nContent-Length: 2\r\n\r\nok", balancer.OK, true},
 		{"noise behind the answer", ok + "\x00\x01noise", balancer.OK, false},
 		{"bytes beyond the answer", ok + ok, balancer.OK, false},
@@ -117,7 +117,7 @@
 	if a := g.raw(message("write", "x", "X-Remaining: 60000m")); a.status != http.StatusBadGateway {
 		t.Fatalf("the client got %d", a.status)
 	}
-	if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.Spoilt {
+	if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.Malformed {
 		t.Fatalf("outcome %+v", o)
 	}
 }
--- a/internal/proxy/catalog.go
+++ b/internal/proxy/catalog.go
@@ -19,7 +19,7 @@
 }
 
 var statuses = map[string]balancer.Status{
-	"ready": balancer.Ready, "draining": balancer.Draining, "gone": balancer.Gone,
+	"ready": balancer.Ready, "draining": balancer.Draining, "gone": balancer.Removed,
 }
 
 // parseCatalog reads an answer of discovery. An entry that makes no sense is skipped, so that it does not take the
@@ -60,7 +60,7 @@
 		return "", h, "", false
 	}
 	status, known := statuses[e.State]
-	if _, _, err := net.SplitHostPort(e.Addr); !known || status != balancer.Gone && err != nil {
+	if _, _, err := net.SplitHostPort(e.Addr); !known || status != balancer.Removed && err != nil {
 		return "", h, "", false
 	}
 	return e.ID, balancer.Host{
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -36,7 +36,7 @@
 	want := []balancer.Host{
 		{ID: hostID("a"), Weight: 2.5, Zone: 1, Cell: 3, Status: balancer.Ready, Started: 1.5},
 		{ID: hostID("b"), Zone: 2, Status: balancer.Draining},
-		{ID: hostID("c"), Zone: 3, Status: balancer.Gone},
+		{ID: hostID("c"), Zone: 3, Status: balancer.Removed},
 		{ID: hostID("f"), Zone: 3, Status: balancer.Ready},
 	}
 	if c.version != 41 || !c.full || len(c.hosts) != len(want) || len(c.addrs) != len(want) {
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -86,7 +86,7 @@
 		return
 	}
 	o.conclude(f, e.answer)
-	o.bal.Gone(o.clock.now(), e.request.ID)
+	o.bal.ClientLeft(o.clock.now(), e.request.ID)
 	o.drop(f)
 }
 
@@ -132,7 +132,7 @@
 		o.hosts.update(e.kind, list, now)
 		o.sight.listed(e.kind, list)
 	}
-	o.bal.Members(now, e.kind, list.hosts)
+	o.bal.UpdateHosts(now, e.kind, list.hosts)
 	o.look(now)
 	if len(list.hosts) > 0 && !o.ready.Swap(true) {
 		close(o.known)
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -111,7 +111,7 @@
 			t.Fatal("hosts and addresses do not match")
 		}
 		for i, h := range c.hosts {
-			if h.Started < 0 || h.Status != balancer.Gone && c.addrs[i] == "" {
+			if h.Started < 0 || h.Status != balancer.Removed && c.addrs[i] == "" {
 				t.Fatalf("entry %+v at %q", h, c.addrs[i])
 			}
 		}
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -131,7 +131,7 @@
 			a.sent = now
 		}
 	}
-	o.bal.Whole(now, e.request.ID)
+	o.bal.BodyReceived(now, e.request.ID)
 }
 
 var errBound = errors.New("another attempt has the rest of the body")
@@ -287,7 +287,7 @@
 	now := o.clock.now()
 	a.begunAt, a.long = now, e.reply.long
 	o.conclude(f, answer{status: http.StatusOK, kind: e.reply.kind, long: e.reply.long, length: e.reply.length})
-	o.bal.Begun(now, a.request.ID, a.number)
+	o.bal.ResponseStarted(now, a.request.ID, a.number)
 }
 
 // leave gives up a long answer whose client has gone.
--- a/internal/proxy/operators.go
+++ b/internal/proxy/operators.go
@@ -215,7 +215,7 @@
 		now := o.clock.now()
 		o.hosts.update(balancer.ListChanges, changes, now)
 		o.sight.listed(balancer.ListChanges, changes)
-		o.bal.Members(now, balancer.ListChanges, changes.hosts)
+		o.bal.UpdateHosts(now, balancer.ListChanges, changes.hosts)
 		o.look(now)
 	}
 	close(e.done)
--- a/internal/proxy/owner_test.go
+++ b/internal/proxy/owner_test.go
@@ -112,9 +112,9 @@
 		status int
 	}{
 		{"unknown host", balancer.ConnectFailed, http.StatusBadGateway},
-		{"negative time", balancer.Moot, http.StatusBadGateway},
-		{"answered", balancer.Moot, http.StatusBadGateway},
-		{"twice answered", balancer.Moot, http.StatusServiceUnavailable},
+		{"negative time", balancer.Skipped, http.StatusBadGateway},
+		{"answered", balancer.Skipped, http.StatusBadGateway},
+		{"twice answered", balancer.Skipped, http.StatusServiceUnavailable},
 	} {
 		t.Run(c.key, func(t *testing.T) {
 			a := g.raw(message("write", "x", "X-Entity: "+c.key))
@@ -136,7 +136,7 @@
 	s := newScript()
 	s.request = sends("h1")
 	s.outcome = func(s *script, o balancer.Outcome) {
-		if o.Result == balancer.Moot {
+		if o.Result == balancer.Skipped {
 			s.act.Fail(o.ID)
 		} else {
 			s.act.Send(o.ID, hostID("h1"), 0)
@@ -147,7 +147,7 @@
 	for n := range 4 {
 		want := balancer.Errored
 		if n == 3 {
-			want = balancer.Moot
+			want = balancer.Skipped
 		}
 		if o := s.outcomes.next(t, "an outcome"); o.Result != want || o.Attempt != n {
 			t.Fatalf("outcome %+v, want %v", o, want)
--- a/internal/proxy/parse.go
+++ b/internal/proxy/parse.go
@@ -222,7 +222,7 @@
 	}
 	q.body = got
 	if more && int64(got.Size) != r.ContentLength {
-		q.Coming = true
+		q.BodyPending = true
 		q.up = &upload{stream: newStream(c.front.bufs), from: src, length: r.ContentLength}
 	}
 	return nil
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -37,7 +37,7 @@
 	}
 	r, result := up.exchange(ctx, question(path))
 	if p.result = result; result == balancer.Errored && r.status == http.StatusServiceUnavailable {
-		p.result = balancer.TurnedAway
+		p.result = balancer.Rejected
 	}
 	if p.report = r.report; p.report == nil && r.body.Size <= wire.BufferSize && len(r.body.Bufs) > 0 {
 		p.report = parseReport(string(r.body.Bufs[0][:r.body.Size]), up.hosts.by.Load().columns)
--- a/internal/proxy/probe_test.go
+++ b/internal/proxy/probe_test.go
@@ -17,9 +17,9 @@
 	}{
 		{"well, with a report", httpOK(`{"inflight":3,"queue":1,"util":0.5}`), balancer.OK, 3},
 		{"well, report broken", httpOK(`{"inflight":`), balancer.OK, 0},
-		{"not well", "HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n", balancer.TurnedAway, 0},
+		{"not well", "HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n", balancer.Rejected, 0},
 		{"unknown there", "HTTP/1.1 404 N\r\nContent-Length: 0\r\n\r\n", balancer.Errored, 0},
-		{"garbage", "nonsense\r\n\r\n", balancer.Spoilt, 0},
+		{"garbage", "nonsense\r\n\r\n", balancer.Malformed, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHost(t, says(c.raw))
--- a/internal/proxy/reply.go
+++ b/internal/proxy/reply.go
@@ -89,7 +89,7 @@
 		return balancer.OK
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if r.Header.Get(headerTurned) == "1" {
-			return balancer.TurnedAway
+			return balancer.Rejected
 		}
 	}
 	return balancer.Errored
--- a/internal/proxy/roll.go
+++ b/internal/proxy/roll.go
@@ -27,7 +27,7 @@
 	}
 	merged := catalog{version: list.version, full: list.full}
 	for i, name := range list.names {
-		if list.hosts[i].Status == balancer.Gone {
+		if list.hosts[i].Status == balancer.Removed {
 			delete(r.listed, name)
 		} else {
 			r.listed[name] = listed{list.hosts[i], list.addrs[i]}
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func (s *script) Members(_ float64, kind balancer.ListKind, hosts []balancer.Host) {
+func (s *script) UpdateHosts(_ float64, kind balancer.ListKind, hosts []balancer.Host) {
 	s.lists <- listEvent{kind, hosts}
 }
 
@@ -53,15 +53,15 @@
 
 func (s *script) Probed(_ float64, p balancer.ProbeResult) { s.probes <- p }
 
-func (s *script) Gone(_ float64, id balancer.RequestID) { s.gone <- id }
+func (s *script) ClientLeft(_ float64, id balancer.RequestID) { s.gone <- id }
 
-func (s *script) Avoided(float64) int                       { return 0 }
-func (s *script) Plan(float64, []balancer.Route)            {}
-func (s *script) Whole(float64, balancer.RequestID)         {}
-func (s *script) Begun(float64, balancer.RequestID, int)    {}
-func (s *script) Timer(float64, uint64)                     {}
-func (s *script) Configure(float64, balancer.Config, []int) {}
-func (s *script) Peer(float64, int, []byte)                 {}
+func (s *script) Avoided(float64) int                              { return 0 }
+func (s *script) Plan(float64, []balancer.ZoneShare)               {}
+func (s *script) BodyReceived(float64, balancer.RequestID)         {}
+func (s *script) ResponseStarted(float64, balancer.RequestID, int) {}
+func (s *script) Timer(float64, uint64)                            {}
+func (s *script) Configure(float64, balancer.Config, []int)        {}
+func (s *script) PeerMessage(float64, int, []byte)                 {}
 
 // sends makes the script send every request once to a host.
 func sends(host string) func(*script, balancer.Request) {
--- a/internal/proxy/sight.go
+++ b/internal/proxy/sight.go
@@ -62,9 +62,9 @@
 	switch r {
 	case balancer.OK:
 		s.window.Answered(now, a.zone, load)
-	case balancer.TurnedAway:
+	case balancer.Rejected:
 		s.window.TurnedAway(now, a.zone)
-	case balancer.ConnectFailed, balancer.Reset, balancer.Spoilt, balancer.Errored:
+	case balancer.ConnectFailed, balancer.Reset, balancer.Malformed, balancer.Errored:
 		s.window.Lost(now, a.zone, false)
 	case balancer.TimedOut, balancer.Cancelled:
 		if load >= 0.99 { // else its client left
--- a/internal/proxy/steer.go
+++ b/internal/proxy/steer.go
@@ -209,9 +209,9 @@
 type planned struct{ row failover.Row }
 
 func (e planned) apply(o *owner) {
-	var routes []balancer.Route
+	var routes []balancer.ZoneShare
 	for _, s := range e.row.Shares {
-		routes = append(routes, balancer.Route{Zone: o.sight.zones.number(s.Zone), Share: s.Part})
+		routes = append(routes, balancer.ZoneShare{Zone: o.sight.zones.number(s.Zone), Share: s.Part})
 	}
 	o.bal.Plan(o.clock.now(), routes)
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -93,12 +93,12 @@
 			u = &upstream{hosts: h}
 			h.all[e.ID] = u
 		}
-		u.listed = e.Status != balancer.Gone
+		u.listed = e.Status != balancer.Removed
 		u.told(list.addrs[i], e, now)
 	}
 	for id, u := range h.all {
 		if !u.listed {
-			u.told("", balancer.Host{Status: balancer.Gone}, now) // whoever still has it keeps no connection
+			u.told("", balancer.Host{Status: balancer.Removed}, now) // whoever still has it keeps no connection
 			delete(h.all, id)
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -57,7 +57,7 @@
 	"": balancer.GroupAll, "all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell,
 }
 
-var loads = map[string]balancer.Load{
+var loads = map[string]balancer.LoadMetric{
 	"active": balancer.LoadInflight, "waiting": balancer.LoadQueue, "cpu": balancer.LoadUtil,
 	"avg_ms": balancer.LoadLatency, "rps": balancer.LoadRate, "err_rps": balancer.LoadErrors,
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -34,7 +34,7 @@
 	if k.Effect != balancer.Keyed || k.Group != balancer.GroupCell || k.Window != 4 || k.Worth != 2 {
 		t.Errorf("class %+v", k)
 	}
-	want := []balancer.Load{balancer.LoadInflight, balancer.LoadUtil, balancer.LoadOther}
+	want := []balancer.LoadMetric{balancer.LoadInflight, balancer.LoadUtil, balancer.LoadOther}
 	if fmt.Sprint(c.Report) != fmt.Sprint(want) {
 		t.Errorf("report columns %v, want %v", c.Report, want)
 	}
--- a/internal/simwire/codec.go
+++ b/internal/simwire/codec.go
@@ -139,7 +139,7 @@
 	status := r.u8()
 	switch status {
 	case 0:
-		h.Status = balancer.Gone
+		h.Status = balancer.Removed
 	case 1:
 		h.Status = balancer.Ready
 	case 2:
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -183,7 +183,7 @@
 		id, attempt := balancer.RequestID(r.u64()), int(r.u8())
 		r.host()
 		if r.f64(); r.err == nil {
-			b.Begun(now, id, attempt)
+			b.ResponseStarted(now, id, attempt)
 		}
 	case evCompleted:
 		o := balancer.Outcome{ID: balancer.RequestID(r.u64()), Attempt: int(r.u8()), Took: r.f64()}
@@ -194,7 +194,7 @@
 		}
 	case evAbandoned:
 		if id := balancer.RequestID(r.u64()); r.err == nil {
-			b.Gone(now, id)
+			b.ClientLeft(now, id)
 		}
 	case evDeadlineHit:
 		if token := r.u64(); r.err == nil {
@@ -209,7 +209,7 @@
 	case evWhisper:
 		from, data := int(r.u32()), r.take(int(r.u16()))
 		if r.err == nil {
-			b.Peer(now, from, data)
+			b.PeerMessage(now, from, data)
 		}
 	}
 	return r.err
@@ -226,13 +226,13 @@
 		return fmt.Errorf("unknown list scope %d", scope)
 	}
 	if scope == 3 {
-		b.Members(now, balancer.ListFailed, nil)
+		b.UpdateHosts(now, balancer.ListFailed, nil)
 		return nil
 	}
 	if int(list) >= censusSlots {
 		return fmt.Errorf("list number %d is out of range", list)
 	}
-	b.Members(now, balancer.ListKind(scope), s.lists[list])
+	b.UpdateHosts(now, balancer.ListKind(scope), s.lists[list])
 	return nil
 }
 
@@ -298,8 +298,8 @@
 // Fetch asks for the list once.
 func (in *instance) Fetch() { in.out.action(actResolve, in.proxy) }
 
-// Tell sends a message to every peer, cut to what the wire carries.
-func (in *instance) Tell(data []byte) {
+// Broadcast sends a message to every peer, cut to what the wire carries.
+func (in *instance) Broadcast(data []byte) {
 	in.out.action(actPost, in.proxy)
 	in.out.buf = binary.LittleEndian.AppendUint16(in.out.buf, everyPeer)
 	in.out.text(data[:min(len(data), maxPost)])
--- a/internal/simwire/serve_test.go
+++ b/internal/simwire/serve_test.go
@@ -104,7 +104,7 @@
 			func(a balancer.Actions) { a.Timer(0.5, 0x4d) }},
 		{"trace", "4901 03000000 1100 74776f2073657276657273206b6e6f776e",
 			func(a balancer.Actions) { a.Log("two servers known") }},
-		{"post", "4b01 03000000 ffff 0400 68692037", func(a balancer.Actions) { a.Tell([]byte("hi 7")) }},
+		{"post", "4b01 03000000 ffff 0400 68692037", func(a balancer.Actions) { a.Broadcast([]byte("hi 7")) }},
 		{"bounce", "4401 03000000 c4913a5d35790b00 000000000000e03f",
 			func(a balancer.Actions) { a.Refuse(0x0b79355d3a91c4, 0.5) }},
 		{"end_failed", "4601 03000000 c4913a5d35790b00", func(a balancer.Actions) { a.Fail(0x0b79355d3a91c4) }},
