--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,14 +1,17 @@
-// Package balancer decides, for one client process, where each request goes.
+// Package balancer decides, for one client process, to which server each request goes: it picks hosts,
+// retries, queues and sheds load. A Balancer, made by New, is driven by events (Handler) and answers with
+// calls to its host program (Actions).
 //
-// This file is the whole interface: settings, events and actions. It decides nothing; the decisions are in
-// balancer.go and the files that it names. The package keeps no clock, starts no goroutine and does no I/O: time comes in with each event,
-// in seconds from any starting point, and randomness comes from Config.Seed. A Balancer is single-threaded.
+// This file is the whole interface: settings, events and actions. The decisions are in balancer.go and the
+// files named there. The package reads no clock, starts no goroutine and does no I/O. The time, in seconds
+// from any starting point, comes with each event, and randomness comes from Config.Seed. A Balancer must be
+// used by one goroutine at a time.
 package balancer
 
-// HostID names a server. It carries no meaning beyond identity.
+// HostID identifies a server and carries no other meaning.
 type HostID uint64
 
-// RequestID names a request taken from a client. It is never reused.
+// RequestID identifies a client request and is never reused. It must be below 2^52.
 type RequestID uint64
 
 // Effect says what a second execution of a request would do.
@@ -16,12 +19,12 @@
 
 // The effects a class may have.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // repeats are dropped inside the class's group and window
+	Safe   Effect = iota // may be repeated any number of times
+	Keyed                // hosts drop repeats within the class's group and window
 	Unsafe               // must never run twice
 )
 
-// Group says which hosts drop repeats of a keyed request.
+// Group says which hosts together deduplicate a keyed request.
 type Group uint8
 
 // The groups a keyed class may name.
@@ -34,17 +37,17 @@
 // Result says how an attempt or a probe ended.
 type Result uint8
 
-// The results. NeverRan tells which of them prove that nothing was executed.
+// The results an attempt or a probe may have.
 const (
-	OK Result = iota
-	Errored
-	Rejected
+	OK       Result = iota // a good answer
+	Errored                // an error answer
+	Rejected               // refused for overload, without running
 	TimedOut
 	ConnectFailed
-	Reset
+	Reset // the connection broke
 	Cancelled
-	Skipped
-	Malformed // an answer came that cannot be read; it may have run
+	Skipped   // ended before a host ran it, since it was no longer wanted or allowed
+	Malformed // the answer cannot be parsed; the request may have run
 )
 
 func (r Result) String() string {
@@ -65,54 +68,54 @@
 	Draining
 )
 
-// ZoneShare is what a plan made for the whole fleet says of a zone: its part of this balancer's requests. With 0 it takes what
-// finds no room elsewhere.
+// ZoneShare is a zone's part of this balancer's requests in the plan for the whole fleet. With a share of 0
+// it takes the requests that find no capacity elsewhere.
 type ZoneShare struct {
 	Zone  int
 	Share float64
 }
 
-// ListKind says what a list event holds.
+// ListKind says what an UpdateHosts event holds.
 type ListKind uint8
 
 // The kinds of list event.
 const (
 	ListChanges ListKind = iota // changed entries only
 	ListFull                    // the whole list
-	ListCached                  // the whole list as last held before a restart
+	ListCached                  // the whole list as known before a restart
 	ListFailed                  // a watch or fetch failed, or the subscription broke; no entries
 )
 
-// LoadMetric is one value of a host's load report.
+// LoadMetric is the meaning of one value in a host's load report.
 type LoadMetric uint8
 
-// The values a report may carry; LoadOther stands for any the module does not know.
+// The metrics a report may carry; LoadOther stands for any unknown to this package.
 const (
 	LoadOther    LoadMetric = iota
-	LoadInflight            // requests in hand
+	LoadInflight            // requests being served
 	LoadQueue               // requests waiting
-	LoadUtil                // share of CPU in use
-	LoadLatency             // recent service time in ms
-	LoadRate                // requests served a second
-	LoadErrors              // errors a second
+	LoadUtil                // CPU utilisation, a share
+	LoadLatency             // recent service time, in ms
+	LoadRate                // requests served per second
+	LoadErrors              // errors per second
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Aim, AimStretch, Deadline float64 // seconds; AimStretch is a multiple of the request's own work
-	Worth, LateWorth          float64 // LateWorth is the share of Worth earned after the aim
+	Aim, AimStretch, Deadline float64 // seconds; latency target: Aim + AimStretch x work
+	Worth, LateWorth          float64 // LateWorth is the share of Worth of an answer after the aim
 	Effect                    Effect
 	Group                     Group
-	Window                    float64 // seconds for which a keyed repeat is dropped
+	Window                    float64 // seconds for which hosts drop a keyed repeat
 }
 
-// Tenant is a customer sharing the service.
+// Tenant is a customer that shares the service.
 type Tenant struct{ Share, Quota float64 }
 
-// Prices are points taken off for what the balancer spends.
+// Prices are the points deducted for what the balancer uses.
 type Prices struct{ CrossZone, Waste, LateFail, Handshake, Probe, Peer float64 }
 
-// Config is what a Balancer is told at start. Zero values stand for settings that were not given.
+// Config holds the settings of a Balancer. A zero value means that the setting was not given.
 type Config struct {
 	Seed             uint64
 	Me, Balancers    int
@@ -120,29 +123,29 @@
 	Classes          []Class
 	Tenants          []Tenant
 	OverShareWorth   float64
-	WorthByWork      bool // worth grows with the request's work
-	Weighted         bool // Host.Weight is a steady size and may be compared
-	WarmKeys         bool // a host that met a key lately does less work for it
-	AskForList       bool // the list comes only when asked for
+	WorthByWork      bool // Class.Worth is per unit of work, not per request
+	Weighted         bool // Host.Weight is a stable size that can be compared
+	WarmKeys         bool // a host that has served a key recently does less work for it
+	AskForList       bool // the list has to be requested with Watch or Fetch
 	Report           []LoadMetric
 	Prices           Prices
 	Punctual         float64 // weight of the worth that counts in full only while few miss their aim; 0: none
-	MissAllowed      float64 // share of a class's requests that may miss their aim for that
+	MissAllowed      float64 // share of a class's requests that may miss their aim for Punctual
 	MaxAttempts      int
 	SecondCopies     bool
 	Cancelling       bool
 	Probes           bool
-	ServerSideLimits bool // a gate beside each host bounds what it has in hand and turns the rest away: no limits from here
-	AgreedEjection   bool // a host is left out for what must not run twice only by Host.Condemned, which all agree on
+	ServerSideLimits bool // each host's sidecar limits its concurrency and rejects the excess: no limits here
+	AgreedEjection   bool // Unsafe requests avoid a host only by Host.AgreedEjected, which all agree on
 	PeerMessages     bool
-	MaxCoolDown      float64 // longest wait a client honours after a refusal, seconds; 0: none is passed on
+	MaxCoolDown      float64 // longest wait that clients honour after a refusal, seconds; 0: none is sent
 	ConnectTimeout   float64 // seconds
-	AskWithin        float64 // seconds after which an unasked list counts as known
-	DrainGrace       float64 // seconds within which sends to a draining or gone host must stop
-	ColdFrom         float64 // share of its capacity with which a host starts
-	ColdFor          float64 // seconds until a started host is warm
-	FallMultiple     float64 // multiple of present capacity that pushes a cold host over
-	FallAfter        float64 // seconds of it that do so
+	AskWithin        float64 // seconds after which a list counts as known even if it was not requested
+	DrainGrace       float64 // seconds within which sends to a draining or removed host must stop
+	ColdFrom         float64 // share of its capacity that a host has at its start
+	ColdFor          float64 // seconds from start until a host is warm
+	FallMultiple     float64 // multiple of its present capacity that overloads a cold host
+	FallAfter        float64 // seconds of FallMultiple that do so
 }
 
 // Host is one entry of the server list.
@@ -152,65 +155,66 @@
 	Zone    int
 	Cell    int
 	Status  Status
-	Started float64 // clock time of its last start; 0: long ago
+	Started float64 // time of its last start; 0: long ago
 
-	AgreedEjected bool // with Config.Agreed: all agree that it fails
+	AgreedEjected bool // with Config.AgreedEjection: the fleet has agreed that it fails
 }
 
-// Request is what a client asks.
+// Request is one client request.
 type Request struct {
 	ID          RequestID
 	Class       int
 	Tenant      int
 	Key         uint64  // 0: none
 	Work        float64 // expected seconds on a standard core; 0: unknown
-	Budget      float64 // seconds until the client gives this try up
+	Budget      float64 // seconds until the client gives up this try
 	Repeat      bool    // the client marked it as a repeat
-	BodyPending bool    // its body is still coming: hosts begin, and its time counts, with Whole
-	OnlyHost    HostID  // the one host that can serve it; 0: any. It may be picked whatever is thought of it: it is the whole set
+	BodyPending bool    // its body is still arriving: work starts, and its time counts, at BodyReceived
+	OnlyHost    HostID  // the only host that can serve it, picked even if ejected; 0: any
 }
 
 // allows reports whether a host can serve the request.
 func (r *Request) allows(h HostID) bool { return r.OnlyHost == 0 || r.OnlyHost == h }
 
-// Outcome is the end of one attempt. Final means that the request has its answer, by this outcome or earlier.
+// Outcome is the end of one attempt. Final means that the client has its answer, from this attempt or
+// earlier.
 type Outcome struct {
 	ID      RequestID
 	Attempt int
 	Host    HostID
 	Result  Result
-	Took    float64
+	Took    float64 // seconds
 	Final   bool
-	Report  []float32 // in the order of Config.Report; empty: none came; valid only during the call
+	Report  []float32 // in the order of Config.Report; empty: none received; valid only during the call
 }
 
 // ProbeResult is the end of one probe.
 type ProbeResult struct {
 	Host   HostID
 	Result Result
-	Took   float64
+	Took   float64 // seconds
 	Report []float32
 }
 
-// Actions is what a Balancer asks of its host program, which must not call back into the Balancer.
+// Actions are the calls of a Balancer to its host program, which must not call the Balancer from within them.
 type Actions interface {
-	Send(id RequestID, host HostID, timeout float64) // starts the next attempt; 0: until the client gives up
-	Refuse(id RequestID, coolDown float64)           // final: trying again is harmless
-	Fail(id RequestID)                               // final: nothing is promised
+	Send(id RequestID, host HostID, timeout float64) // starts the next attempt; timeout 0: none
+	Refuse(id RequestID, coolDown float64)           // final: a repeat after coolDown seconds is safe
+	Fail(id RequestID)                               // final: it may have run
 	Cancel(id RequestID, attempt int)
 	Probe(host HostID)
-	Timer(after float64, token uint64)
-	Watch()                // asks for the list and its changes
-	Fetch()                // asks for the list once
-	Broadcast(data []byte) // a message to every peer; data is valid only during the call
+	Timer(after float64, token uint64) // requests a Timer event after so many seconds
+	Watch()                            // subscribes to the list and its changes
+	Fetch()                            // requests the list once
+	Broadcast(data []byte)             // sends a message to every peer; data is valid only during the call
 	Log(text string)
 }
 
-// Handler is the set of events; *Balancer implements it. Every event carries the present time in seconds.
+// Handler is the set of events; *Balancer implements it. Every event carries the current time in seconds.
 type Handler interface {
 	UpdateHosts(now float64, kind ListKind, hosts []Host)
 	Request(now float64, r Request)
-	BodyReceived(now float64, id RequestID)                 // the last byte of one that was coming
+	BodyReceived(now float64, id RequestID)                 // the last byte of a pending body
 	ResponseStarted(now float64, id RequestID, attempt int) // a streamed answer has started
 	Outcome(now float64, o Outcome)
 	Probed(now float64, p ProbeResult)
@@ -218,15 +222,16 @@
 	PeerMessage(now float64, from int, data []byte)
 	ClientLeft(now float64, id RequestID) // the client left
 
-	// Configure takes over other settings; kept names, for each class, what it was until now, -1: none.
-	Configure(now float64, cfg Config, kept []int)
+	// Configure replaces the settings; previous holds the old index of each class, or -1 for a new class.
+	Configure(now float64, cfg Config, previous []int)
 
-	// Plan takes over the zones that count, and with which share. Zones that it does not name are out; what the shares
-	// lack of 1 is refused at once. Empty: there is no plan, and the balancer finds out alone.
-	Plan(now float64, routes []ZoneShare)
+	// Plan sets the zones to use and their shares. Zones not listed are out. If the shares sum to less than
+	// 1, the rest of the requests is refused at once. An empty plan leaves the choice of zones to the
+	// balancer.
+	Plan(now float64, shares []ZoneShare)
 
-	// Avoided counts the hosts that take requests by the list and get none from here, by this balancer's choice. It
-	// changes nothing.
+	// Avoided counts the hosts that are ready in the list but get no requests from here: those ejected or in
+	// a zone that is out. It changes no state.
 	Avoided(now float64) int
 }
 
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -2,65 +2,65 @@
 
 import "slices"
 
-// givesWay refuses cheaper work by chance while dearer finds no room, and would get what is free by chance.
-func (b *Balancer) givesWay(o *op) bool {
-	chance, dearest := b.refused, o.density
-	if b.cfg.ServerSideLimits { // the gates say what there is room for
+// shedEarly refuses less valuable work with some probability while more valuable work finds no capacity.
+// Otherwise the two would get freed capacity by chance.
+func (b *Balancer) shedEarly(o *openRequest) bool {
+	chance, highest := b.planRefused, o.valueDensity
+	if b.cfg.ServerSideLimits { // the hosts enforce their own limits
 		return b.random() < chance
 	}
 	for c := range b.cfg.Classes {
-		if d := b.density(c); d > o.density {
-			chance, dearest = max(chance, giveWay*b.strain[c]), max(dearest, d)
+		if density := b.valueDensity(c); density > o.valueDensity {
+			chance, highest = max(chance, shedFactor*b.shedShare[c]), max(highest, density)
 		}
 	}
-	if b.thin && !b.alone && b.load[0] > loadedAbove { // else only some hosts are crowded
-		chance = max(chance, max(1-b.admit, b.late)*(1-o.density/dearest))
+	if b.lowTraffic && !b.byLatency && b.meanLoad[0] > highLoad { // else only some hosts are overloaded
+		chance = max(chance, max(1-b.meanAdmit, b.lateShare)*(1-o.valueDensity/highest))
 	}
-	if o.Repeat && o.class.LateWorth <= 0 { // its time began with an earlier try, and may be over
-		chance = max(chance, repeatsGiveWay*b.late)
+	if o.Repeat && o.class.LateWorth <= 0 { // its aim counts from an earlier try and may be over
+		chance = max(chance, repeatShedFactor*b.lateShare)
 	}
 	return b.random() < chance
 }
 
-// hold keeps a request until a host has room, if what is held before it should be gone by then, judged by
-// the work lately answered. Otherwise it is refused at once (load shedding); worth least goes first.
-func (b *Balancer) hold(o *op) {
-	patience := min(holdShare*o.class.Aim, o.deadline-b.now)
-	before, at := 0.0, 0
-	for ; at < len(b.held) && b.held[at].density >= o.density; at++ {
-		before += b.held[at].work
-	}
-	if b.span > 0 && before+o.work > b.flow/b.span*patience {
+// enqueue queues a request until a host has capacity, if at the recent rate of answered work the queue ahead
+// of it should drain within its wait. Otherwise it is shed at once; the lowest value density goes first.
+func (b *Balancer) enqueue(o *openRequest) {
+	maxWait := min(maxQueueShare*o.class.Aim, o.deadline-b.now)
+	workAhead, at := 0.0, 0
+	for ; at < len(b.queue) && b.queue[at].valueDensity >= o.valueDensity; at++ {
+		workAhead += b.queue[at].work
+	}
+	if b.workSpan > 0 && workAhead+o.work > b.workDone/b.workSpan*maxWait {
 		b.shed(o)
 		return
 	}
-	b.held = slices.Insert(b.held, at, o)
-	b.act.Timer(patience, timerHold<<tokenKind|uint64(o.ID))
+	b.queue = slices.Insert(b.queue, at, o)
+	b.actions.Timer(maxWait, timerQueue<<kindShift|uint64(o.ID))
 }
 
-// release sends held requests that have room somewhere, the dearest first.
-func (b *Balancer) release() {
-	for _, o := range slices.Clone(b.held) {
+// sendQueued sends the queued requests for which a host has capacity, in queue order.
+func (b *Balancer) sendQueued() {
+	for _, o := range slices.Clone(b.queue) {
 		if h := b.pick(o, nil); h != nil {
-			b.unhold(o)
+			b.dequeue(o)
 			b.send(o, h)
 		}
 	}
 }
 
-// shed refuses a request that found no room.
-func (b *Balancer) shed(o *op) {
-	drift(&b.strain[o.Class], 1)
-	b.say("shedding, %d held, without room by class %.2f", len(b.held), b.strain)
-	b.settle(o)
+func (b *Balancer) shed(o *openRequest) {
+	updateMean(&b.shedShare[o.Class], 1)
+	b.logLimited("shedding, %d held, shed shares by class %.2f", len(b.queue), b.shedShare)
+	b.refuseOrFail(o)
 }
 
-// permit is the one place that says whether a request may be sent again, where, and whether it may be
-// refused. anchor is a host of the group inside which a keyed request has to stay; nil: anywhere.
-func (b *Balancer) permit(o *op) (send bool, anchor *host, refuse bool) {
+// retryPolicy alone decides whether a request may be sent, also again, and whether it may be refused. A keyed
+// request must stay in the group of first, the host of the first attempt that may have run; nil: any host.
+func (b *Balancer) retryPolicy(o *openRequest) (send bool, first *host, refuse bool) {
 	n := len(o.attempts)
-	spent := n >= mostAttempts || o.most > 0 && n >= o.most
-	send = !spent && !o.done && !o.begun && b.now < o.deadline && (o.out == 0 || b.cfg.SecondCopies)
+	spent := n >= maxTokenAttempts || o.maxAttempts > 0 && n >= o.maxAttempts
+	send = !spent && !o.done && !o.streaming && b.now < o.deadline && (o.pending == 0 || b.cfg.SecondCopies)
 	refuse = true
 	for i := range o.attempts {
 		a := &o.attempts[i]
@@ -70,109 +70,108 @@
 		if o.class.Effect == Unsafe {
 			return false, nil, false
 		}
-		if anchor == nil { // the first that may have run opens the window
-			anchor = a.h
-			send = send && b.now < a.at+o.class.Window
+		if first == nil { // the first attempt that may have run starts the window
+			first = a.host
+			send = send && b.now < a.sentAt+o.class.Window
 			refuse = o.class.Group == GroupAll
 		}
 	}
-	return send, anchor, refuse
+	return send, first, refuse
 }
 
-// inGroup reports whether h drops repeats of what anchor may have run.
-func inGroup(g Group, anchor, h *host) bool {
-	return anchor == nil || g == GroupAll || g == GroupZone && anchor.Zone == h.Zone ||
-		g == GroupCell && anchor.Cell == h.Cell
+// inGroup reports whether h deduplicates requests that host first may have run.
+func inGroup(g Group, first, h *host) bool {
+	return first == nil || g == GroupAll || g == GroupZone && first.Zone == h.Zone ||
+		g == GroupCell && first.Cell == h.Cell
 }
 
-// dispatch sends a request to the picked host, or ends it at once if it may not go anywhere: a try may come
-// with no time left, and still is owed an answer.
-func (b *Balancer) dispatch(o *op) {
-	send, anchor, _ := b.permit(o)
+// dispatch sends a request to the picked host, queues it, or ends it at once if it may not be sent. A request
+// that arrives with no time left still gets an answer.
+func (b *Balancer) dispatch(o *openRequest) {
+	send, first, _ := b.retryPolicy(o)
 	if !send {
-		b.settle(o)
+		b.refuseOrFail(o)
 		return
 	}
-	switch h := b.pick(o, anchor); {
+	switch h := b.pick(o, first); {
 	case h != nil:
 		b.send(o, h)
-	case len(o.attempts) > 0: // no untried host has room; held, it would stand in the way of others
-		b.settle(o)
+	case len(o.attempts) > 0: // no untried host has capacity; in the queue it would block others
+		b.refuseOrFail(o)
 	default:
-		b.hold(o)
+		b.enqueue(o)
 	}
 }
 
-// settle gives the final answer of a request that was not served: refused where that is a true promise.
-func (b *Balancer) settle(o *op) {
+// refuseOrFail ends a request without an answer from a host: refused if a repeat is known to be harmless.
+func (b *Balancer) refuseOrFail(o *openRequest) {
 	if o.done {
 		return
 	}
-	if _, _, refuse := b.permit(o); refuse {
-		b.act.Refuse(o.ID, b.cfg.MaxCoolDown*b.strain[o.Class])
+	if _, _, refuse := b.retryPolicy(o); refuse {
+		b.actions.Refuse(o.ID, b.cfg.MaxCoolDown*b.shedShare[o.Class])
 	} else {
-		b.act.Fail(o.ID)
+		b.actions.Fail(o.ID)
 	}
 	b.finish(o)
 }
 
-// finish drops a request that has its answer and calls off what is still out.
-func (b *Balancer) finish(o *op) {
+// finish closes a request that has its final answer and cancels its pending attempts.
+func (b *Balancer) finish(o *openRequest) {
 	o.done = true
-	b.unhold(o)
-	if !o.begun {
-		b.callOff(o, -1)
+	b.dequeue(o)
+	if !o.streaming {
+		b.cancelPending(o, -1)
 	}
-	b.drop(o)
+	b.forget(o)
 }
 
-// callOff cancels what is out of a request, except for one attempt.
-func (b *Balancer) callOff(o *op, but int) {
+func (b *Balancer) cancelPending(o *openRequest, except int) {
 	for i := range o.attempts {
-		if i != but && o.attempts[i].out && b.cfg.Cancelling {
-			b.act.Cancel(o.ID, i)
+		if i != except && o.attempts[i].pending && b.cfg.Cancelling {
+			b.actions.Cancel(o.ID, i)
 		}
 	}
 }
 
-// send starts an attempt. An answer that would come too late to be worth anything is not waited for.
-func (b *Balancer) send(o *op, h *host) {
+// send starts an attempt. Its timeout ends the wait where a late answer is worth nothing.
+func (b *Balancer) send(o *openRequest, h *host) {
 	timeout := 0.0
-	if o.class.LateWorth <= 0 && o.aimAt < o.deadline { // for what is coming, counted from its last byte
+	if o.class.LateWorth <= 0 && o.aimAt < o.deadline { // for a body still arriving, from its last byte
 		timeout = max(o.aimAt-b.now, 0.001)
 	}
 	if len(o.attempts) == 0 {
-		drift(&b.strain[o.Class], 0)
+		updateMean(&b.shedShare[o.Class], 0)
 	}
-	a := attempt{h: h, at: b.now, out: true, place: 1}
+	a := attempt{host: h, sentAt: b.now, pending: true, slot: 1}
 	if o.BodyPending {
-		a.place = 0
+		a.slot = 0
 	}
 	o.attempts = append(o.attempts, a)
-	o.out++
-	h.inflight += a.place
-	b.act.Send(o.ID, h.ID, timeout)
+	o.pending++
+	h.inflight += a.slot
+	b.actions.Send(o.ID, h.ID, timeout)
 	if !o.BodyPending {
-		b.timeMark(o, len(o.attempts)-1)
+		b.startLateTimer(o, len(o.attempts)-1)
 	}
 }
 
-// timeMark asks for word when an attempt counts as late.
-func (b *Balancer) timeMark(o *op, n int) {
-	b.act.Timer(markShare*o.class.Aim, timerMark<<tokenKind|uint64(n)<<tokenAttempt|uint64(o.ID))
+// startLateTimer sets the timer after which a pending attempt counts as late.
+func (b *Balancer) startLateTimer(o *openRequest, n int) {
+	b.actions.Timer(lateMarkShare*o.class.Aim, timerLate<<kindShift|uint64(n)<<attemptShift|uint64(o.ID))
 }
 
-// worthAnother says whether a further attempt could still earn anything. What never reached a host costs
-// nothing to send again; other failures are followed by one attempt, so that they cannot multiply the load.
-func (b *Balancer) worthAnother(o *op, r Result) bool {
+// worthRetry reports whether a retry could still be worth anything. An attempt that reached no host may
+// always be retried; other failures get one retry, so that they cannot multiply the load.
+func (b *Balancer) worthRetry(o *openRequest, r Result) bool {
 	worthless := r == TimedOut || r == Skipped || b.now >= o.aimAt && o.class.LateWorth <= 0
-	free := r == ConnectFailed || r == Rejected && b.cfg.ServerSideLimits // it was at no host
-	return !worthless && (free || len(o.attempts) < mostTries)
+	atNoHost := r == ConnectFailed || r == Rejected && b.cfg.ServerSideLimits // it reached no host
+	return !worthless && (atNoHost || len(o.attempts) < maxTries)
 }
 
-// leaves says whether a request had better go elsewhere than wait on past its mark: it may, and its time for
-// that would soon be over. Guards against hosts that leave requests unanswered.
-func (b *Balancer) leaves(o *op) bool {
+// worthMoving reports whether to cancel a late attempt and try another host while there is time for that. It
+// guards against hosts that leave requests unanswered.
+func (b *Balancer) worthMoving(o *openRequest) bool {
 	return b.cfg.Cancelling && !o.done && o.class.Effect == Safe && o.class.LateWorth <= 0 &&
-		len(o.attempts) < mostTries && b.lateWeight() > 0
+		len(o.attempts) < maxTries && b.lateWeight() > 0
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,255 +1,253 @@
 package balancer
 
-// The interface (settings, events, actions) is in api.go. A request's path: Request -> givesWay -> dispatch
-// (attempt.go) -> pick (pick.go) -> send, or hold, or refuse -> Outcome or the late mark (Timer) -> weigh and
-// judge the host (health.go) -> permit -> dispatch again, or settle. What tells of load is in load.go.
+// The interface (settings, events, actions) is in api.go. A request passes through Request, shedEarly,
+// dispatch (attempt.go), pick (pick.go), and send, enqueue or shed. Its Outcome or late timer (Timer) updates
+// health (health.go) and load (load.go); then retryPolicy allows another dispatch, or refuseOrFail ends it.
 
 import "slices"
 
-// host is what this balancer knows of one server.
+// host is the local state of one server.
 type host struct {
 	Host
-	heard              bool       // had an outcome since its start: counted
-	fail               [2]float64 // recent shares of failures, and of broken or spoilt answers
-	until              float64    // ejected until then
-	inflight           int
-	weight             float64 // size relative to the mean of the list
-	zoneRank           float64 // rendezvous weight for this balancer's zone
-	side               int     // 0: in this balancer's zone, 1: in another
-	answered           float64 // clock of its last answer
-	newest             float64 // when the newest of the attempts that it answered went out
-	zone               *zone
-	admit, part        float64   // share of requests that may come here: by load, and alone by answers
-	admitAt, admitTold float64   // when it last moved, and what peers were told
-	window             float64   // limit of requests in flight from here
-	cutAt              float64   // clock of the last cut
-	doubt, doubtFor    float64   // in doubt until then; how long the last doubt was, 0 since a good answer
-	lost               []float64 // attempts lost here lately, by class, as told by peers too
-	lostAt             float64   // when that last faded
+	observed                  bool       // had an outcome since its start, so the panic threshold counts it
+	failureShare              [2]float64 // recent failure shares, by kind: failedRequest and brokenAnswer
+	ejectedUntil              float64
+	inflight                  int
+	weight                    float64 // size relative to the mean of the list
+	zoneWeight                float64 // rendezvous weight as seen from this balancer's zone
+	locality                  int     // 0: in this balancer's zone, 1: in another
+	lastAnswerAt              float64
+	answeredSentAt            float64 // send time of the newest attempt that it answered
+	zone                      *zone
+	admitShare, latencyShare  float64   // share of requests it may get: by load; by its answer times alone
+	admitChangedAt, admitSent float64   // time of the last change to admitShare; value last sent to peers
+	limit                     float64   // concurrency limit for requests from this balancer
+	limitCutAt                float64   // time of the last cut
+	suspectUntil, suspectFor  float64   // end and length of the last suspicion; length 0 after a good answer
+	losses                    []float64 // decayed count of unanswered attempts by class, peers' included
+	lossesDecayedAt           float64
 }
 
-// zone is what this balancer knows of a zone as a whole.
 type zone struct {
-	refused int     // failed connections in a row
-	until   float64 // out until then
-	shut    bool    // out by the plan
+	connectFailures int // in a row
+	outUntil        float64
+	excluded        bool // left out by the plan
 }
 
-func (z *zone) out(now float64) bool { return z.shut || z.until > now }
+func (z *zone) out(now float64) bool { return z.excluded || z.outUntil > now }
 
-// ranked is a host with its rendezvous score for the key at hand; the lowest comes first.
-type ranked struct {
-	h     *host
+// candidate is a host with its rendezvous score for the current key; the lowest score wins.
+type candidate struct {
+	host  *host
 	score float64
 }
 
 type attempt struct {
-	h                   *host
-	at                  float64
-	out, late, neverRan bool // late: passed its mark
-	place               int  // in its host's limit: 0 once it is given up for lost
+	host                    *host
+	sentAt                  float64
+	pending, late, neverRan bool // late: still pending at its late mark
+	slot                    int  // counts against host.limit: 1, or 0 while the body arrives or once lost
 }
 
-// op is one request being worked on.
-type op struct {
+// openRequest is a request that is not answered yet or still has attempts pending.
+type openRequest struct {
 	Request
 	class           *Class
-	deadline, aimAt float64
+	deadline, aimAt float64 // aimAt: when its latency target (Class.Aim) ends
 	attempts        []attempt
-	out             int
-	most            int  // attempts that it may have; 0: any number
-	done, begun     bool // done: answered; attempts may still be out
-	work            float64
-	density         float64 // worth of a unit of its work
-	luck            uint64  // drawn once, so that trying again does not help
+	pending         int     // attempts
+	maxAttempts     int     // 0: no limit
+	done, streaming bool    // done: it has its final answer; streaming: the answer has started
+	work            float64 // expected seconds
+	valueDensity    float64 // worth per unit of work
+	randomKey       uint64  // drawn once, so that a retry does not get another chance
 }
 
-// Balancer decides for one client process. Make one with New.
+// Balancer makes the decisions of one client process. New creates it.
 type Balancer struct {
-	cfg     Config
-	act     Actions
-	rng     uint64
-	now     float64
-	hosts   []*host // by id: listed, or gone with something still out
-	index   map[HostID]*host
-	zones   map[int]*zone
-	set     []ranked    // of the pick at hand
-	routes  []ZoneShare // of the plan; none: there is no plan
-	refused float64     // share of all requests that it refuses
-	ops     map[RequestID]*op
-	longest float64    // longest aim
-	mean    float64    // in flight from here to a host of mean size
-	thin    bool       // too little in flight for limits to tell of load
-	alone   bool       // thin, and neither peers nor many answers tell of a host
-	doubts  bool       // hosts in doubt yield
-	load    [2]float64 // mean load that hosts of this zone and of others show
-	admit   float64    // mean share admitted by hosts that can be reached
-	tells   float64    // full messages that may be sent
-	told    [4]byte    // the message at hand
-
-	subbed  bool
-	watchAt float64            // when to ask for the list next, while not subscribed
-	quiet   map[string]float64 // no line of a kind, told by its format, before then
-
-	strain       []float64 // recent share of each class that found no room in time
-	late         float64   // recent share of attempts that passed their mark
-	flow, span   float64   // decayed sum of work answered, and seconds over which such sums reach
-	held         []*op     // waiting for room, worth most first
-	cold, coldAt float64   // work that may go to cold hosts, and when it was last added to
-
-	classWork []float64 // mean seconds that a class takes, from answers
-	// warmFlow is the decayed sum of work answered for each unit of weight of the warm hosts at that time:
-	// divided later, by the few left after a loss, it would make the budget of the returning too large.
-	warmFlow   float64
+	cfg           Config
+	actions       Actions
+	rngState      uint64
+	now           float64
+	hosts         []*host // by ID: listed, or removed with attempts still pending
+	hostByID      map[HostID]*host
+	zones         map[int]*zone
+	candidates    []candidate // of the current pick
+	planShares    []ZoneShare // empty: there is no plan
+	planRefused   float64     // share of all requests that the plan refuses
+	requests      map[RequestID]*openRequest
+	longestAim    float64
+	meanInflight  float64    // requests in flight from here to a host of mean size
+	lowTraffic    bool       // too few in flight for concurrency limits to show load
+	byLatency     bool       // latencyShare applies: too few in flight, and no peers, for admitShare
+	avoidSuspects bool       // suspected hosts yield
+	meanLoad      [2]float64 // mean load of hosts, by locality
+	meanAdmit     float64    // mean admitted share of available hosts
+	messageCredit float64    // peer messages that may be sent, in full messages
+	message       [4]byte    // buffer for the current peer message
+
+	subscribed    bool
+	watchDue      float64            // when to ask for the list again, while not subscribed
+	logQuietUntil map[string]float64 // by format: no such line is logged before
+
+	shedShare                []float64      // recent share of requests shed, by class
+	lateShare                float64        // recent share of attempts that were late
+	workDone, workSpan       float64        // decayed sum of answered work, and the seconds such sums cover
+	queue                    []*openRequest // waiting for capacity, highest value density first
+	coldCredit, coldCreditAt float64        // work that cold hosts may get; when it last grew
+
+	classWork []float64 // mean seconds of work per class, from answers
+	// warmWork is the decayed sum of answered work, each divided by the weight of the hosts warm at the time.
+	// Divided later, by the few left after a loss, it would make the budget of cold hosts too large.
+	warmWork   float64
 	warmWeight float64
 }
 
-// Request takes a request. It is answered, refused or failed exactly once.
+// Request handles a new request, which is answered, refused or failed exactly once.
 func (b *Balancer) Request(now float64, r Request) {
 	b.now = now
-	if b.ops[r.ID] != nil {
+	if b.requests[r.ID] != nil {
 		return
 	}
-	o := b.newOp(r)
+	o := b.newRequest(r)
 	if !r.Repeat {
-		b.tells = min(tellSaved, b.tells+tellShare)
+		b.messageCredit = min(maxPeerCredit, b.messageCredit+peerCreditShare)
 	}
-	if b.givesWay(o) {
-		b.settle(o)
+	if b.shedEarly(o) {
+		b.refuseOrFail(o)
 		return
 	}
 	b.dispatch(o)
 }
 
-func (b *Balancer) newOp(r Request) *op {
+func (b *Balancer) newRequest(r Request) *openRequest {
 	if r.Class < 0 || r.Class >= len(b.cfg.Classes) {
 		r.Class = 0
 	}
-	if r.Key == 0 { // no key: a random value spreads it
+	if r.Key == 0 { // no key: a random one spreads the load
 		b.random()
-		r.Key = mix(b.rng)
+		r.Key = mix(b.rngState)
 	}
-	o := &op{Request: r, class: &b.cfg.Classes[r.Class], most: b.cfg.MaxAttempts}
+	o := &openRequest{Request: r, class: &b.cfg.Classes[r.Class], maxAttempts: b.cfg.MaxAttempts}
 	o.work = r.Work
 	if o.work <= 0 {
 		o.work = b.classWork[r.Class]
 	}
-	b.setTimes(o)
-	o.density = b.density(r.Class)
-	b.random() // moves on what luck is drawn from
-	o.luck = mix(b.rng)
-	b.ops[r.ID] = o
+	b.setDeadlines(o)
+	o.valueDensity = b.valueDensity(r.Class)
+	b.random() // advances rngState
+	o.randomKey = mix(b.rngState)
+	b.requests[r.ID] = o
 	return o
 }
 
-// setTimes counts a request's time from now.
-func (b *Balancer) setTimes(o *op) {
+func (b *Balancer) setDeadlines(o *openRequest) {
 	o.deadline = b.now + o.Budget
 	o.aimAt = min(o.deadline, b.now+o.class.Aim+o.class.AimStretch*o.work)
 }
 
-// BodyReceived takes word that a body has come. Until then its host only reads: no place is held, nothing is late.
+// BodyReceived handles a request body's end. Until then a host only reads: no slot is used, nothing is late.
 func (b *Balancer) BodyReceived(now float64, id RequestID) {
 	b.now = now
-	o := b.ops[id]
+	o := b.requests[id]
 	if o == nil || !o.BodyPending {
 		return
 	}
 	o.BodyPending = false
-	b.setTimes(o)
+	b.setDeadlines(o)
 	for n := range o.attempts {
-		if a := &o.attempts[n]; a.out {
-			a.at, a.place = now, 1
-			a.h.inflight++
-			b.timeMark(o, n)
+		if a := &o.attempts[n]; a.pending {
+			a.sentAt, a.slot = now, 1
+			a.host.inflight++
+			b.startLateTimer(o, n)
 		}
 	}
 }
 
-// ResponseStarted takes the start of a streamed answer: the attempt is the client's from now on.
+// ResponseStarted handles the start of a streamed answer. The client is now bound to this attempt.
 func (b *Balancer) ResponseStarted(now float64, id RequestID, n int) {
 	b.now = now
-	o := b.ops[id]
+	o := b.requests[id]
 	if o == nil || n < 0 || n >= len(o.attempts) {
 		return
 	}
-	o.begun = true
+	o.streaming = true
 	a := &o.attempts[n]
-	a.h.heard = true
-	if a.out { // its work is done: the peers' pace bounds the rest
-		a.h.inflight, a.place = a.h.inflight-a.place, 0
-		a.h.answered, a.h.newest = now, max(a.h.newest, a.at)
+	a.host.observed = true
+	if a.pending { // the work is done; client and network set the pace of the rest
+		a.host.inflight, a.slot = a.host.inflight-a.slot, 0
+		a.host.lastAnswerAt, a.host.answeredSentAt = now, max(a.host.answeredSentAt, a.sentAt)
 	}
-	b.callOff(o, n)
-	b.release()
+	b.cancelPending(o, n)
+	b.sendQueued()
 }
 
-// Outcome takes the end of an attempt.
+// Outcome handles the end of an attempt.
 func (b *Balancer) Outcome(now float64, r Outcome) {
 	b.now = now
-	o := b.ops[r.ID]
-	if o == nil || r.Attempt < 0 || r.Attempt >= len(o.attempts) || !o.attempts[r.Attempt].out {
+	o := b.requests[r.ID]
+	if o == nil || r.Attempt < 0 || r.Attempt >= len(o.attempts) || !o.attempts[r.Attempt].pending {
 		return
 	}
 	a := &o.attempts[r.Attempt]
-	a.out, a.neverRan = false, r.Result.NeverRan()
-	o.out--
-	a.h.inflight, a.place = a.h.inflight-a.place, 0
-	b.weigh(o, a, r)
+	a.pending, a.neverRan = false, r.Result.NeverRan()
+	o.pending--
+	a.host.inflight, a.slot = a.host.inflight-a.slot, 0
+	b.recordOutcome(o, a, r)
 	switch {
 	case o.done:
-		b.drop(o)
+		b.forget(o)
 	case r.Final:
 		b.finish(o)
-	case o.out > 0: // another copy may still answer
-	case b.worthAnother(o, r.Result):
+	case o.pending > 0: // another copy may still answer
+	case b.worthRetry(o, r.Result):
 		b.dispatch(o)
 	default:
-		b.settle(o)
+		b.refuseOrFail(o)
 	}
-	b.release()
+	b.sendQueued()
 }
 
-// Timer takes a timer that fell due.
+// Timer handles an expired timer.
 func (b *Balancer) Timer(now float64, token uint64) {
 	b.now = now
-	o := b.ops[RequestID(token&(1<<tokenAttempt-1))]
-	switch token >> tokenKind {
-	case timerMark:
-		n := int(token >> tokenAttempt & (mostAttempts - 1))
-		if o != nil && n < len(o.attempts) && o.attempts[n].out && !o.begun {
+	o := b.requests[RequestID(token&(1<<attemptShift-1))]
+	switch token >> kindShift {
+	case timerLate:
+		n := int(token >> attemptShift & (maxTokenAttempts - 1))
+		if o != nil && n < len(o.attempts) && o.attempts[n].pending && !o.streaming {
 			b.markLate(&o.attempts[n])
-			if b.leaves(o) {
-				b.act.Cancel(o.ID, n)
+			if b.worthMoving(o) {
+				b.actions.Cancel(o.ID, n)
 			}
 		}
-	case timerHold:
-		if o != nil && slices.Contains(b.held, o) {
+	case timerQueue:
+		if o != nil && slices.Contains(b.queue, o) {
 			b.shed(o)
 		}
 	case timerTick:
 		const keep = 1 - tickAims/memoryAims
-		for c := range b.strain { // in time too: with thin traffic a past overload would last
-			b.strain[c] *= keep
+		for c := range b.shedShare { // also by time: with low traffic a past overload would last
+			b.shedShare[c] *= keep
 		}
-		b.warmFlow, b.flow, b.span = b.warmFlow*keep, b.flow*keep, b.span*keep+b.tick()
-		for _, h := range b.hosts { // what nobody finds out anew is forgotten
-			h.admit += tickAims / admitAims * (1 - h.admit)
-			h.part += tickAims / admitAims * (1 - h.part)
+		b.warmWork, b.workDone, b.workSpan = b.warmWork*keep, b.workDone*keep, b.workSpan*keep+b.tick()
+		for _, h := range b.hosts { // shares recover unless new answers lower them
+			h.admitShare += tickAims / admitRecoveryAims * (1 - h.admitShare)
+			h.latencyShare += tickAims / admitRecoveryAims * (1 - h.latencyShare)
 		}
-		b.release()
-		b.act.Timer(b.tick(), token)
+		b.sendQueued()
+		b.actions.Timer(b.tick(), token)
 	case timerWatch:
-		if !b.subbed && b.now >= b.watchAt {
+		if !b.subscribed && b.now >= b.watchDue {
 			b.watch()
 		}
 	}
 }
 
-// ClientLeft takes word that a client left: nothing is owed, and what is out is called off.
+// ClientLeft handles a client that left: it gets no answer, and its pending attempts are cancelled.
 func (b *Balancer) ClientLeft(now float64, id RequestID) {
 	b.now = now
-	if o := b.ops[id]; o != nil && !o.done {
+	if o := b.requests[id]; o != nil && !o.done {
 		b.finish(o)
 	}
 }
--- a/balancer/configure.go
+++ b/balancer/configure.go
@@ -2,91 +2,95 @@
 
 import "slices"
 
-// New starts a balancer at time now. It subscribes to the list at once where that must be asked for.
+// New starts a balancer at time now. It subscribes to the list at once where the list has to be requested.
 func New(now float64, cfg Config, act Actions) *Balancer {
-	b := &Balancer{act: act, now: now, rng: cfg.Seed, index: map[HostID]*host{}, zones: map[int]*zone{},
-		ops: map[RequestID]*op{}, quiet: map[string]float64{}, coldAt: now, admit: 1}
-	b.adopt(cfg)
+	b := &Balancer{actions: act, now: now, rngState: cfg.Seed, hostByID: map[HostID]*host{},
+		zones: map[int]*zone{}, requests: map[RequestID]*openRequest{}, logQuietUntil: map[string]float64{},
+		coldCreditAt: now, meanAdmit: 1}
+	b.applyConfig(cfg)
 	if cfg.AskForList {
 		b.watch()
 	}
-	act.Timer(b.tick(), timerTick<<tokenKind)
+	act.Timer(b.tick(), timerTick<<kindShift)
 	return b
 }
 
-// Probed takes a probe's result. None is asked for: with many proxies they cost more than they tell.
+// Probed handles a probe's result. This balancer sends no probes: with many proxies they cost more than they
+// tell.
 func (b *Balancer) Probed(now float64, p ProbeResult) { b.now = now }
 
-// Configure takes over other settings. kept names, for each class of cfg, the class that it was until now; -1: none. It
-// decides nothing: what is open ends under the class and the number of attempts with which it was taken, and what was
-// learned stays where it still means something, cold budgets among it.
-func (b *Balancer) Configure(now float64, cfg Config, kept []int) {
+// Configure replaces the settings. previous holds, for each class of cfg, its old index, or -1 for a new
+// class. Open requests keep the class and the number of attempts with which they came. Learned state, cold
+// credit included, is kept where it still applies.
+func (b *Balancer) Configure(now float64, cfg Config, previous []int) {
 	b.now = now
-	was := len(b.cfg.Classes)
-	works, strain := b.classWork, b.strain
+	oldCount := len(b.cfg.Classes)
+	oldWork, oldShedShare := b.classWork, b.shedShare
 	cfg.Seed = b.cfg.Seed
-	b.adopt(cfg)
-	for c, from := range kept[:min(len(kept), len(b.cfg.Classes))] {
-		if from >= 0 && from < was {
-			b.classWork[c], b.strain[c] = works[from], strain[from]
+	b.applyConfig(cfg)
+	for c, from := range previous[:min(len(previous), len(b.cfg.Classes))] {
+		if from >= 0 && from < oldCount {
+			b.classWork[c], b.shedShare[c] = oldWork[from], oldShedShare[from]
 		}
 	}
 	for _, h := range b.hosts {
-		lost := make([]float64, len(b.strain))
-		for c, from := range kept {
-			if from >= 0 && from < was {
-				lost[c] = h.lost[from]
+		losses := make([]float64, len(b.shedShare))
+		for c, from := range previous {
+			if from >= 0 && from < oldCount {
+				losses[c] = h.losses[from]
 			}
 		}
-		h.lost = lost
+		h.losses = losses
 	}
-	for _, o := range b.ops { // b.ops holds no order, and none is needed
-		if o.Class = slices.Index(kept, o.Class); o.Class < 0 {
-			o.Class = len(b.cfg.Classes) // the place of those that went
+	for _, o := range b.requests { // in any order
+		if o.Class = slices.Index(previous, o.Class); o.Class < 0 {
+			o.Class = len(b.cfg.Classes) // the extra index for requests of removed classes
 		}
 	}
-	b.resize()
-	if cfg.AskForList && !b.subbed {
+	b.recomputeWeights()
+	if cfg.AskForList && !b.subscribed {
 		b.watch()
 	}
 }
 
-// Plan takes over which zones count. It decides nothing: pick and givesWay act on it.
-func (b *Balancer) Plan(now float64, routes []ZoneShare) {
-	b.now, b.routes, b.refused = now, slices.Clone(routes), 0
-	if len(routes) > 0 {
-		b.refused = 1
+// Plan sets the zones to use and their shares; pick and shedEarly apply them.
+func (b *Balancer) Plan(now float64, shares []ZoneShare) {
+	b.now, b.planShares, b.planRefused = now, slices.Clone(shares), 0
+	if len(shares) > 0 {
+		b.planRefused = 1
 	}
-	for _, r := range routes {
-		b.refused = max(0, b.refused-r.Share)
+	for _, r := range shares {
+		b.planRefused = max(0, b.planRefused-r.Share)
 	}
-	if b.refused < leastRefused {
-		b.refused = 0
+	if b.planRefused < minRefused {
+		b.planRefused = 0
 	}
 	for n, z := range b.zones {
-		z.shut = b.planShuts(n)
+		z.excluded = b.excludedByPlan(n)
 	}
-	b.release()
+	b.sendQueued()
 }
 
-// leastRefused is what a plan's shares may lack by rounding.
-const leastRefused = 1e-6
+// minRefused is the smallest refused share that is not taken for a rounding error of a plan's shares.
+const minRefused = 1e-6
 
-// planShuts says whether the plan leaves a zone out.
-func (b *Balancer) planShuts(n int) bool {
-	return len(b.routes) > 0 && !slices.ContainsFunc(b.routes, func(r ZoneShare) bool { return r.Zone == n })
+// excludedByPlan reports whether the plan leaves a zone out.
+func (b *Balancer) excludedByPlan(zoneID int) bool {
+	return len(b.planShares) > 0 &&
+		!slices.ContainsFunc(b.planShares, func(r ZoneShare) bool { return r.Zone == zoneID })
 }
 
-// adopt makes room for what is learned of each class, and of those that went away while requests of theirs were open.
-func (b *Balancer) adopt(cfg Config) {
+// applyConfig sets the settings and resets the state kept by class. One extra index is for open requests of
+// removed classes.
+func (b *Balancer) applyConfig(cfg Config) {
 	if len(cfg.Classes) == 0 {
 		cfg.Classes = []Class{{Aim: 1, Deadline: 1, Worth: 1}}
 	}
-	b.cfg, b.longest, b.classWork = cfg, leastAim, nil
+	b.cfg, b.longestAim, b.classWork = cfg, minAim, nil
 	for _, c := range cfg.Classes {
-		b.longest = max(b.longest, c.Aim)
-		b.classWork = append(b.classWork, firstWork*c.Aim)
+		b.longestAim = max(b.longestAim, c.Aim)
+		b.classWork = append(b.classWork, initialWorkShare*c.Aim)
 	}
-	b.classWork = append(b.classWork, firstWork*b.longest)
-	b.strain = make([]float64, len(cfg.Classes)+1)
+	b.classWork = append(b.classWork, initialWorkShare*b.longestAim)
+	b.shedShare = make([]float64, len(cfg.Classes)+1)
 }
--- a/balancer/figures.go
+++ b/balancer/figures.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// What operators are told; it decides nothing.
+// This file holds figures and log lines for operators. It decides nothing.
 
-// Avoided is for operators: hosts ejected, unless in panic, and those of zones that are out.
+// Avoided counts, for operators, the ready hosts that are ejected, unless in panic, or in a zone that is out.
 func (b *Balancer) Avoided(now float64) (avoided int) {
 	healthy, counted, ejected := 0, 0, 0
 	for _, h := range b.hosts {
@@ -12,10 +12,10 @@
 		case h.Status != Ready:
 		case h.zone.out(now):
 			avoided++
-		case h.until > now:
+		case h.ejectedUntil > now:
 			ejected++
 			counted++
-		case h.heard:
+		case h.observed:
 			healthy++
 			counted++
 		}
@@ -26,10 +26,10 @@
 	return avoided
 }
 
-// say logs a line, at most one of a kind each quarter aim.
-func (b *Balancer) say(format string, args ...any) {
-	if until, known := b.quiet[format]; !known || b.now >= until {
-		b.quiet[format] = b.now + b.tick()
-		b.act.Log(fmt.Sprintf(format, args...))
+// logLimited logs a line, at most once per tick for each format.
+func (b *Balancer) logLimited(format string, args ...any) {
+	if until, known := b.logQuietUntil[format]; !known || b.now >= until {
+		b.logQuietUntil[format] = b.now + b.tick()
+		b.actions.Log(fmt.Sprintf(format, args...))
 	}
 }
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -2,140 +2,139 @@
 
 import "math"
 
-// connected takes whether a connection was made, as evidence on the host's zone. Guards a lost or cut-off
-// zone. When its time is over, one request finds out whether the outage goes on.
-func (b *Balancer) connected(h *host, ok bool) {
+// recordConnect counts connection failures per zone in a row and takes a lost or partitioned zone out. After
+// outUntil, one more failed connection takes it out again.
+func (b *Balancer) recordConnect(h *host, connected bool) {
 	z := h.zone
-	if z.refused++; ok {
-		z.refused = 0
+	if z.connectFailures++; connected {
+		z.connectFailures = 0
 	}
-	if z.refused >= zoneOutAfter && z.until <= b.now && b.othersReached(z) {
-		z.until = b.now + zoneOutAims*b.longest
+	if z.connectFailures >= zoneOutAfter && z.outUntil <= b.now && b.otherZoneUsable(z) {
+		z.outUntil = b.now + zoneOutAims*b.longestAim
 		for _, other := range b.hosts {
-			if other.zone == z { // the zone failed, not they
-				other.doubtFor = 0
+			if other.zone == z { // the zone failed, not its hosts
+				other.suspectFor = 0
 			}
 		}
-		b.say("zone %d out until %.1f", h.Zone, z.until)
+		b.logLimited("zone %d out until %.1f", h.Zone, z.outUntil)
 	}
 }
 
-// othersReached: with every zone out nothing would be left, as hosts may refuse connections for want of room.
-func (b *Balancer) othersReached(z *zone) (reached bool) {
+// otherZoneUsable keeps the last zone from being taken out: hosts also refuse connections when they are full.
+func (b *Balancer) otherZoneUsable(z *zone) (usable bool) {
 	for _, other := range b.zones {
-		reached = reached || other != z && !other.out(b.now)
+		usable = usable || other != z && !other.out(b.now)
 	}
-	return reached
+	return usable
 }
 
-// lose counts an attempt of a class that got no answer, and tells peers.
-func (b *Balancer) lose(h *host, class int) {
-	b.fade(h)
-	h.lost[class]++
-	b.tell(h, byte(math.MaxUint8-min(class, classWords-1)))
+// recordLoss counts an unanswered attempt of a class and tells peers.
+func (b *Balancer) recordLoss(h *host, class int) {
+	b.decayLosses(h)
+	h.losses[class]++
+	b.tellPeers(h, byte(math.MaxUint8-min(class, classCodes-1)))
 }
 
-// fade lets losses of a host be forgotten in time.
-func (b *Balancer) fade(h *host) {
-	ago := (b.now - h.lostAt) / (lostAims * b.longest)
-	for c, lost := range h.lost {
+func (b *Balancer) decayLosses(h *host) {
+	ago := (b.now - h.lossesDecayedAt) / (lossMemoryAims * b.longestAim)
+	for c, lost := range h.losses {
 		slower := 1.0
-		if lost >= lostSure { // who is out for a class is seldom asked again
-			slower = lostSlower
+		if lost >= minLosses { // a host ejected for a class rarely gets a new sample
+			slower = lossSlowdown
 		}
-		h.lost[c] = min(lost, lostKept) * math.Exp(-ago/slower)
+		h.losses[c] = min(lost, maxLosses) * math.Exp(-ago/slower)
 	}
-	h.lostAt = b.now
+	h.lossesDecayedAt = b.now
 }
 
-// mute says whether a host leaves one class unanswered that serves others: health is a matter of the class.
-func (b *Balancer) mute(h *host, class int) bool {
-	if h.lost[class] < lostSure { // the usual case; fading makes it less
+// dropsClass reports whether a host leaves this class unanswered but serves others: health is kept by class.
+func (b *Balancer) dropsClass(h *host, class int) bool {
+	if h.losses[class] < minLosses { // usual case; decay only lowers the count
 		return false
 	}
-	b.fade(h)
-	all := 0.0
-	for _, lost := range h.lost {
-		all += lost
+	b.decayLosses(h)
+	total := 0.0
+	for _, lost := range h.losses {
+		total += lost
 	}
-	return h.lost[class] >= lostSure && 2*h.lost[class] > lostMost*all
+	return h.losses[class] >= minLosses && 2*h.losses[class] > lossMajority*total
 }
 
-// weigh takes an outcome as evidence on the host and on the load.
-func (b *Balancer) weigh(o *op, a *attempt, r Outcome) {
-	h := a.h
-	b.connected(h, r.Result != ConnectFailed)
+// recordOutcome updates health and load with an attempt's result.
+func (b *Balancer) recordOutcome(o *openRequest, a *attempt, r Outcome) {
+	h := a.host
+	b.recordConnect(h, r.Result != ConnectFailed)
 	switch r.Result {
 	case OK:
-		drift(&b.classWork[o.Class], r.Took)
-		b.flow += o.work
-		b.warmFlow += o.work / max(b.warmWeight, h.weight)
+		updateMean(&b.classWork[o.Class], r.Took)
+		b.workDone += o.work
+		b.warmWork += o.work / max(b.warmWeight, h.weight)
 		if !a.late {
-			drift(&b.late, 0)
+			updateMean(&b.lateShare, 0)
 		}
-		if float64(h.inflight+2) > h.window && r.Took < growBelow*o.class.Aim {
-			h.window += r.Took / o.class.Aim / growBelow / h.window
+		if float64(h.inflight+2) > h.limit && r.Took < limitGrowBelow*o.class.Aim {
+			h.limit += r.Took / o.class.Aim / limitGrowBelow / h.limit
 		}
-		h.answered, h.newest = b.now, max(h.newest, a.at)
-		b.sense(h, o, r.Took)
-		if !a.late || !b.doubts { // slowness is no sign of health
-			b.judge(h, failed, 0)
+		h.lastAnswerAt, h.answeredSentAt = b.now, max(h.answeredSentAt, a.sentAt)
+		b.recordLatency(h, o, r.Took)
+		if !a.late || !b.avoidSuspects { // a late answer does not show health
+			b.recordHealth(h, failedRequest, 0)
 		}
-		b.judge(h, broken, 0)
-		h.lost[o.Class] *= 1 - judgeStep[failed]
-	case Rejected: // proves load, not sickness
-		h.heard = true
-		b.feel(h, 1, 1)
+		b.recordHealth(h, brokenAnswer, 0)
+		h.losses[o.Class] *= 1 - failureStep[failedRequest]
+	case Rejected: // shows load, not failure
+		h.observed = true
+		b.adjustShares(h, 1, 1)
 	case TimedOut:
-		b.lose(h, o.Class)
-		b.feel(h, b.lateWeight(), b.lateWeight())
+		b.recordLoss(h, o.Class)
+		b.adjustShares(h, b.lateWeight(), b.lateWeight())
 		if !a.late {
 			b.markLate(a)
 		}
 	case Errored, ConnectFailed:
-		b.judge(h, failed, 1)
-	case Reset, Malformed: // it was there to take the request
-		b.judge(h, broken, 1)
+		b.recordHealth(h, failedRequest, 1)
+	case Reset, Malformed: // the host did accept the request
+		b.recordHealth(h, brokenAnswer, 1)
 	}
 }
 
-// lateWeight is what lateness says about a single host: the less, the more attempts are late everywhere.
-func (b *Balancer) lateWeight() float64 { return max(0, 1-lateDoubt*b.late) }
+// lateWeight is how much lateness says about one host: less as more attempts are late everywhere.
+func (b *Balancer) lateWeight() float64 { return max(0, 1-lateDiscount*b.lateShare) }
 
-// markLate counts an attempt as late. Load makes a host late too; one that answered nothing at all since
-// the attempt went out may have hung: it need not take whole deadlines to find that out.
+// markLate counts an attempt as late. Load makes a host late too, but one that answered nothing at all since
+// the attempt was sent may hang; the late mark shows that well before the deadline.
 func (b *Balancer) markLate(a *attempt) {
 	a.late = true
-	if 2*a.h.newest > a.at+b.now { // lost: what went out in the later half of its wait has been answered
-		a.h.inflight, a.place = a.h.inflight-a.place, 0
+	if 2*a.host.answeredSentAt > a.sentAt+b.now { // lost: one sent in the later half of its wait was answered
+		a.host.inflight, a.slot = a.host.inflight-a.slot, 0
 		return
 	}
-	if a.at >= a.h.cutAt { // once for all attempts that were out together
-		a.h.window, a.h.cutAt = max(1, a.h.window*windowCut), b.now
+	if a.sentAt >= a.host.limitCutAt { // once for all attempts that were pending together
+		a.host.limit, a.host.limitCutAt = max(1, a.host.limit*limitCut), b.now
 	}
-	if a.h.answered < a.at {
-		b.judge(a.h, failed, b.lateWeight())
+	if a.host.lastAnswerAt < a.sentAt {
+		b.recordHealth(a.host, failedRequest, b.lateWeight())
 	}
-	drift(&b.late, 1)
-	b.feel(a.h, b.lateWeight(), b.lateWeight())
+	updateMean(&b.lateShare, 1)
+	b.adjustShares(a.host, b.lateWeight(), b.lateWeight())
 }
 
-// judge is outlier ejection: bad is 1 for a failure of a kind, 0 for a good answer.
-func (b *Balancer) judge(h *host, kind int, bad float64) {
-	h.heard = true
-	eject := ejectAims * b.longest
+// recordHealth does outlier ejection; failure is 1 for a failure of a kind, 0 for a good answer.
+func (b *Balancer) recordHealth(h *host, kind int, failure float64) {
+	h.observed = true
+	eject := ejectAims * b.longestAim
 	switch {
-	case kind == failed && bad == 0:
-		h.doubtFor = 0
-	case kind == failed && bad >= sureBad:
-		h.doubtFor = min(max(eject, 2*h.doubtFor), doubtMost*eject)
-		h.doubt = b.now + h.doubtFor
+	case kind == failedRequest && failure == 0:
+		h.suspectFor = 0
+	case kind == failedRequest && failure >= minFailureWeight:
+		h.suspectFor = min(max(eject, 2*h.suspectFor), maxSuspectFactor*eject)
+		h.suspectUntil = b.now + h.suspectFor
 	}
-	if bad > h.fail[kind] || bad == 0 {
-		h.fail[kind] += judgeStep[kind] * (bad - h.fail[kind])
+	if failure > h.failureShare[kind] || failure == 0 {
+		h.failureShare[kind] += failureStep[kind] * (failure - h.failureShare[kind])
 	}
-	if bad > 0 && h.fail[kind] >= ejectAt && h.until <= b.now {
-		h.until = b.now + eject
-		b.say("ejected %x until %.1f, failure shares %.2f", h.ID, h.until, h.fail)
+	if failure > 0 && h.failureShare[kind] >= ejectThreshold && h.ejectedUntil <= b.now {
+		h.ejectedUntil = b.now + eject
+		b.logLimited("ejected %x until %.1f, failure shares %.2f", h.ID, h.ejectedUntil, h.failureShare)
 	}
 }
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -5,89 +5,90 @@
 	"math"
 )
 
-// tell sends peers a word on a host, as far as that may cost.
-func (b *Balancer) tell(h *host, word byte) bool {
-	cost := float64(b.cfg.Balancers*len(b.told)) / fullMessage
-	if !b.cfg.PeerMessages || b.tells < cost {
+// tellPeers sends peers a code on a host and reports whether the message credit allowed it.
+func (b *Balancer) tellPeers(h *host, code byte) bool {
+	cost := float64(b.cfg.Balancers*len(b.message)) / fullMessageBytes
+	if !b.cfg.PeerMessages || b.messageCredit < cost {
 		return false
 	}
-	b.tells -= cost
-	binary.LittleEndian.PutUint32(b.told[:], tag(h.ID)|uint32(word))
-	b.act.Broadcast(b.told[:])
+	b.messageCredit -= cost
+	binary.LittleEndian.PutUint32(b.message[:], hostTag(h.ID)|uint32(code))
+	b.actions.Broadcast(b.message[:])
 	return true
 }
 
-// feel moves the share of requests that a host gets: by how much its load is above what is wanted, of which
-// peers are told, and by how far an answer was apart from the mean. In overload the first holds: it makes
-// cheap work give way, and keys stay where they are.
-func (b *Balancer) feel(h *host, over, apart float64) {
-	step := admitGain * min(b.now-h.admitAt, b.longest)
-	if b.cfg.PeerMessages { // peers agree, so keys move together and what one finds out serves all
+// adjustShares moves a host's admitShare by overload, how far its load is above the wanted one, and tells
+// peers. It moves latencyShare by aboveMean, how far an answer took longer than its class's mean. In general
+// overload admitShare applies: it makes less valuable work be shed, and keys keep their hosts.
+func (b *Balancer) adjustShares(h *host, overload, aboveMean float64) {
+	step := admitGain * min(b.now-h.admitChangedAt, b.longestAim)
+	if b.cfg.PeerMessages { // peers adjust alike, so keys move together and each learns from all
 		step *= 2
 	}
-	h.part = min(1, max(admitLeast, h.part*math.Exp(-aloneStep*apart)))
-	h.admit *= math.Exp(-step * over)
-	h.admit, h.admitAt = min(1, max(admitLeast, h.admit)), b.now
-	if math.Abs(math.Log(h.admit/h.admitTold)) > tellStep && b.tell(h, byte(h.admit*wholeShare)) {
-		h.admitTold = h.admit
+	h.latencyShare = min(1, max(minAdmit, h.latencyShare*math.Exp(-byLatencyStep*aboveMean)))
+	h.admitShare *= math.Exp(-step * overload)
+	h.admitShare, h.admitChangedAt = min(1, max(minAdmit, h.admitShare)), b.now
+	if math.Abs(math.Log(h.admitShare/h.admitSent)) > peerStep &&
+		b.tellPeers(h, byte(h.admitShare*fullShare)) {
+		h.admitSent = h.admitShare
 	}
 }
 
-// sense takes a host's load by how near its answer came to being late. Traffic and hosts may be spread
-// unevenly over zones; no proxy sees enough of one host to tell, but all answers here do.
-func (b *Balancer) sense(h *host, o *op, took float64) {
-	util := min(1, took/(markShare*max(leastAim, o.class.Aim)))
-	b.load[h.side] += loadStep * (util - b.load[h.side])
-	over := util/min(mostLoad, max(loadedAbove, b.load[h.side]+admitOver)) - 1
-	b.feel(h, over, min(1, took/b.classWork[o.Class]-1))
+// recordLatency measures a host's load by how close its answer came to being late. Traffic and hosts may be
+// uneven over zones: a proxy sees too little of one host to tell, but all answers here show it.
+func (b *Balancer) recordLatency(h *host, o *openRequest, took float64) {
+	util := min(1, took/(lateMarkShare*max(minAim, o.class.Aim)))
+	b.meanLoad[h.locality] += loadStep * (util - b.meanLoad[h.locality])
+	overload := util/min(maxLoad, max(highLoad, b.meanLoad[h.locality]+admitMargin)) - 1
+	b.adjustShares(h, overload, min(1, took/b.classWork[o.Class]-1))
 }
 
-// coldBudget is the part of what pushes a host over, relative to its size, that may be sent to it.
-func (b *Balancer) coldBudget(warmth float64) float64 {
-	grows := max(0, min(coldMost, 1/max(1, b.cfg.FallMultiple))-coldSafety)
-	return (coldSafety + grows*warmth*warmth) * b.cfg.FallMultiple * warmth
+// coldRate is the rate of work a cold host may get per unit of weight: a part of what would overload it.
+func (b *Balancer) coldRate(warmth float64) float64 {
+	growth := max(0, min(maxColdSafety, 1/max(1, b.cfg.FallMultiple))-coldSafety)
+	return (coldSafety + growth*warmth*warmth) * b.cfg.FallMultiple * warmth
 }
 
-// earnCold adds to the work that may go to freshly started hosts, which must not be pushed over: part of what
-// this balancer's share of their present capacity allows, told from what warm hosts answer from here. Summed
-// over proxies that stays under the limit however unequal they are. No more than FallAfter's worth is saved.
-func (b *Balancer) earnCold(budget float64) {
-	rate := budget * b.warmFlow / max(b.span, b.longest)
-	b.cold = min(rate*b.cfg.FallAfter, b.cold+rate*(b.now-b.coldAt))
-	b.coldAt = b.now
+// earnColdCredit adds to the work that cold hosts may get without being overloaded. Its rate follows what
+// warm hosts answer to this balancer, so that the sum over all proxies stays under the limit, however unequal
+// they are. Credit for FallAfter is kept at the most.
+func (b *Balancer) earnColdCredit(budget float64) {
+	rate := budget * b.warmWork / max(b.workSpan, b.longestAim)
+	b.coldCredit = min(rate*b.cfg.FallAfter, b.coldCredit+rate*(b.now-b.coldCreditAt))
+	b.coldCreditAt = b.now
 }
 
-// spendCold says whether a request may go to a cold host. With thin traffic what is earned never pays for
-// one: a chance in proportion does. Then the rest is owed, else it is spent: trying again does not help.
-func (b *Balancer) spendCold(o *op) bool {
-	paid := b.cold
+// spendColdCredit reports whether a request may go to a cold host. If the credit does not cover it, it passes
+// with proportional probability and leaves a debt, or else uses up the credit: retries gain nothing.
+func (b *Balancer) spendColdCredit(o *openRequest) bool {
+	paid := b.coldCredit
 	if b.warmWeight <= 0 { // no warm host to learn from
 		paid = max(paid, coldSafety*b.cfg.ColdFrom*o.work)
 	}
 	if b.random()*o.work < paid {
-		b.cold -= o.work
+		b.coldCredit -= o.work
 		return true
 	}
-	b.cold = min(b.cold, 0)
+	b.coldCredit = min(b.coldCredit, 0)
 	return false
 }
 
-// PeerMessage takes another balancer's word on the share that a host admits.
+// PeerMessage handles another balancer's message: a host's admitted share, or a loss of a class at it.
 func (b *Balancer) PeerMessage(now float64, from int, data []byte) {
 	b.now = now
-	if len(data) != len(b.told) {
+	if len(data) != len(b.message) {
 		return
 	}
-	word := binary.LittleEndian.Uint32(data)
+	code := binary.LittleEndian.Uint32(data)
 	for _, h := range b.hosts {
-		said := word - tag(h.ID)
-		switch class := math.MaxUint8 - int(said); {
-		case said <= wholeShare:
-			h.admit = max(admitLeast, float64(said)/wholeShare)
-			h.admitTold, h.admitAt = h.admit, now
-		case said <= math.MaxUint8 && class < len(h.lost):
-			b.fade(h)
-			h.lost[class]++
+		rest := code - hostTag(h.ID)
+		switch class := math.MaxUint8 - int(rest); {
+		case rest <= fullShare:
+			h.admitShare = max(minAdmit, float64(rest)/fullShare)
+			h.admitSent, h.admitChangedAt = h.admitShare, now
+		case rest <= math.MaxUint8 && class < len(h.losses):
+			b.decayLosses(h)
+			h.losses[class]++
 		}
 	}
 }
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -2,39 +2,40 @@
 
 import "math"
 
-// pick is the mechanism: healthy / counted against the threshold chooses the set, rendezvous hashing ranks
-// it by the key, and a loaded host yields to the next.
-func (b *Balancer) pick(o *op, anchor *host) *host {
-	panicking, near := b.split(o.Class), b.route(o)
-	b.set = b.set[:0]
-	home := [2]float64{math.Inf(1), math.Inf(1)} // the best score in this zone and in others
+// pick returns a host with capacity, or nil. Rendezvous hashing ranks healthy hosts, in panic all, by the
+// key; loaded hosts yield to the next. If first is not nil, the request stays in its deduplication group.
+func (b *Balancer) pick(o *openRequest, first *host) *host {
+	panicking, planned := b.scanHosts(o.Class), b.plannedZone(o)
+	b.candidates = b.candidates[:0]
+	bestScores := [2]float64{math.Inf(1), math.Inf(1)} // lowest by locality
 	for _, h := range b.hosts {
-		out := o.OnlyHost == 0 && (!panicking && b.out(h, o.Class) || h.zone.out(b.now) && !b.agreed(o.Class))
-		if h.Status != Ready || out || !o.allows(h.ID) || o.tried(h) || !inGroup(o.class.Group, anchor, h) {
+		skip := o.OnlyHost == 0 && (!panicking && b.ejected(h, o.Class) ||
+			h.zone.out(b.now) && !b.needsAgreement(o.Class))
+		if h.Status != Ready || skip || !o.allows(h.ID) || o.tried(h) || !inGroup(o.class.Group, first, h) {
 			continue
 		}
 		key, cold := o.Key, b.warmth(h) < 1
-		if cold { // a popular key alone would push it over
-			key = o.luck
+		if cold { // a popular key alone would overload it
+			key = o.randomKey
 		}
-		score := rendezvous(key, h.ID) / h.rank(near)
-		b.set = append(b.set, ranked{h, score})
+		score := rendezvous(key, h.ID) / h.rendezvousWeight(planned)
+		b.candidates = append(b.candidates, candidate{h, score})
 		if !cold {
-			home[h.side] = min(home[h.side], score)
+			bestScores[h.locality] = min(bestScores[h.locality], score)
 		}
 	}
-	best := b.best(o, home, false)
-	if best != nil && b.warmth(best) < 1 && !b.spendCold(o) {
-		best = b.best(o, home, true)
+	best := b.bestCandidate(o, bestScores, false)
+	if best != nil && b.warmth(best) < 1 && !b.spendColdCredit(o) {
+		best = b.bestCandidate(o, bestScores, true)
 	}
 	return best
 }
 
-// route is the zone that the plan names for a request, by its key: as shares move a little, few keys do. A
-// further attempt goes by distance, as all do without a plan.
-func (b *Balancer) route(o *op) *zone {
-	x := unit(mix(o.Key)) * (1 - b.refused)
-	for _, r := range b.routes {
+// plannedZone returns the zone that the plan assigns to a key; a small change of shares moves few keys. For
+// retries and without a plan it returns nil: zones are then preferred by distance.
+func (b *Balancer) plannedZone(o *openRequest) *zone {
+	x := uniform(mix(o.Key)) * (1 - b.planRefused)
+	for _, r := range b.planShares {
 		if x -= r.Share; x < 0 && len(o.attempts) == 0 {
 			return b.zones[r.Zone]
 		}
@@ -42,32 +43,33 @@
 	return nil
 }
 
-// rank is a host's rendezvous weight for a request that the plan sends to a zone; nil: to none.
-func (h *host) rank(near *zone) float64 {
-	switch near {
+// rendezvousWeight returns the host's weight for a request planned for a zone; nil: for none.
+func (h *host) rendezvousWeight(planned *zone) float64 {
+	switch planned {
 	case nil:
-		return h.zoneRank
+		return h.zoneWeight
 	case h.zone:
 		return h.weight
 	}
-	return h.weight * farRank
+	return h.weight * farWeight
 }
 
-// best is the first of the set that does not yield, or the least loaded if all do.
-func (b *Balancer) best(o *op, home [2]float64, warmOnly bool) (best *host) {
+// bestCandidate returns the best-ranked host that does not yield, or the least loaded one if all do.
+func (b *Balancer) bestCandidate(o *openRequest, bestScores [2]float64, warmOnly bool) (best *host) {
 	lowest := math.Inf(1)
-	for _, r := range b.set {
-		h := r.h
-		far := b.cfg.WarmKeys && r.score > home[h.side] && float64(h.inflight+1) > farShare*h.window
-		if far || !b.cfg.ServerSideLimits && float64(h.inflight) >= h.window || warmOnly && b.warmth(h) < 1 {
+	for _, r := range b.candidates {
+		h := r.host
+		far := b.cfg.WarmKeys && r.score > bestScores[h.locality] && float64(h.inflight+1) > farShare*h.limit
+		if far || !b.cfg.ServerSideLimits && float64(h.inflight) >= h.limit || warmOnly && b.warmth(h) < 1 {
 			continue
 		}
-		loaded := float64(h.inflight) >= max(passOverFloor, passOverMean*b.mean*h.weight+1) ||
-			b.alone && h.inflight > 0 // its part of any host's room is far under one
-		crowded := !b.cfg.ServerSideLimits && b.admit*unit(mix(o.luck^uint64(h.ID))) >= b.share(h)
-		doubted := b.doubts && !b.agreed(o.Class) && h.doubted(b.now, o.class.Effect)
-		if loaded || crowded || doubted {
-			r.score = lastRank * float64(h.inflight+1) / h.weight
+		loaded := float64(h.inflight) >= max(loadedFloor, loadedMultiple*b.meanInflight*h.weight+1) ||
+			b.byLatency && h.inflight > 0 // this client's fair share of any host is far below one request
+		overShare := !b.cfg.ServerSideLimits &&
+			b.meanAdmit*uniform(mix(o.randomKey^uint64(h.ID))) >= b.share(h)
+		suspect := b.avoidSuspects && !b.needsAgreement(o.Class) && h.suspected(b.now, o.class.Effect)
+		if loaded || overShare || suspect {
+			r.score = yieldScore * float64(h.inflight+1) / h.weight
 		}
 		if r.score < lowest {
 			best, lowest = h, r.score
@@ -76,21 +78,22 @@
 	return best
 }
 
-// out says whether a host is left out for a class: by what happened here, or by agreement where that is due.
-func (b *Balancer) out(h *host, class int) bool {
-	return b.agreed(class) && h.AgreedEjected || !b.agreed(class) && (h.until > b.now || b.mute(h, class))
+// ejected reports whether a host is ejected for a class, by local evidence or, where needed, by agreement.
+func (b *Balancer) ejected(h *host, class int) bool {
+	return b.needsAgreement(class) && h.AgreedEjected ||
+		!b.needsAgreement(class) && (h.ejectedUntil > b.now || b.dropsClass(h, class))
 }
 
-// doubted says whether requests yield from a host that has failed. Once the doubt is over, what may be sent
-// again finds out; what may not waits for that as long again.
-func (h *host) doubted(now float64, e Effect) bool {
-	return h.doubtFor > 0 && (now < h.doubt || e == Unsafe && now < h.doubt+h.doubtFor)
+// suspected reports whether requests with an effect avoid a host that has failed. When suspectUntil is over,
+// repeatable requests try the host first; unsafe ones avoid it for the same time again.
+func (h *host) suspected(now float64, e Effect) bool {
+	return h.suspectFor > 0 && (now < h.suspectUntil || e == Unsafe && now < h.suspectUntil+h.suspectFor)
 }
 
-// split decides between the healthy set and panic, and sums up what the pick needs of all hosts. A zone that
-// is out shares no load, which is what panic counts on: it is left out of everything.
-func (b *Balancer) split(class int) (panicking bool) {
-	healthy, counted, doubted, inflight := 0, 0, 0, 0
+// scanHosts reports whether the panic threshold is crossed, and computes the sums over hosts that pick needs.
+// Hosts of a zone that is out are left out: they would take none of the load that panic spreads.
+func (b *Balancer) scanHosts(class int) (panicking bool) {
+	healthy, counted, suspects, inflight := 0, 0, 0, 0
 	weight, admit, cold := 0.0, 0.0, 0.0
 	b.warmWeight = 0
 	for _, h := range b.hosts {
@@ -101,27 +104,27 @@
 		if warm := b.warmth(h); warm >= 1 {
 			b.warmWeight += h.weight
 		} else {
-			cold += b.coldBudget(warm) * h.weight
+			cold += b.coldRate(warm) * h.weight
 		}
-		if h.heard {
+		if h.observed {
 			counted++
-			if !b.out(h, class) {
+			if !b.ejected(h, class) {
 				healthy++
 			}
-			if h.doubted(b.now, Safe) {
-				doubted++
+			if h.suspected(b.now, Safe) {
+				suspects++
 			}
 		}
 	}
-	b.earnCold(cold)
-	b.admit, b.mean = admit/max(weight, 1), float64(inflight)/max(weight, 1)
-	b.thin = b.mean < thinBelow
-	b.alone = b.mean < aloneBelow && !b.cfg.PeerMessages && b.cfg.Balancers <= aloneMost*len(b.hosts) &&
-		max(b.load[0], b.load[1]) <= loadedAbove // in overload it is not single hosts
-	b.doubts = b.thin && float64(doubted) <= doubtShare*float64(counted)
+	b.earnColdCredit(cold)
+	b.meanAdmit, b.meanInflight = admit/max(weight, 1), float64(inflight)/max(weight, 1)
+	b.lowTraffic = b.meanInflight < lowTrafficBelow
+	b.byLatency = b.meanInflight < byLatencyInflight && !b.cfg.PeerMessages &&
+		b.cfg.Balancers <= maxProxiesPerHost*len(b.hosts) && max(b.meanLoad[0], b.meanLoad[1]) <= highLoad
+	b.avoidSuspects = b.lowTraffic && float64(suspects) <= maxSuspectShare*float64(counted)
 	panicking = float64(healthy) < panicThreshold*float64(counted)
 	if panicking {
-		b.say("panic: %d healthy of %d counted", healthy, counted)
+		b.logLimited("panic: %d healthy of %d counted", healthy, counted)
 	}
 	return panicking
 }
--- a/balancer/recorder_test.go
+++ b/balancer/recorder_test.go
@@ -10,23 +10,23 @@
 	timeout float64
 }
 
-// recorder is the host program of a test: it notes what it is asked and keeps timers.
+// recorder is the host program of a test. It records actions and keeps timers.
 type recorder struct {
-	now    float64
-	log    []event
-	timers []pending
-	tries  map[RequestID]int
-	watch  int
-	word   []byte // the last message to peers
+	now         float64
+	log         []event
+	timers      []pendingTimer
+	sends       map[RequestID]int
+	watchCalls  int
+	lastMessage []byte // the last message to peers
 }
 
-type pending struct {
+type pendingTimer struct {
 	at    float64
 	token uint64
 }
 
 func (r *recorder) Send(id RequestID, h HostID, t float64) {
-	r.tries[id]++
+	r.sends[id]++
 	r.log = append(r.log, event{"send", id, h, t})
 }
 func (r *recorder) Refuse(id RequestID, _ float64) {
@@ -36,16 +36,16 @@
 func (r *recorder) Cancel(id RequestID, _ int) { r.log = append(r.log, event{kind: "cancel", id: id}) }
 func (r *recorder) Probe(h HostID)             { r.log = append(r.log, event{kind: "probe", host: h}) }
 func (r *recorder) Timer(after float64, token uint64) {
-	r.timers = append(r.timers, pending{r.now + after, token})
+	r.timers = append(r.timers, pendingTimer{r.now + after, token})
 }
-func (r *recorder) Watch() { r.watch++ }
+func (r *recorder) Watch() { r.watchCalls++ }
 func (r *recorder) Fetch() {}
 func (r *recorder) Broadcast(data []byte) {
-	r.word = slices.Clone(data)
+	r.lastMessage = slices.Clone(data)
 }
 func (r *recorder) Log(string) {}
 
-// count tells how many actions of a kind were recorded.
+// count returns how many actions of a kind were recorded.
 func (r *recorder) count(kind string) (n int) {
 	for _, e := range r.log {
 		if e.kind == kind {
@@ -55,7 +55,7 @@
 	return n
 }
 
-// last is the newest action.
+// last returns the newest action.
 func (r *recorder) last() event {
 	if len(r.log) == 0 {
 		return event{}
@@ -63,7 +63,7 @@
 	return r.log[len(r.log)-1]
 }
 
-// advance moves the clock, delivering the timers that fall due.
+// advance moves the clock and delivers the timers that expire.
 func (r *recorder) advance(b *Balancer, to float64) {
 	for {
 		next := -1
@@ -97,7 +97,7 @@
 	}
 }
 
-// fleet is n ready hosts, alternating over two zones and in cells of three.
+// fleet returns n ready hosts, alternating between two zones and in cells of three.
 func fleet(n int) []Host {
 	hosts := make([]Host, n)
 	for i := range hosts {
@@ -106,14 +106,15 @@
 	return hosts
 }
 
-func start(cfg Config, hosts []Host) (*Balancer, *recorder) {
-	r := &recorder{now: 50, tries: map[RequestID]int{}}
+func startBalancer(cfg Config, hosts []Host) (*Balancer, *recorder) {
+	r := &recorder{now: 50, sends: map[RequestID]int{}}
 	b := New(r.now, cfg, r)
 	b.UpdateHosts(r.now, ListFull, hosts)
 	return b, r
 }
 
-func (r *recorder) ask(b *Balancer, id RequestID, class int, key uint64) HostID {
+// request sends a request and returns the host it was sent to, or 0.
+func (r *recorder) request(b *Balancer, id RequestID, class int, key uint64) HostID {
 	b.Request(r.now, Request{ID: id, Class: class, Key: key, Work: 0.1, Budget: 8})
 	if e := r.last(); e.kind == "send" && e.id == id {
 		return e.host
@@ -121,6 +122,7 @@
 	return 0
 }
 
+// end ends an attempt with a result.
 func (r *recorder) end(b *Balancer, id RequestID, attempt int, h HostID, res Result) {
 	b.Outcome(r.now, Outcome{ID: id, Attempt: attempt, Host: h, Result: res, Took: 0.1, Final: res == OK})
 }
--- a/balancer/roll.go
+++ b/balancer/roll.go
@@ -6,95 +6,96 @@
 	"slices"
 )
 
-// UpdateHosts takes a list, changes to it, or word that a call for it failed.
+// UpdateHosts handles a server list, changes to it, or a failed call for it.
 func (b *Balancer) UpdateHosts(now float64, kind ListKind, hosts []Host) {
 	b.now = now
 	if kind == ListFailed {
-		b.say("list lost, %d hosts known", len(b.hosts))
-		b.subbed = false
-		if b.cfg.AskForList { // with jitter, so that a struggling discovery is not called by all at once
-			b.watchIn(watchSoonest + watchSpread*b.random())
+		b.logLimited("list lost, %d hosts known", len(b.hosts))
+		b.subscribed = false
+		if b.cfg.AskForList { // with jitter, so that clients do not all call a struggling discovery at once
+			b.scheduleWatch(watchRetryMin + watchRetrySpread*b.random())
 		}
 		return
 	}
 	if kind != ListCached {
-		b.say("list received, %d entries", len(hosts))
-		b.subbed = true
+		b.logLimited("list received, %d entries", len(hosts))
+		b.subscribed = true
 	}
 	if kind != ListChanges {
 		for _, h := range b.hosts {
-			h.Status = Removed // if absent from a complete list
+			h.Status = Removed // unless the complete list has it
 		}
 	}
-	for _, e := range hosts {
-		b.learn(e)
+	for _, entry := range hosts {
+		b.updateHost(entry)
 	}
 	b.hosts = slices.DeleteFunc(b.hosts, func(h *host) bool {
-		gone := h.Status == Removed && h.inflight == 0
-		if gone {
-			delete(b.index, h.ID)
+		remove := h.Status == Removed && h.inflight == 0
+		if remove {
+			delete(b.hostByID, h.ID)
 		}
-		return gone
+		return remove
 	})
-	slices.SortFunc(b.hosts, func(x, y *host) int { return cmp.Compare(x.ID, y.ID) })
-	b.resize()
+	slices.SortFunc(b.hosts, func(a, y *host) int { return cmp.Compare(a.ID, y.ID) })
+	b.recomputeWeights()
 }
 
-// learn takes one list entry. A new start time means a new process: what was known of the old one is void.
-func (b *Balancer) learn(e Host) {
-	h := b.index[e.ID]
+// updateHost applies one list entry. A new start time means a new process, so health data is reset.
+func (b *Balancer) updateHost(entry Host) {
+	h := b.hostByID[entry.ID]
 	if h == nil {
-		h = &host{until: b.now, cutAt: b.now, answered: math.Inf(-1), newest: math.Inf(-1), part: 1, admit: 1,
-			window: -1, admitTold: 1, admitAt: b.now, lost: make([]float64, len(b.strain)), lostAt: b.now}
-		b.index[e.ID] = h
+		h = &host{ejectedUntil: b.now, limitCutAt: b.now, lastAnswerAt: math.Inf(-1),
+			answeredSentAt: math.Inf(-1), latencyShare: 1, admitShare: 1, limit: -1, admitSent: 1,
+			admitChangedAt: b.now, losses: make([]float64, len(b.shedShare)), lossesDecayedAt: b.now}
+		b.hostByID[entry.ID] = h
 		b.hosts = append(b.hosts, h)
-	} else if e.Status == Ready && e.Started != 0 && e.Started != h.Started {
-		h.heard, h.fail, h.until, h.doubtFor = false, [2]float64{}, b.now, 0
-		clear(h.lost)
+	} else if entry.Status == Ready && entry.Started != 0 && entry.Started != h.Started {
+		h.observed, h.failureShare, h.ejectedUntil, h.suspectFor = false, [2]float64{}, b.now, 0
+		clear(h.losses)
 	}
-	h.Host = e
+	h.Host = entry
 	if b.zones[h.Zone] == nil {
-		b.zones[h.Zone] = &zone{until: b.now, shut: b.planShuts(h.Zone)}
+		b.zones[h.Zone] = &zone{outUntil: b.now, excluded: b.excludedByPlan(h.Zone)}
 	}
 	h.zone = b.zones[h.Zone]
 }
 
-// resize makes sizes relative to the mean of the ready hosts.
-func (b *Balancer) resize() {
-	sum, n := 0.0, 0
+// recomputeWeights sets weights relative to the mean weight of the ready hosts.
+func (b *Balancer) recomputeWeights() {
+	sum, count := 0.0, 0
 	for _, h := range b.hosts {
 		if h.Status == Ready && h.Weight > 0 {
-			sum, n = sum+h.Weight, n+1
+			sum, count = sum+h.Weight, count+1
 		}
 	}
 	for _, h := range b.hosts {
 		h.weight = 1
-		if b.cfg.Weighted && h.Weight > 0 && n > 0 {
-			h.weight = h.Weight * float64(n) / sum
+		if b.cfg.Weighted && h.Weight > 0 && count > 0 {
+			h.weight = h.Weight * float64(count) / sum
 		}
-		if h.window < 0 {
-			h.window = windowStart * h.weight
+		if h.limit < 0 {
+			h.limit = initialLimit * h.weight
 		}
-		h.zoneRank, h.side = h.weight, 0
+		h.zoneWeight, h.locality = h.weight, 0
 		if h.Zone != b.cfg.Zone {
-			h.side = 1
-			h.zoneRank *= max(farRank, 1-b.cfg.Prices.CrossZone/localityPrice)
+			h.locality = 1
+			h.zoneWeight *= max(farWeight, 1-b.cfg.Prices.CrossZone/localityPrice)
 		}
 	}
 }
 
-// watch asks for the list, and again if no reply comes. All of it stays well inside AskWithin, after which
-// this balancer counts as told of a list it has not seen.
+// watch subscribes to the list and schedules a retry in case no reply comes. The retries fit well within
+// AskWithin, after which the list counts as known to this balancer even if it never arrived.
 func (b *Balancer) watch() {
-	b.act.Watch()
-	b.watchIn(1)
+	b.actions.Watch()
+	b.scheduleWatch(1)
 }
 
-func (b *Balancer) watchIn(part float64) {
-	most := b.cfg.AskWithin / watchTries
-	if most <= 0 {
-		most = b.longest
+func (b *Balancer) scheduleWatch(part float64) {
+	maxWait := b.cfg.AskWithin / watchCalls
+	if maxWait <= 0 {
+		maxWait = b.longestAim
 	}
-	b.watchAt = b.now + part*most
-	b.act.Timer(part*most, timerWatch<<tokenKind)
+	b.watchDue = b.now + part*maxWait
+	b.actions.Timer(part*maxWait, timerWatch<<kindShift)
 }
