--- a/balancer/api.go
+++ b/balancer/api.go
@@ -118,26 +118,26 @@
 // Config holds the settings of a Balancer. A zero value means that the setting was not given.
 type Config struct {
 	Seed             uint64
-	Me, Balancers    int
+	Me, Balancers    int // this balancer's number, and how many balancers there are
 	Zone             int
 	Classes          []Class
 	Tenants          []Tenant
-	OverShareWorth   float64
-	WorthByWork      bool // Class.Worth is per unit of work, not per request
-	Weighted         bool // Host.Weight is a stable size that can be compared
-	WarmKeys         bool // a host that has served a key recently does less work for it
-	AskForList       bool // the list has to be requested with Watch or Fetch
+	OverShareWorth   float64 // share of its worth that work above a tenant's share has
+	WorthByWork      bool    // Class.Worth is per unit of work, not per request
+	Weighted         bool    // Host.Weight is a stable size that can be compared
+	WarmKeys         bool    // a host that has served a key recently does less work for it
+	AskForList       bool    // the list has to be requested with Watch or Fetch
 	Report           []LoadMetric
 	Prices           Prices
 	Punctual         float64 // weight of the worth that counts in full only while few miss their aim; 0: none
 	MissAllowed      float64 // share of a class's requests that may miss their aim for Punctual
 	MaxAttempts      int
-	SecondCopies     bool
-	Cancelling       bool
-	Probes           bool
-	ServerSideLimits bool // each host's sidecar limits its concurrency and rejects the excess: no limits here
-	AgreedEjection   bool // Unsafe requests avoid a host only by Host.AgreedEjected, which all agree on
-	PeerMessages     bool
+	SecondCopies     bool    // an attempt may start while another is pending
+	Cancelling       bool    // pending attempts may be cancelled
+	Probes           bool    // hosts may be probed
+	ServerSideLimits bool    // each host's sidecar limits concurrency and rejects the excess: no limits here
+	AgreedEjection   bool    // Unsafe requests avoid a host only by Host.AgreedEjected, which all agree on
+	PeerMessages     bool    // balancers can send messages to each other
 	MaxCoolDown      float64 // longest wait that clients honour after a refusal, seconds; 0: none is sent
 	ConnectTimeout   float64 // seconds
 	AskWithin        float64 // seconds after which a list counts as known even if it was not requested
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// recordConnect counts connection failures per zone in a row and takes a lost or partitioned zone out. After
-// outUntil, one more failed connection takes it out again.
+// recordConnect counts failed connections to a zone in a row and takes out a zone that is lost or
+// partitioned. After outUntil, one more failed connection takes it out again.
 func (b *Balancer) recordConnect(h *host, connected bool) {
 	z := h.zone
 	if z.connectFailures++; connected {
@@ -28,7 +28,6 @@
 	return usable
 }
 
-// recordLoss counts an unanswered attempt of a class and tells peers.
 func (b *Balancer) recordLoss(h *host, class int) {
 	b.decayLosses(h)
 	h.losses[class]++
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -155,7 +155,8 @@
 			}
 		}
 		b.now += 3 * lossMemoryAims * b.longestAim
-		if got := b.pick(b.newRequest(Request{ID: 99, Class: 1, Key: key, Budget: 8}), nil); got.ID != dropsOne.ID {
+		if got := b.pick(b.newRequest(Request{ID: 99, Class: 1, Key: key, Budget: 8}),
+			nil); got.ID != dropsOne.ID {
 			t.Errorf("losses do not decay: class 1 at host %d", got.ID)
 		}
 	}
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -19,7 +19,7 @@
 
 // adjustShares moves a host's admitShare by overload, how far its load is above the wanted one, and tells
 // peers. It moves latencyShare by aboveMean, how far an answer took longer than its class's mean. In general
-// overload admitShare applies: it makes less valuable work be shed, and keys keep their hosts.
+// overload admitShare applies: less valuable work is shed, and keys keep their hosts.
 func (b *Balancer) adjustShares(h *host, overload, aboveMean float64) {
 	step := admitGain * min(b.now-h.admitChangedAt, b.longestAim)
 	if b.cfg.PeerMessages { // peers adjust alike, so keys move together and each learns from all
@@ -73,7 +73,7 @@
 	return false
 }
 
-// PeerMessage handles another balancer's message: a host's admitted share, or a loss of a class at it.
+// PeerMessage handles another balancer's message: a host's admitted share, or a lost attempt of a class.
 func (b *Balancer) PeerMessage(now float64, from int, data []byte) {
 	b.now = now
 	if len(data) != len(b.message) {
--- a/balancer/load_test.go
+++ b/balancer/load_test.go
@@ -172,7 +172,7 @@
 	var balancers []*Balancer
 	var recorders []*recorder
 	id := RequestID(0)
-	ask := func(i int, key uint64) HostID {
+	send := func(i int, key uint64) HostID {
 		id++
 		h := recorders[i].request(balancers[i], id, 0, key)
 		if h != 0 {
@@ -186,7 +186,7 @@
 		balancers, recorders = append(balancers, b), append(recorders, r)
 		for range 40 { // two requests a second each
 			r.advance(b, r.now+0.5)
-			ask(i, uint64(i)*100+uint64(id))
+			send(i, uint64(i)*100+uint64(id))
 		}
 		restarted := fleet(size)
 		for n := range restarted {
@@ -200,7 +200,7 @@
 	for i := range proxies {
 		for range 4 { // clients retry: twice the usual rate, all for one key
 			recorders[i].advance(balancers[i], recorders[i].now+0.25)
-			sent[ask(i, 7)] += each
+			sent[send(i, 7)] += each
 		}
 	}
 	rate := proxies * 2 * each / size
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// rendezvousWeight returns the host's weight for a request planned for a zone; nil: for none.
+// rendezvousWeight returns the host's weight for a request that the plan sends to a zone; nil: to none.
 func (h *host) rendezvousWeight(planned *zone) float64 {
 	switch planned {
 	case nil:
@@ -84,17 +84,17 @@
 		!b.needsAgreement(class) && (h.ejectedUntil > b.now || b.dropsClass(h, class))
 }
 
-// suspected reports whether requests with an effect avoid a host that has failed. When suspectUntil is over,
+// suspected reports whether requests of effect e avoid a host that has failed. When suspectUntil is over,
 // repeatable requests try the host first; unsafe ones avoid it for the same time again.
 func (h *host) suspected(now float64, e Effect) bool {
 	return h.suspectFor > 0 && (now < h.suspectUntil || e == Unsafe && now < h.suspectUntil+h.suspectFor)
 }
 
 // scanHosts reports whether the panic threshold is crossed, and computes the sums over hosts that pick needs.
-// Hosts of a zone that is out are left out: they would take none of the load that panic spreads.
+// Hosts in a zone that is out do not count: they would take none of the load that panic spreads.
 func (b *Balancer) scanHosts(class int) (panicking bool) {
 	healthy, counted, suspects, inflight := 0, 0, 0, 0
-	weight, admit, cold := 0.0, 0.0, 0.0
+	weight, admit, coldRate := 0.0, 0.0, 0.0
 	b.warmWeight = 0
 	for _, h := range b.hosts {
 		if h.Status != Ready || h.zone.out(b.now) {
@@ -104,7 +104,7 @@
 		if warm := b.warmth(h); warm >= 1 {
 			b.warmWeight += h.weight
 		} else {
-			cold += b.coldRate(warm) * h.weight
+			coldRate += b.coldRate(warm) * h.weight
 		}
 		if h.observed {
 			counted++
@@ -116,7 +116,7 @@
 			}
 		}
 	}
-	b.earnColdCredit(cold)
+	b.earnColdCredit(coldRate)
 	b.meanAdmit, b.meanInflight = admit/max(weight, 1), float64(inflight)/max(weight, 1)
 	b.lowTraffic = b.meanInflight < lowTrafficBelow
 	b.byLatency = b.meanInflight < byLatencyInflight && !b.cfg.PeerMessages &&
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -83,7 +83,7 @@
 		h.observed = true
 	}
 	id := RequestID(0)
-	ask := func(n int, lost bool) (toZone int) {
+	sendMany := func(n int, lost bool) (toZone int) {
 		for range n {
 			id++
 			h := r.request(b, id, 0, uint64(id))
@@ -96,22 +96,22 @@
 		}
 		return toZone
 	}
-	ask(50, true)
+	sendMany(50, true)
 	for _, h := range b.hosts {
 		h.ejectedUntil = r.now + 100 // panic: all hosts are ejected
 	}
-	if toZone := ask(100, true); toZone > 0 {
+	if toZone := sendMany(100, true); toZone > 0 {
 		t.Fatalf("%d attempts to a zone that is out", toZone)
 	}
 	for _, h := range b.hosts {
 		h.ejectedUntil = r.now
 	}
 	r.advance(b, r.now+zoneOutAims*b.longestAim+0.1)
-	if toZone := ask(100, true); toZone != 1 {
+	if toZone := sendMany(100, true); toZone != 1 {
 		t.Fatalf("%d attempts detected that the zone is still out, want 1", toZone)
 	}
 	r.advance(b, r.now+zoneOutAims*b.longestAim+0.1)
-	ask(20, false)
+	sendMany(20, false)
 	if z := b.zones[1]; z.connectFailures != 0 {
 		t.Fatalf("the zone answers but still counts as out: %+v", z)
 	}
--- a/balancer/roll.go
+++ b/balancer/roll.go
@@ -36,7 +36,7 @@
 		}
 		return remove
 	})
-	slices.SortFunc(b.hosts, func(a, y *host) int { return cmp.Compare(a.ID, y.ID) })
+	slices.SortFunc(b.hosts, func(x, y *host) int { return cmp.Compare(x.ID, y.ID) })
 	b.recomputeWeights()
 }
 
--- a/balancer/roll_test.go
+++ b/balancer/roll_test.go
@@ -15,7 +15,8 @@
 		name  string
 		kind  ListKind
 		hosts []Host
-	}{{"draining", ListChanges, draining[:1]}, {"removed", ListChanges, removed}, {"absent", ListFull, absent}} {
+	}{{"draining", ListChanges, draining[:1]},
+		{"removed", ListChanges, removed}, {"absent", ListFull, absent}} {
 		t.Run(c.name, func(t *testing.T) {
 			b, r := startBalancer(testConfig(), hosts)
 			b.UpdateHosts(r.now, c.kind, c.hosts)
--- a/balancer/tuning.go
+++ b/balancer/tuning.go
@@ -6,14 +6,13 @@
 	panicThreshold = 0.3
 	// A host yields with loadedMultiple x mean + 1, and at least loadedFloor, requests in flight from here.
 	loadedMultiple, loadedFloor = 1.5, 2.0
-	// farShare: where warm keys cost less work, a host that is not a key's first choice, in its zone or
-	// outside, takes it only up to this share of its limit. Else overload scatters the keys and makes more
-	// work.
+	// farShare: where warm keys cost less work, a host other than a key's first choice in its zone or outside
+	// takes it only up to this share of its limit. Else overload scatters keys and makes more work.
 	farShare = 0.6
 	// localityPrice is the cross-zone price from which hosts of other zones are picked only if all of this
 	// zone yield; below it their rendezvous weight shrinks in proportion.
 	localityPrice         = 0.06
-	farWeight, yieldScore = 1e-6, 1e12 // weight in other zones then; a score behind all others
+	farWeight, yieldScore = 1e-6, 1e12 // weight of other zones at that price; score of hosts that yield
 
 	lowTrafficBelow = 0.2 // in flight to a mean host: limits rarely apply, so answers and peers show load
 	// highLoad is the load, by how close answers are to being late, above which a zone is short of capacity.
@@ -25,9 +24,10 @@
 	admitGain                      = 0.7
 	admitRecoveryAims              = 128.0 // in longest aims, until a share has recovered
 	minAdmit, admitMargin, maxLoad = 0.05, 0.15, 0.95
-	// Without peers a proxy may get one answer of a host in seconds; each moves latencyShare by
-	// byLatencyStep, relative to the class's mean time, so long before hosts are late. With more than
-	// maxProxiesPerHost, or byLatencyInflight in flight to a mean host, admitShare does better.
+	// Without peers a proxy may hear from a host only every few seconds, so each answer moves latencyShare by
+	// byLatencyStep, relative to the class's mean time: long before hosts are late. With more than
+	// maxProxiesPerHost proxies to a host, or byLatencyInflight in flight to a mean one, admitShare does
+	// better.
 	maxProxiesPerHost, byLatencyInflight = 4, 0.03
 	byLatencyStep                        = 4.2
 	peerStep                             = 0.2
@@ -38,14 +38,15 @@
 	classCodes = 255 - fullShare // classes whose losses peers are told
 
 	// A host is ejected for a class with minLosses recent losses that are more than lossMajority/2 of all its
-	// losses. Losses decay over lossMemoryAims longest aims; from minLosses on, lossSlowdown times as slowly.
+	// losses. Losses, capped at maxLosses, decay over lossMemoryAims longest aims; from minLosses on,
+	// lossSlowdown times as slowly.
 	lossMemoryAims, minLosses, lossMajority, maxLosses, lossSlowdown = 32.0, 8.0, 1.5, 16.0, 4.0
 
 	ejectThreshold = 0.4 // failure share
 
 	lateDiscount = 2.0 // with 1/lateDiscount of all attempts late, lateness says nothing about one host
 
-	// zoneOutAfter failed connections in a row take a zone out. Low traffic rarely meets one host twice.
+	// Failed connections in a row that take a zone out; by zone, as low traffic rarely meets a host twice.
 	zoneOutAfter, zoneOutAims = 4, 1.0 // zoneOutAims: for how many longest aims
 	ejectAims                 = 4.0    // ejection time, in longest aims; the failure share outlasts it
 
