--- a/balancer/api.go
+++ b/balancer/api.go
@@ -41,7 +41,7 @@
 const (
 	OK       Result = iota // a good answer
 	Errored                // an error answer
-	Rejected               // refused for overload, without running
+	Rejected               // refused before it ran, for overload or drain
 	TimedOut
 	ConnectFailed
 	Reset // the connection broke
