--- a/internal/failover/agent.go
+++ b/internal/failover/agent.go
@@ -39,7 +39,7 @@
 	mine       *Plan // what this proxy alone would do
 	planAt     float64
 	members    []string // all that are there, this one too
-	row        Row      // in force here
+	row        ZonePlan // in force here
 	reason     string
 	common     bool    // row follows plan
 	easeUntil  float64 // shares move by steps until then
@@ -62,36 +62,36 @@
 
 // NewAgent makes the agent of a proxy in a zone. seq must be above that of any earlier life of the name.
 func NewAgent(now float64, name, zone string, seq uint64) *Agent {
-	return &Agent{name: name, zone: zone, born: now, alone: NewDecider(), row: Row{Zone: zone}, others: now - never, seq: seq,
+	return &Agent{name: name, zone: zone, born: now, alone: NewDecider(), row: ZonePlan{Zone: zone}, others: now - never, seq: seq,
 		orphans: map[string]float64{}, last: map[string]uint64{}, orders: orders{}, held: map[string]float64{},
 		digests: map[string]uint64{}, mine: &Plan{}, toldAt: now - never}
 }
 
-// Row is what holds for this proxy's requests.
-func (a *Agent) Row() Row { return a.row }
-
-// Standing is what people may ask of an agent.
-type Standing struct {
-	Epoch   uint64
-	Author  string
-	Reason  string
-	Common  bool // by the plan of all
-	Members int
-	Dropped int
-	Row     Row
+// ZonePlan is what holds for this proxy's requests.
+func (a *Agent) ZonePlan() ZonePlan { return a.row }
+
+// Status is what people may ask of an agent.
+type Status struct {
+	Epoch        uint64
+	Leader       string
+	Reason       string
+	FollowsFleet bool // by the plan of all
+	Members      int
+	Dropped      int
+	ZonePlan     ZonePlan
 }
 
-// Standing says how things stand.
-func (a *Agent) Standing() Standing {
-	s := Standing{Reason: a.reason, Common: a.common, Members: len(a.members), Dropped: a.dropped, Row: a.row}
+// Status says how things stand.
+func (a *Agent) Status() Status {
+	s := Status{Reason: a.reason, FollowsFleet: a.common, Members: len(a.members), Dropped: a.dropped, ZonePlan: a.row}
 	if a.plan != nil && a.common {
-		s.Epoch, s.Author = a.plan.Epoch, a.plan.Author
+		s.Epoch, s.Leader = a.plan.Epoch, a.plan.Leader
 	}
 	return s
 }
 
-// Out gives the words to be sent, once.
-func (a *Agent) Out() []Outgoing {
+// TakeOutgoing gives the words to be sent, once.
+func (a *Agent) TakeOutgoing() []Outgoing {
 	out := a.out
 	a.out = nil
 	return out
@@ -142,7 +142,7 @@
 	a.seq++
 	m.Version, m.From, m.Seq = Version, a.name, a.seq
 	if a.plan != nil {
-		m.Epoch, m.Author = a.plan.Epoch, a.plan.Author
+		m.Epoch, m.Author = a.plan.Epoch, a.plan.Leader
 	}
 	if m.Digest = a.orders.digest(); m.Digest != a.digests[to] {
 		m.Orders = a.orders.list()
@@ -150,14 +150,14 @@
 	a.out = append(a.out, Outgoing{to, m})
 }
 
-// Take takes a word from a member. Words of other versions, old ones and such as make no sense are dropped.
-func (a *Agent) Take(now float64, m *Message) {
+// Receive takes a word from a member. Words of other versions, old ones and such as make no sense are dropped.
+func (a *Agent) Receive(now float64, m *Message) {
 	if m.Version != Version || m.From == "" || m.From == a.name || m.Seq <= a.last[m.From] || !m.sound() {
 		a.dropped++
 		return
 	}
 	a.last[m.From] = m.Seq
-	if a.plan != nil && m.From == a.plan.Author || a.plan == nil && m.Report == nil {
+	if a.plan != nil && m.From == a.plan.Leader || a.plan == nil && m.Report == nil {
 		a.asked = 0
 	}
 	if m.Plan != nil && (a.plan == nil || m.Plan.After(a.plan)) {
@@ -165,7 +165,7 @@
 	}
 	a.digests[m.From] = m.Digest
 	changed := a.orders.merge(m.Orders)
-	theirs := &Plan{Epoch: m.Epoch, Author: m.Author}
+	theirs := &Plan{Epoch: m.Epoch, Leader: m.Author}
 	later := a.plan != nil && a.plan.After(theirs)
 	behind := a.plan == nil && m.Epoch > 0 || a.plan != nil && theirs.After(a.plan)
 	if answer := (Message{Answer: true}); !m.Answer && (m.Report != nil || later || behind || changed || m.Digest != a.orders.digest()) {
@@ -181,7 +181,7 @@
 
 // hear takes a report.
 func (a *Agent) hear(now float64, m *Message) {
-	if m.Orphan && a.plan != nil && m.Author == a.plan.Author {
+	if m.Orphan && a.plan != nil && m.Author == a.plan.Leader {
 		a.orphans[m.From] = now
 	}
 	if a.lead != nil {
--- a/internal/failover/agent_test.go
+++ b/internal/failover/agent_test.go
@@ -38,7 +38,7 @@
 func (n *network) start(p *stand) {
 	n.born++
 	p.window = NewWindow(n.now)
-	p.row = Row{Shares: []Share{{p.zone, 1}}}
+	p.row = ZonePlan{Shares: []Share{{p.zone, 1}}}
 	n.agents[p.name] = NewAgent(n.now, p.name, p.zone, uint64(n.born)<<32)
 	n.set(p, true)
 }
@@ -68,7 +68,7 @@
 		n.clock.After(time.Duration(n.rng.Float64()*n.late*float64(time.Second)), func() {
 			if a := n.agents[o.To]; n.up[o.To] {
 				m := o.Message
-				a.Take(n.now, &m)
+				a.Receive(n.now, &m)
 				n.flush(a)
 			}
 		})
@@ -76,7 +76,7 @@
 }
 
 func (n *network) flush(a *Agent) {
-	for _, o := range a.Out() {
+	for _, o := range a.TakeOutgoing() {
 		n.deliver(o)
 	}
 }
@@ -93,10 +93,10 @@
 			}
 			a := n.agents[p.name]
 			if a.Tick(n.now, p.window.Report(n.now, p.name, p.zone), n.zones, n.alive(p.name)) {
-				p.row = a.Row()
+				p.row = a.ZonePlan()
 			}
 			n.flush(a)
-			n.check(&Plan{Rows: []Row{p.row}})
+			n.check(&Plan{Rows: []ZonePlan{p.row}})
 		}
 	}
 }
@@ -107,8 +107,8 @@
 	n.clock.Run(n.clock.Now() + time.Second) // what is under way arrives
 	plans := map[string]int{}
 	for name, a := range n.agents {
-		if s := a.Standing(); n.up[name] {
-			plans[fmt.Sprint(s.Epoch, s.Author, s.Common)]++
+		if s := a.Status(); n.up[name] {
+			plans[fmt.Sprint(s.Epoch, s.Leader, s.FollowsFleet)]++
 		}
 	}
 	if len(plans) != want {
@@ -150,7 +150,7 @@
 func TestAuthorKilled(t *testing.T) {
 	n := newNetwork(t, 6, 180)
 	n.play(12)
-	author := n.agents["a00"].Standing().Author
+	author := n.agents["a00"].Status().Leader
 	n.reset()
 	n.allDead("b")
 	var killed []*stand
@@ -164,7 +164,7 @@
 	n.reset()
 	n.play(2)
 	n.want("half killed", 0.97, 0.02, 0.6)
-	epoch := n.agents["d05"].Standing().Epoch
+	epoch := n.agents["d05"].Status().Epoch
 	for _, p := range killed {
 		n.start(p)
 	}
@@ -176,7 +176,7 @@
 	n.want("after that", 0.97, 0.02, 0.35)
 	n.agree(1)
 	for _, p := range killed {
-		if s := n.agents[p.name].Standing(); !s.Common || s.Epoch < epoch {
+		if s := n.agents[p.name].Status(); !s.FollowsFleet || s.Epoch < epoch {
 			t.Errorf("%s follows %+v, and epoch %d was in force before", p.name, s, epoch)
 		}
 	}
@@ -187,7 +187,7 @@
 func TestAuthorSilent(t *testing.T) {
 	n := newNetwork(t, 6, 180)
 	n.play(12)
-	author := n.agents["a00"].Standing().Author
+	author := n.agents["a00"].Status().Leader
 	n.agents[author] = NewAgent(n.now, author, "x", 0) // takes words and makes no use of them
 	for _, p := range n.proxies {
 		if p.name == author {
@@ -201,7 +201,7 @@
 	n.play(2)
 	n.want("without the author", 0.95, 0.05, 0.35)
 	for name, a := range n.agents {
-		if s := a.Standing(); name != author && s.Author == author {
+		if s := a.Status(); name != author && s.Leader == author {
 			t.Errorf("%s still follows %s", name, author)
 		}
 	}
@@ -222,7 +222,7 @@
 	n.want("split", 0.97, 0.02, 0.4)
 	n.agree(2)
 	for _, p := range n.proxies {
-		if row := n.agents[p.name].plan.Row(p.zone); !north(p.name) && len(row.Out) > 0 {
+		if row := n.agents[p.name].plan.Zone(p.zone); !north(p.name) && len(row.Out) > 0 {
 			t.Errorf("%s sees nothing wrong and gives up ways: %+v", p.name, row)
 		}
 	}
@@ -240,14 +240,14 @@
 	n := newNetwork(t, 6, 180)
 	n.slow["b"] = 3
 	n.play(20)
-	was := map[string]Row{}
+	was := map[string]ZonePlan{}
 	for _, p := range n.proxies {
 		was[p.name] = p.row
 	}
 	n.cut = func(a, b string) bool { return a != b }
 	n.play(KeepFor - 1)
 	for _, p := range n.proxies {
-		if w := was[p.name]; math.Abs(p.row.Shares[0].Part-w.Shares[0].Part) > 0.3 {
+		if w := was[p.name]; math.Abs(p.row.Shares[0].Fraction-w.Shares[0].Fraction) > 0.3 {
 			t.Errorf("%s moved: %+v, before %+v", p.name, p.row, w)
 		}
 	}
@@ -285,29 +285,29 @@
 // TestStrangeWords: words of other versions, of the past, in another's name or without sense change nothing and are counted.
 func TestStrangeWords(t *testing.T) {
 	a := NewAgent(100, "a", "x", 0)
-	good := Plan{Epoch: 3, Author: "b", Rows: []Row{{Zone: "x", Shares: []Share{{"x", 1}}}}}
-	a.Take(100, &Message{Version: Version, From: "b", Seq: 5, Plan: &good})
+	good := Plan{Epoch: 3, Leader: "b", Rows: []ZonePlan{{Zone: "x", Shares: []Share{{"x", 1}}}}}
+	a.Receive(100, &Message{Version: Version, From: "b", Seq: 5, Plan: &good})
 	bad := func(change func(*Message)) {
 		p := good
 		p.Epoch = 9
 		m := &Message{Version: Version, From: "b", Seq: 6, Plan: &p}
 		change(m)
-		a.Take(100, m)
+		a.Receive(100, m)
 	}
 	bad(func(m *Message) { m.Version = 2 })
 	bad(func(m *Message) { m.Seq = 5 })
 	bad(func(m *Message) { m.From = "a" })
 	bad(func(m *Message) { m.Plan.Rows = nil })
-	bad(func(m *Message) { m.Plan.Rows = []Row{{Zone: "x", Shares: []Share{{"x", 0.5}}}} })
-	bad(func(m *Message) { m.Plan.Rows = []Row{{Zone: "x", Shares: []Share{{"x", math.NaN()}}}} })
+	bad(func(m *Message) { m.Plan.Rows = []ZonePlan{{Zone: "x", Shares: []Share{{"x", 0.5}}}} })
+	bad(func(m *Message) { m.Plan.Rows = []ZonePlan{{Zone: "x", Shares: []Share{{"x", math.NaN()}}}} })
 	bad(func(m *Message) { m.Plan.Rows = slices.Repeat(m.Plan.Rows, 1000) })
 	bad(func(m *Message) { m.Report = &Report{Member: "c", Zone: "x"} })
 	bad(func(m *Message) { m.Report = &Report{Member: "b", Zone: "x", Taken: math.Inf(1)} })
 	if a.plan.Epoch != 3 || a.dropped != 9 {
 		t.Errorf("epoch %d in force, %d dropped; want 3 and 9", a.plan.Epoch, a.dropped)
 	}
-	old := Plan{Epoch: 2, Author: "z", Rows: good.Rows}
-	a.Take(100, &Message{Version: Version, From: "z", Seq: 1, Plan: &old})
+	old := Plan{Epoch: 2, Leader: "z", Rows: good.Rows}
+	a.Receive(100, &Message{Version: Version, From: "z", Seq: 1, Plan: &old})
 	if a.plan.Epoch != 3 {
 		t.Error("a plan of the past went before a later one")
 	}
@@ -324,7 +324,7 @@
 	if math.Abs(left-0.75) > 1e-9 || !strings.Contains(text, "0 % refused") {
 		t.Errorf("it would leave %.2f:\n%s", left, text)
 	}
-	asked.Order(n.now, []string{"b"}, true)
+	asked.IssueOrder(n.now, []string{"b"}, true)
 	n.flush(asked)
 	n.play(1)
 	if have, others := asked.Confirmed(); have < 2 || others != 23 {
@@ -343,7 +343,7 @@
 	if x := inB(); x > 0 {
 		t.Errorf("%.3f went to a zone that is out", x)
 	}
-	author := n.agents["a00"].plan.Author
+	author := n.agents["a00"].plan.Leader
 	for _, p := range n.proxies {
 		if p.name == author || p.zone == "c" {
 			n.start(p)
@@ -355,14 +355,14 @@
 	}
 	n.loss = 0
 	back := n.agents["a01"]
-	back.Order(n.now, []string{"b"}, false)
+	back.IssueOrder(n.now, []string{"b"}, false)
 	n.flush(back)
 	n.play(10)
 	n.reset()
 	n.play(3)
 	n.want("back", 0.99, 0, 0.1)
 	for name, a := range n.agents {
-		if n.up[name] && a.Digest() != back.Digest() {
+		if n.up[name] && a.OrdersDigest() != back.OrdersDigest() {
 			t.Errorf("%s knows other orders: %+v", name, a.Orders())
 		}
 	}
--- a/internal/failover/author.go
+++ b/internal/failover/author.go
@@ -11,8 +11,8 @@
 // author is who makes the plans: who made the last, as long as that one is there, else the first of the members in an order
 // of their own.
 func (a *Agent) author() string {
-	if a.plan != nil && slices.Contains(a.members, a.plan.Author) {
-		return a.plan.Author
+	if a.plan != nil && slices.Contains(a.members, a.plan.Leader) {
+		return a.plan.Leader
 	}
 	return first(a.members, "")
 }
@@ -59,7 +59,7 @@
 // news says whether a plan is worth telling.
 func (a *Agent) news(now float64, p *Plan) bool {
 	switch {
-	case a.plan == nil || a.plan.Author != a.name:
+	case a.plan == nil || a.plan.Leader != a.name:
 		return true
 	case !a.plan.sameWays(p):
 		return true
@@ -71,7 +71,7 @@
 	if a.plan != nil {
 		p.Epoch = a.plan.Epoch
 	}
-	p.Epoch, p.Author = p.Epoch+1, a.name
+	p.Epoch, p.Leader = p.Epoch+1, a.name
 	a.plan, a.planAt = p, now
 	for _, name := range a.members {
 		if name != a.name {
--- a/internal/failover/decide.go
+++ b/internal/failover/decide.go
@@ -14,7 +14,7 @@
 // Zone is a place with hosts.
 type Zone struct {
 	Name, Region string
-	Warm         float64 // weight of its hosts that take requests, as far as they are warm
+	WarmWeight   float64 // weight of its hosts that take requests, as far as they are warm
 	Held         float64 // part of its room that operators hold back; 1: it is out
 }
 
@@ -26,9 +26,9 @@
 	fleet    bearing           // all zones together
 	refusing bool
 	ways     map[way]*passage
-	used     map[way]bool   // by the last plan
-	shown    map[string]Row // the last plan, by source
-	at       float64        // of the last decision; 0: none yet
+	used     map[way]bool        // by the last plan
+	shown    map[string]ZonePlan // the last plan, by source
+	at       float64             // of the last decision; 0: none yet
 }
 
 type heard struct {
@@ -38,7 +38,7 @@
 
 // NewDecider makes one that knows nothing.
 func NewDecider() *Decider {
-	return &Decider{heard: map[string]*heard{}, rooms: map[string]*room{}, ways: map[way]*passage{}, used: map[way]bool{}, shown: map[string]Row{}}
+	return &Decider{heard: map[string]*heard{}, rooms: map[string]*room{}, ways: map[way]*passage{}, used: map[way]bool{}, shown: map[string]ZonePlan{}}
 }
 
 // Hear takes a member's report, which replaces its last.
@@ -120,7 +120,7 @@
 	}
 	p := &Plan{Well: d.fleet.bears[well], Most: d.fleet.bears[most]}
 	for i, z := range zones {
-		row := Row{Zone: z.Name, Refused: refused[i], Shares: d.shares(t, i, zones, refused[i])}
+		row := ZonePlan{Zone: z.Name, Refused: refused[i], Shares: d.shares(t, i, zones, refused[i])}
 		row = d.steady(row)
 		row.Demand, row.Part = demand[z.Name], d.rooms[z.Name].part
 		for _, to := range zones {
@@ -144,13 +144,13 @@
 // ahead of that would swing from zone to zone, and tip one after the other. Refusing begins faster.
 const shareStep, refuseStep = 0.04, 0.1 // a decision
 
-func (d *Decider) steady(row Row) Row {
+func (d *Decider) steady(row ZonePlan) ZonePlan {
 	was, known := d.shown[row.Zone]
 	same := func(x, y Share) bool { return x.Zone == y.Zone }
 	if known && slices.EqualFunc(was.Shares, row.Shares, same) {
 		apart := math.Abs(row.Refused - was.Refused)
 		for i, s := range row.Shares {
-			apart = max(apart, math.Abs(s.Part-was.Shares[i].Part))
+			apart = max(apart, math.Abs(s.Fraction-was.Shares[i].Fraction))
 		}
 		step := shareStep
 		if row.Refused > was.Refused {
@@ -159,26 +159,26 @@
 		if part := step / apart; part < 1 {
 			row.Refused = was.Refused + part*(row.Refused-was.Refused)
 			for i := range row.Shares {
-				row.Shares[i].Part = was.Shares[i].Part + part*(row.Shares[i].Part-was.Shares[i].Part)
+				row.Shares[i].Fraction = was.Shares[i].Fraction + part*(row.Shares[i].Fraction-was.Shares[i].Fraction)
 			}
 		}
 	}
 	if least := was.Refused - shareStep; known && row.Refused < least { // a way that opens does not let in what was refused at once
 		for i := range row.Shares {
-			row.Shares[i].Part *= (1 - least) / (1 - row.Refused)
+			row.Shares[i].Fraction *= (1 - least) / (1 - row.Refused)
 		}
 		row.Refused = least
 	}
-	d.shown[row.Zone] = Row{Refused: row.Refused, Shares: slices.Clone(row.Shares)}
+	d.shown[row.Zone] = ZonePlan{Refused: row.Refused, Shares: slices.Clone(row.Shares)}
 	return row
 }
 
 // room is what a zone bears now, by what the fleet bears; with nothing known of that it has no bound.
 func (d *Decider) room(z Zone, k int) float64 {
 	r := d.rooms[z.Name]
-	bears := cmp.Or(d.fleet.bears[k], unbounded) * z.Warm * r.part
+	bears := cmp.Or(d.fleet.bears[k], unbounded) * z.WarmWeight * r.part
 	if r.load < fullAt[well] { // what it carries well now it bears, whatever was learned before
-		bears = max(bears, r.served*min(1, z.Warm))
+		bears = max(bears, r.served*min(1, z.WarmWeight))
 	}
 	return bears * (1 - min(1, z.Held))
 }
@@ -204,7 +204,7 @@
 func (d *Decider) warm(zones []Zone) (sum float64) {
 	for _, z := range zones {
 		if p := d.ways[way{z.Name, z.Name}]; p == nil || !p.out {
-			sum += z.Warm * (1 - z.Held) * d.rooms[z.Name].part
+			sum += z.WarmWeight * (1 - z.Held) * d.rooms[z.Name].part
 		}
 	}
 	return sum
@@ -239,7 +239,7 @@
 		}
 	}
 	if sum <= 0 && len(shares) > 0 && refused < 1 {
-		shares[0].Part = 1
+		shares[0].Fraction = 1
 	}
 	return shares
 }
--- a/internal/failover/decide_test.go
+++ b/internal/failover/decide_test.go
@@ -106,8 +106,8 @@
 	m.reset()
 	p := m.common(d, 15, nil)
 	m.want("slow", 0.99, 0.01, 0.25)
-	if home := p.Row("b").Shares[0]; home.Zone != "b" || home.Part <= 0 {
-		t.Errorf("a slow zone gets nothing any more: %+v", p.Row("b"))
+	if home := p.Zone("b").Shares[0]; home.Zone != "b" || home.Fraction <= 0 {
+		t.Errorf("a slow zone gets nothing any more: %+v", p.Zone("b"))
 	}
 	m.slow["b"] = 1
 	m.common(d, 15, nil)
@@ -126,8 +126,8 @@
 	m.reset()
 	p := m.common(d, 10, nil)
 	m.want("cut", 0.96, 0.015, 0.25) // two zones carry three's, nearly
-	if home := p.Row("b").Shares[0]; home.Zone != "b" || home.Part < 0.9 {
-		t.Errorf("b's proxies reach their hosts and leave them: %+v, %s", p.Row("b"), p.Reason)
+	if home := p.Zone("b").Shares[0]; home.Zone != "b" || home.Fraction < 0.9 {
+		t.Errorf("b's proxies reach their hosts and leave them: %+v, %s", p.Zone("b"), p.Reason)
 	}
 }
 
@@ -149,7 +149,7 @@
 		})
 		m.want(fmt.Sprint(liars, " liars"), 0.97, 0.001, 0.2)
 		for _, r := range p.Rows {
-			if r.Shares[0].Zone != r.Zone || r.Shares[0].Part < 0.85 {
+			if r.Shares[0].Zone != r.Zone || r.Shares[0].Fraction < 0.85 {
 				t.Errorf("%d liars moved %s: %+v, %s", liars, r.Zone, r, p.Reason)
 			}
 		}
@@ -192,12 +192,12 @@
 				m.allWell()
 			}
 			p := m.common(d, 0.25, nil)
-			open := slices.ContainsFunc(p.Row("b").Shares, func(s Share) bool { return s.Zone == "b" })
+			open := slices.ContainsFunc(p.Zone("b").Shares, func(s Share) bool { return s.Zone == "b" })
 			if open != was {
 				changes++
 			}
 			was = open
-			for _, o := range p.Row("b").Out {
+			for _, o := range p.Zone("b").Out {
 				longest = max(longest, o.Hold)
 			}
 		}
@@ -234,8 +234,8 @@
 // TestSmallHome: a zone with a tenth of the hosts and half of the traffic, and the reverse. Hard case 13.
 func TestSmallHome(t *testing.T) {
 	m, d := newModel(t, 12, 180), NewDecider()
-	m.zones[0].Warm, m.cap["a"] = 2, 100
-	m.zones[2].Warm, m.cap["c"] = 16, 800
+	m.zones[0].WarmWeight, m.cap["a"] = 2, 100
+	m.zones[2].WarmWeight, m.cap["c"] = 16, 800
 	for _, p := range m.proxies {
 		p.rate = map[string]float64{"a": 400, "b": 130, "c": 130, "d": 130}[p.zone] / 12
 	}
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -92,8 +92,8 @@
 	return s.flows[zone], w.ends[zone]
 }
 
-// Took notes a request of a caller.
-func (w *Window) Took(now float64) { w.at(now).taken++ }
+// RequestReceived notes a request of a caller.
+func (w *Window) RequestReceived(now float64) { w.at(now).taken++ }
 
 // Answered notes that a host answered, and how near that came to being late.
 func (w *Window) Answered(now float64, zone string, load float64) {
@@ -103,15 +103,15 @@
 	e.row, e.answered = 0, now
 }
 
-// TurnedAway notes that a host refused for want of room: it is there, and full.
-func (w *Window) TurnedAway(now float64, zone string) {
+// Rejected notes that a host refused for want of room: it is there, and full.
+func (w *Window) Rejected(now float64, zone string) {
 	f, e := w.flow(now, zone)
 	f.load, f.weighed = f.load+1, f.weighed+1
 	e.row, e.answered = 0, now
 }
 
-// Lost notes an attempt that got no answer; late: it was waited for until it was late.
-func (w *Window) Lost(now float64, zone string, late bool) {
+// Failed notes an attempt that got no answer; late: it was waited for until it was late.
+func (w *Window) Failed(now float64, zone string, late bool) {
 	f, e := w.flow(now, zone)
 	f.lost++
 	e.row, e.lost = e.row+2, now
--- a/internal/failover/follow.go
+++ b/internal/failover/follow.go
@@ -6,22 +6,22 @@
 )
 
 // target is the row that this proxy ought to follow, and whether it is that of the plan in common.
-func (a *Agent) target(now float64) (Row, bool) {
+func (a *Agent) target(now float64) (ZonePlan, bool) {
 	if a.plan != nil && (len(a.members) > 1 || now-a.others < KeepFor) {
-		if r := a.plan.Row(a.zone); r != nil && len(r.Shares) > 0 {
+		if r := a.plan.Zone(a.zone); r != nil && len(r.Shares) > 0 {
 			a.reason = a.plan.Reason
 			return *r, true
 		}
 	}
 	a.reason = a.mine.Reason
-	if r := a.mine.Row(a.zone); r != nil {
+	if r := a.mine.Zone(a.zone); r != nil {
 		return *r, false
 	}
 	return a.row, a.common
 }
 
 // follow moves the row in force towards a target, by steps for a while after it has come from another source.
-func (a *Agent) follow(now float64, target Row, common bool) bool {
+func (a *Agent) follow(now float64, target ZonePlan, common bool) bool {
 	if common != a.common && len(a.row.Shares) > 0 {
 		a.easeUntil = now + easeFor
 	}
@@ -37,13 +37,13 @@
 }
 
 // ease is a row between two: zones that the target leaves out are left at once, the rest moves by a step.
-func ease(from, to Row) Row {
+func ease(from, to ZonePlan) ZonePlan {
 	was := map[string]float64{}
 	kept := 0.0
 	for _, s := range from.Shares {
 		if slices.ContainsFunc(to.Shares, func(t Share) bool { return t.Zone == s.Zone }) {
-			was[s.Zone] = s.Part
-			kept += s.Part
+			was[s.Zone] = s.Fraction
+			kept += s.Fraction
 		}
 	}
 	if kept <= 0 {
@@ -52,7 +52,7 @@
 	scale := (1 - from.Refused) / kept
 	apart := math.Abs(to.Refused - from.Refused)
 	for _, s := range to.Shares {
-		apart = max(apart, math.Abs(s.Part-was[s.Zone]*scale))
+		apart = max(apart, math.Abs(s.Fraction-was[s.Zone]*scale))
 	}
 	if apart <= easeBy {
 		return to
@@ -63,7 +63,7 @@
 	mid.Shares = nil
 	for _, s := range to.Shares {
 		x := was[s.Zone] * scale
-		mid.Shares = append(mid.Shares, Share{s.Zone, x + part*(s.Part-x)})
+		mid.Shares = append(mid.Shares, Share{s.Zone, x + part*(s.Fraction-x)})
 	}
 	return mid
 }
--- a/internal/failover/learn.go
+++ b/internal/failover/learn.go
@@ -139,12 +139,12 @@
 	sum, warm := 0.0, 0.0
 	for _, z := range zones {
 		if x, known := demand[z.Name]; known {
-			sum, warm = sum+x, warm+z.Warm
+			sum, warm = sum+x, warm+z.WarmWeight
 		}
 	}
 	for _, z := range zones {
 		if _, known := demand[z.Name]; !known && warm > 0 {
-			demand[z.Name] = sum / warm * z.Warm
+			demand[z.Name] = sum / warm * z.WarmWeight
 		}
 	}
 	return demand
--- a/internal/failover/message.go
+++ b/internal/failover/message.go
@@ -51,13 +51,13 @@
 }
 
 func (p *Plan) sound() bool {
-	ok := len(p.Rows) > 0 && len(p.Rows) <= mostZones && p.Author != "" && positive(p.Well, p.Most) && len(p.Author) <= mostName
+	ok := len(p.Rows) > 0 && len(p.Rows) <= mostZones && p.Leader != "" && positive(p.Well, p.Most) && len(p.Leader) <= mostName
 	for _, r := range p.Rows {
 		sum := r.Refused
 		ok = ok && len(r.Zone) <= mostName && positive(r.Refused, r.Part, r.Demand) && len(r.Shares) <= mostZones && len(r.Out) <= mostZones
 		for _, s := range r.Shares {
-			ok = ok && len(s.Zone) <= mostName && positive(s.Part)
-			sum += s.Part
+			ok = ok && len(s.Zone) <= mostName && positive(s.Fraction)
+			sum += s.Fraction
 		}
 		for _, o := range r.Out {
 			ok = ok && len(o.Zone) <= mostName && positive(o.For, o.Hold, o.Ramp) && o.Ramp <= 1
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -28,7 +28,7 @@
 	name, zone string
 	rate       float64
 	window     *Window
-	row        Row
+	row        ZonePlan
 	off        bool // it does not run
 }
 
@@ -36,11 +36,11 @@
 	m := &model{t: t, rng: rand.New(rand.NewPCG(1, 2)), now: 100, cap: map[string]float64{}, tipped: map[string]bool{},
 		slow: map[string]float64{}, mean: map[string]float64{}, dead: func(string, string) bool { return false }}
 	for i, name := range []string{"a", "b", "c", "d"} {
-		m.zones = append(m.zones, Zone{Name: name, Region: []string{"north", "south"}[i/2], Warm: 6})
+		m.zones = append(m.zones, Zone{Name: name, Region: []string{"north", "south"}[i/2], WarmWeight: 6})
 		m.cap[name] = 300
 		for k := range perZone {
 			m.proxies = append(m.proxies, &stand{name: fmt.Sprintf("%s%02d", name, k), zone: name, rate: rate / float64(perZone),
-				window: NewWindow(m.now), row: Row{Shares: []Share{{name, 1}}}})
+				window: NewWindow(m.now), row: ZonePlan{Shares: []Share{{name, 1}}}})
 		}
 	}
 	return m
@@ -67,12 +67,12 @@
 			continue
 		}
 		for range m.poisson(p.rate * dt) {
-			p.window.Took(m.now)
+			p.window.RequestReceived(m.now)
 			m.offered++
 			x := m.rng.Float64()
 			to := ""
 			for _, s := range p.row.Shares {
-				if x -= s.Part; x < 0 {
+				if x -= s.Fraction; x < 0 {
 					to = s.Zone
 					break
 				}
@@ -106,11 +106,11 @@
 	rho := load / bears
 	switch {
 	case m.dead(p.zone, to):
-		p.window.Lost(m.now, to, false)
+		p.window.Failed(m.now, to, false)
 		m.lost++
 		return
 	case rho > 1 && m.rng.Float64() > 1/rho:
-		p.window.Lost(m.now, to, true)
+		p.window.Failed(m.now, to, true)
 		m.lost++
 		return
 	}
@@ -141,7 +141,7 @@
 		plan = d.Decide(m.now, m.zones, len(m.proxies))
 		m.check(plan)
 		for _, p := range m.proxies {
-			p.row = *plan.Row(p.zone)
+			p.row = *plan.Zone(p.zone)
 		}
 	}
 	return plan
@@ -153,7 +153,7 @@
 		m.tick()
 		for i, p := range m.proxies {
 			agents[i].Tick(m.now, p.window.Report(m.now, p.name, p.zone), m.zones, nil)
-			p.row = agents[i].Row()
+			p.row = agents[i].ZonePlan()
 		}
 	}
 }
@@ -164,8 +164,8 @@
 	for _, r := range p.Rows {
 		sum := r.Refused
 		for _, s := range r.Shares {
-			sum += s.Part
-			if s.Part < 0 || math.IsNaN(s.Part) {
+			sum += s.Fraction
+			if s.Fraction < 0 || math.IsNaN(s.Fraction) {
 				m.t.Fatalf("at %.2f: %+v", m.now, r)
 			}
 		}
--- a/internal/failover/orders.go
+++ b/internal/failover/orders.go
@@ -58,17 +58,17 @@
 	return max(1, h.Sum64())
 }
 
-// Adopt takes over orders, from before a restart or from another process of this proxy.
-func (a *Agent) Adopt(list []Order) { a.orders.merge(list) }
+// RestoreOrders takes over orders, from before a restart or from another process of this proxy.
+func (a *Agent) RestoreOrders(list []Order) { a.orders.merge(list) }
 
 // Orders are all that are known.
 func (a *Agent) Orders() []Order { return a.orders.list() }
 
-// Digest is the same wherever the same orders are known.
-func (a *Agent) Digest() uint64 { return a.orders.digest() }
+// OrdersDigest is the same wherever the same orders are known.
+func (a *Agent) OrdersDigest() uint64 { return a.orders.digest() }
 
-// Order gives one, and tells the others at once.
-func (a *Agent) Order(now float64, zones []string, out bool) {
+// IssueOrder gives one, and tells the others at once.
+func (a *Agent) IssueOrder(now float64, zones []string, out bool) {
 	stamp := uint64(max(0, now) * 1e3)
 	for _, o := range a.orders {
 		stamp = max(stamp, o.Stamp+1)
@@ -130,14 +130,14 @@
 			held = out
 		}
 		t.region[i] = z.Region
-		all += z.Warm
+		all += z.WarmWeight
 		part := 1.0
 		if row := a.known(z.Name); row != nil {
 			t.demand[i], part = row.Demand, row.Part
 		}
 		if !held {
-			left += z.Warm
-			t.most[i] = z.Warm * part
+			left += z.WarmWeight
+			t.most[i] = z.WarmWeight * part
 		}
 	}
 	for s := range zones {
@@ -160,11 +160,11 @@
 }
 
 // known is what the plan in force says of a zone, or what this proxy alone has seen.
-func (a *Agent) known(zone string) *Row {
+func (a *Agent) known(zone string) *ZonePlan {
 	if a.plan != nil {
-		if r := a.plan.Row(zone); r != nil {
+		if r := a.plan.Zone(zone); r != nil {
 			return r
 		}
 	}
-	return a.mine.Row(zone)
+	return a.mine.Zone(zone)
 }
--- a/internal/failover/ways.go
+++ b/internal/failover/ways.go
@@ -134,7 +134,7 @@
 func (d *Decider) othersOpen(w way, zones []Zone) bool {
 	return slices.ContainsFunc(zones, func(z Zone) bool {
 		p := d.ways[way{w.from, z.Name}]
-		return z.Name != w.to && z.Warm > 0 && z.Held < 1 && (p == nil || p.ramp >= 1)
+		return z.Name != w.to && z.WarmWeight > 0 && z.Held < 1 && (p == nil || p.ramp >= 1)
 	})
 }
 
--- a/internal/proxy/sight.go
+++ b/internal/proxy/sight.go
@@ -22,7 +22,7 @@
 
 func (s *sight) took(now float64) {
 	if s != nil {
-		s.window.Took(now)
+		s.window.RequestReceived(now)
 	}
 }
 
@@ -63,12 +63,12 @@
 	case balancer.OK:
 		s.window.Answered(now, a.zone, load)
 	case balancer.TurnedAway:
-		s.window.TurnedAway(now, a.zone)
+		s.window.Rejected(now, a.zone)
 	case balancer.ConnectFailed, balancer.Reset, balancer.Spoilt, balancer.Errored:
-		s.window.Lost(now, a.zone, false)
+		s.window.Failed(now, a.zone, false)
 	case balancer.TimedOut, balancer.Cancelled:
 		if load >= 0.99 { // else its client left
-			s.window.Lost(now, a.zone, true)
+			s.window.Failed(now, a.zone, true)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 	}
 	var all []failover.Zone
 	for name, w := range warm {
-		all = append(all, failover.Zone{Name: name, Region: s.site.Region(name), Warm: w})
+		all = append(all, failover.Zone{Name: name, Region: s.site.Region(name), WarmWeight: w})
 	}
 	return all
 }
--- a/internal/proxy/steer.go
+++ b/internal/proxy/steer.go
@@ -33,7 +33,7 @@
 
 	mu       sync.Mutex
 	members  *member.Members // nil: none, or not yet
-	standing failover.Standing
+	standing failover.Status
 	orders   []failover.Order
 	have     int // other members that have the same orders, of
 	others   int
@@ -120,7 +120,7 @@
 		s.p.log.Debug("a word that is none", zap.Error(err))
 		return
 	}
-	s.agent.Take(s.p.owner.clock.now(), &m)
+	s.agent.Receive(s.p.owner.clock.now(), &m)
 }
 
 // tick asks the owner what it sees, and tells it what comes of that. false: the proxy has ended.
@@ -135,7 +135,7 @@
 	}
 	s.zones = q.zones
 	changed := s.agent.Tick(q.now, q.report, q.zones, alive)
-	standing := s.agent.Standing()
+	standing := s.agent.Status()
 	if m != nil {
 		standing.Dropped += m.Dropped()
 	}
@@ -143,15 +143,15 @@
 	s.standing = standing
 	s.mu.Unlock()
 	if changed {
-		s.p.log.Info("plan", zap.Uint64("epoch", standing.Epoch), zap.String("author", standing.Author),
-			zap.Int("members", standing.Members), zap.String("row", words(standing.Row)), zap.String("reason", standing.Reason))
-		s.p.owner.post(planned{standing.Row})
+		s.p.log.Info("plan", zap.Uint64("epoch", standing.Epoch), zap.String("author", standing.Leader),
+			zap.Int("members", standing.Members), zap.String("row", words(standing.ZonePlan)), zap.String("reason", standing.Reason))
+		s.p.owner.post(planned{standing.ZonePlan})
 	}
 	return true
 }
 
 func (s *steering) send(m *member.Members) {
-	for _, o := range s.agent.Out() {
+	for _, o := range s.agent.TakeOutgoing() {
 		word, err := member.Encode(&o.Message)
 		if err == nil && m != nil {
 			err = m.Send(o.To, word)
@@ -163,10 +163,10 @@
 }
 
 // words is a row for people.
-func words(r failover.Row) string {
+func words(r failover.ZonePlan) string {
 	var parts []string
 	for _, share := range r.Shares {
-		parts = append(parts, fmt.Sprintf("%s=%.3f", share.Zone, share.Part))
+		parts = append(parts, fmt.Sprintf("%s=%.3f", share.Zone, share.Fraction))
 	}
 	return strings.Join(append(parts, fmt.Sprintf("refused=%.3f", r.Refused)), " ")
 }
@@ -177,11 +177,11 @@
 	st, orders := s.standing, s.orders
 	s.mu.Unlock()
 	by := "this proxy alone"
-	if st.Common {
-		by = fmt.Sprintf("epoch %d by %s", st.Epoch, st.Author)
+	if st.FollowsFleet {
+		by = fmt.Sprintf("epoch %d by %s", st.Epoch, st.Leader)
 	}
 	text := fmt.Appendf(nil, "plan=%s\nreason=%s\nmembers=%d\ndropped=%d\nzone=%s\nshares=%s\n", by, st.Reason, max(1, st.Members),
-		st.Dropped, s.p.owner.sight.zone, words(st.Row))
+		st.Dropped, s.p.owner.sight.zone, words(st.ZonePlan))
 	for _, o := range orders {
 		if o.Out {
 			text = fmt.Appendf(text, "out=%s by %s at %s\n", o.Zone, o.By, time.Unix(int64(o.At), 0).UTC().Format(time.RFC3339))
@@ -206,12 +206,12 @@
 }
 
 // planned is word of which zones count for this proxy.
-type planned struct{ row failover.Row }
+type planned struct{ row failover.ZonePlan }
 
 func (e planned) apply(o *owner) {
 	var routes []balancer.Route
 	for _, s := range e.row.Shares {
-		routes = append(routes, balancer.Route{Zone: o.sight.zones.number(s.Zone), Share: s.Part})
+		routes = append(routes, balancer.Route{Zone: o.sight.zones.number(s.Zone), Share: s.Fraction})
 	}
 	o.bal.Plan(o.clock.now(), routes)
 }
--- a/internal/proxy/zoneorder.go
+++ b/internal/proxy/zoneorder.go
@@ -34,8 +34,8 @@
 	if err != nil {
 		s.p.log.Error("which zones are out by hand cannot be read, others may tell", zap.Error(err))
 	}
-	s.agent.Adopt(list)
-	s.saved = s.agent.Digest()
+	s.agent.RestoreOrders(list)
+	s.saved = s.agent.OrdersDigest()
 }
 
 // keepOrders writes down what has been ordered since, and lets it be seen.
@@ -45,7 +45,7 @@
 	s.mu.Lock()
 	s.have, s.others, s.orders = have, others, list
 	s.mu.Unlock()
-	if d := s.agent.Digest(); d != s.saved {
+	if d := s.agent.OrdersDigest(); d != s.saved {
 		if err := s.file.Write(list); err != nil {
 			s.p.log.Error("an order on a zone will not outlast this process", zap.Error(err))
 		}
@@ -103,7 +103,7 @@
 	case *c.Out && left < leastLeft && !c.Force:
 		c.err = fmt.Errorf("%w:\n%s", ops.ErrForce, c.said)
 	default:
-		s.agent.Order(s.p.owner.clock.now(), names, *c.Out)
+		s.agent.IssueOrder(s.p.owner.clock.now(), names, *c.Out)
 		s.keepOrders()
 	}
 }
