--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -43,8 +43,8 @@
 	leaveWithin = 200 * time.Millisecond
 )
 
-// Members is this process's place among the members.
-type Members struct {
+// Membership is this process's place among the members.
+type Membership struct {
 	cfg     Config
 	list    *memberlist.Memberlist
 	ring    *memberlist.Keyring
@@ -64,8 +64,8 @@
 }
 
 // Join starts to be a member. It returns at once: seeds that are not there yet are called again.
-func Join(cfg Config, logger *zap.Logger) (*Members, error) {
-	m := &Members{cfg: cfg, words: make(chan []byte, inbox), end: make(chan struct{}), lost: map[string]lost{}}
+func Join(cfg Config, logger *zap.Logger) (*Membership, error) {
+	m := &Membership{cfg: cfg, words: make(chan []byte, inbox), end: make(chan struct{}), lost: map[string]lost{}}
 	m.noise = &noise{log: logger}
 	listen, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return m, nil
 }
 
-func (m *Members) settings(listen, advertise netip.AddrPort) *memberlist.Config {
+func (m *Membership) settings(listen, advertise netip.AddrPort) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Label = m.cfg.Name, m.cfg.Fleet
 	c.BindAddr, c.BindPort = listen.Addr().String(), int(listen.Port())
@@ -111,7 +111,7 @@
 }
 
 // Alive names all members that are there, this one too.
-func (m *Members) Alive() []string {
+func (m *Membership) Alive() []string {
 	var names []string
 	for _, n := range m.list.Members() {
 		names = append(names, n.Name)
@@ -119,11 +119,11 @@
 	return names
 }
 
-// Words is where other members' words come.
-func (m *Members) Words() <-chan []byte { return m.words }
+// Messages is where other members' words come.
+func (m *Membership) Messages() <-chan []byte { return m.words }
 
 // Send sends a word, which may be lost. Long ones go over TCP, in a goroutine of their own.
-func (m *Members) Send(to string, word []byte) error {
+func (m *Membership) Send(to string, word []byte) error {
 	for _, n := range m.list.Members() {
 		if n.Name != to {
 			continue
@@ -139,7 +139,7 @@
 
 // Rekey changes the keys. As long as all members understand a key that is in use, none is lost by that: add the new one behind
 // the old everywhere, then put it first everywhere, then take the old one away.
-func (m *Members) Rekey(keys [][]byte) error {
+func (m *Membership) Rekey(keys [][]byte) error {
 	if m.ring == nil || len(keys) == 0 {
 		return errors.New("members: keys cannot come or go while running")
 	}
@@ -162,14 +162,14 @@
 }
 
 // Dropped counts what strangers sent, and words that came faster than they were taken.
-func (m *Members) Dropped() int {
+func (m *Membership) Dropped() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.dropped + m.noise.total()
 }
 
 // Leave tells the others, and ends.
-func (m *Members) Leave() {
+func (m *Membership) Leave() {
 	close(m.end)
 	m.list.Leave(leaveWithin)
 	m.list.Shutdown()
@@ -179,7 +179,7 @@
 // rejoin calls those that were lost, and seeds, until it ends: after a cut in the network neither side would call the other.
 // A process that has just come up may be held for its ghost at another address, which hears in its place that it is dead: it
 // calls a seed again a few times, though that one is there.
-func (m *Members) rejoin() {
+func (m *Membership) rejoin() {
 	wait, again, born := 10*time.Millisecond, rejoinEvery, time.Now()
 	for {
 		select {
@@ -201,7 +201,7 @@
 
 // missing are addresses worth calling: some of the lost, and seeds that are not there. Guards against islands, each of which
 // would hold itself for the fleet.
-func (m *Members) missing() (addrs []string) {
+func (m *Membership) missing() (addrs []string) {
 	there := map[string]bool{m.cfg.Advertise: true, m.cfg.Listen: true}
 	for _, n := range m.list.Members() {
 		there[n.Address()] = true
@@ -225,10 +225,10 @@
 // ---- memberlist's delegates
 
 // NodeMeta says nothing beyond the name.
-func (m *Members) NodeMeta(int) []byte { return nil }
+func (m *Membership) NodeMeta(int) []byte { return nil }
 
 // NotifyMsg takes a word; it must not wait.
-func (m *Members) NotifyMsg(b []byte) {
+func (m *Membership) NotifyMsg(b []byte) {
 	select {
 	case m.words <- bytes.Clone(b):
 	default:
@@ -239,23 +239,23 @@
 }
 
 // GetBroadcasts has none: words go straight to whom they are for.
-func (m *Members) GetBroadcasts(int, int) [][]byte { return nil }
+func (m *Membership) GetBroadcasts(int, int) [][]byte { return nil }
 
 // LocalState adds nothing to what members know of each other.
-func (m *Members) LocalState(bool) []byte { return nil }
+func (m *Membership) LocalState(bool) []byte { return nil }
 
 // MergeRemoteState takes nothing.
-func (m *Members) MergeRemoteState([]byte, bool) {}
+func (m *Membership) MergeRemoteState([]byte, bool) {}
 
 // NotifyJoin notes a member.
-func (m *Members) NotifyJoin(n *memberlist.Node) {
+func (m *Membership) NotifyJoin(n *memberlist.Node) {
 	m.mu.Lock()
 	delete(m.lost, n.Name)
 	m.mu.Unlock()
 }
 
 // NotifyLeave notes one that is lost or has left.
-func (m *Members) NotifyLeave(n *memberlist.Node) {
+func (m *Membership) NotifyLeave(n *memberlist.Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if n.State == memberlist.StateDead && len(m.lost) < mostLost {
@@ -264,10 +264,10 @@
 }
 
 // NotifyUpdate takes nothing: there is no more than the name.
-func (m *Members) NotifyUpdate(*memberlist.Node) {}
+func (m *Membership) NotifyUpdate(*memberlist.Node) {}
 
 // NotifyConflict tells of two processes with one name.
-func (m *Members) NotifyConflict(old, other *memberlist.Node) {
+func (m *Membership) NotifyConflict(old, other *memberlist.Node) {
 	m.noise.note(fmt.Sprintf("two members are named %s, at %s and %s", old.Name, old.Address(), other.Address()))
 }
 
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -33,7 +33,7 @@
 	return ""
 }
 
-func join(t *testing.T, c Config) *Members {
+func join(t *testing.T, c Config) *Membership {
 	t.Helper()
 	if c.Listen == "" {
 		c.Listen = free(t)
@@ -55,7 +55,7 @@
 	}
 }
 
-func sees(m *Members, names ...string) func() bool {
+func sees(m *Membership, names ...string) func() bool {
 	return func() bool { return slices.Equal(slices.Sorted(slices.Values(m.Alive())), names) }
 }
 
@@ -94,7 +94,7 @@
 			t.Fatal(err)
 		}
 		select {
-		case got := <-a.Words():
+		case got := <-a.Messages():
 			if !bytes.Equal(got, word) {
 				t.Fatalf("%d bytes came as %d", n, len(got))
 			}
@@ -119,7 +119,7 @@
 	again := join(t, Config{Name: "b", Fleet: "x", Seeds: []string{a.cfg.Listen}})
 	defer again.Leave()
 	await(t, "it is back at its new address", func() bool {
-		return a.Send("b", []byte("you")) == nil && len(again.Words()) > 0
+		return a.Send("b", []byte("you")) == nil && len(again.Messages()) > 0
 	})
 }
 
@@ -132,11 +132,11 @@
 	await(t, "the two meet", sees(a, "a", "b"))
 	reach := func(step string) {
 		t.Helper()
-		for _, way := range [][2]*Members{{a, b}, {b, a}} {
+		for _, way := range [][2]*Membership{{a, b}, {b, a}} {
 			await(t, step, func() bool {
 				way[0].Send(way[1].cfg.Name, []byte(step))
-				for len(way[1].Words()) > 0 {
-					if string(<-way[1].Words()) == step {
+				for len(way[1].Messages()) > 0 {
+					if string(<-way[1].Messages()) == step {
 						return true
 					}
 				}
@@ -145,7 +145,7 @@
 		}
 	}
 	for i, keys := range [][][]byte{{key, other}, {other, key}, {other}} {
-		for n, m := range []*Members{a, b} {
+		for n, m := range []*Membership{a, b} {
 			if err := m.Rekey(keys); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/proxy/steer.go
+++ b/internal/proxy/steer.go
@@ -32,7 +32,7 @@
 	saved uint64                           // digest of what it holds
 
 	mu       sync.Mutex
-	members  *member.Members // nil: none, or not yet
+	members  *member.Membership // nil: none, or not yet
 	standing failover.Status
 	orders   []failover.Order
 	have     int // other members that have the same orders, of
@@ -58,7 +58,7 @@
 		m := s.joined()
 		var words <-chan []byte
 		if m != nil {
-			words = m.Words()
+			words = m.Messages()
 		}
 		select {
 		case <-ctx.Done():
@@ -100,7 +100,7 @@
 	}
 }
 
-func (s *steering) joined() *member.Members {
+func (s *steering) joined() *member.Membership {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members
@@ -124,7 +124,7 @@
 }
 
 // tick asks the owner what it sees, and tells it what comes of that. false: the proxy has ended.
-func (s *steering) tick(ctx context.Context, m *member.Members) bool {
+func (s *steering) tick(ctx context.Context, m *member.Membership) bool {
 	q := &surveyed{done: make(chan struct{})}
 	if s.p.owner.offer(ctx, q, q.done) != nil {
 		return false
@@ -150,7 +150,7 @@
 	return true
 }
 
-func (s *steering) send(m *member.Members) {
+func (s *steering) send(m *member.Membership) {
 	for _, o := range s.agent.TakeOutgoing() {
 		word, err := member.Encode(&o.Message)
 		if err == nil && m != nil {
