--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,6 +1,9 @@
-// Package member knows which proxies of a fleet are there, and carries their words to each other: SWIM with Lifeguard's
-// suspicion over UDP and TCP (hashicorp/memberlist). Who has another fleet's name or none of the keys stays out; what such
-// send is dropped, counted, and logged once a minute at most. Words may be lost, come twice or late.
+// Package member tracks which proxies of a fleet are alive, and carries messages between them. A process joins with
+// Join, which returns its Membership. The package uses hashicorp/memberlist, which is SWIM with Lifeguard's suspicion
+// over UDP and TCP.
+//
+// Processes with another fleet's name or without a valid key cannot become members. Their packets are dropped, counted,
+// and logged at most once a minute. Messages may be lost, duplicated or delayed.
 package member
 
 import (
@@ -21,52 +24,53 @@
 	"go.uber.org/zap"
 )
 
-// Config is what a member is told.
+// Config holds the settings of a member.
 type Config struct {
 	Name      string
-	Fleet     string   // members of other fleets are strangers
-	Listen    string   // address for UDP and TCP alike
-	Advertise string   // by which others reach it; "": Listen
-	Seeds     []string // some of which are there when it starts
-	Keys      [][]byte // the first encrypts, all are understood; none: words are in clear
+	Fleet     string   // processes with another fleet name cannot join
+	Listen    string   // address for both UDP and TCP
+	Advertise string   // address at which other members reach this one; "": Listen
+	Seeds     []string // addresses of some members, not all of which need to be live
+	Keys      [][]byte // the first encrypts, and all decrypt; none: no encryption
 }
 
 const (
-	rejoinEvery = 3 * time.Second  // at which lost members are called again
-	youngFor    = 30 * time.Second // within which a new one makes sure that it is known where it is
-	lostFor     = 15 * time.Minute // after which they are given up
-	mostLost    = 64               // remembered
-	callMost    = 3                // of them at a time, besides a seed
-	logEvery    = time.Minute
-	inbox       = 1024 // words that wait
-	mostWord    = 1200 // bytes that fit into a packet
-	leaveWithin = 200 * time.Millisecond
+	rejoinInterval    = 3 * time.Second  // between attempts to contact lost members
+	seedContactPeriod = 30 * time.Second // in which a new process contacts a seed again, to be known at its address
+	lostMemberTTL     = 15 * time.Minute // after which a lost member is forgotten
+	maxLostMembers    = 64               // remembered at most
+	maxLostContacts   = 3                // lost members contacted at a time, in addition to seeds
+	logInterval       = time.Minute      // between two log lines of the same kind
+	inboxSize         = 1024             // received messages that can wait
+	maxPacketMessage  = 1200             // bytes; longer messages do not fit into a packet
+	leaveTimeout      = 200 * time.Millisecond
 )
 
-// Membership is this process's place among the members.
+// Membership is this process's membership in the fleet.
 type Membership struct {
-	cfg     Config
-	list    *memberlist.Memberlist
-	ring    *memberlist.Keyring
-	words   chan []byte
-	noise   *noise
-	end     chan struct{}
-	stopped sync.WaitGroup
+	cfg        Config
+	list       *memberlist.Memberlist
+	keyring    *memberlist.Keyring
+	messages   chan []byte
+	libraryLog *memberlistLog
+	done       chan struct{}
+	goroutines sync.WaitGroup
 
 	mu      sync.Mutex
-	lost    map[string]lost // by name
-	dropped int             // words that found no place in the inbox
+	lost    map[string]lostMember // by name
+	dropped int                   // messages that found the inbox full
 }
 
-type lost struct {
+type lostMember struct {
 	addr string
 	at   time.Time
 }
 
-// Join starts to be a member. It returns at once: seeds that are not there yet are called again.
+// Join makes this process a member. It returns at once, and retries seeds that cannot be reached yet.
 func Join(cfg Config, logger *zap.Logger) (*Membership, error) {
-	m := &Membership{cfg: cfg, words: make(chan []byte, inbox), end: make(chan struct{}), lost: map[string]lost{}}
-	m.noise = &noise{log: logger}
+	m := &Membership{cfg: cfg, messages: make(chan []byte, inboxSize), done: make(chan struct{}),
+		lost: map[string]lostMember{}}
+	m.libraryLog = &memberlistLog{log: logger}
 	listen, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("members: listen: %w", err)
@@ -75,42 +79,42 @@
 	if err != nil {
 		return nil, fmt.Errorf("members: advertise: %w", err)
 	}
-	c := m.settings(listen, advertise)
+	c := m.memberlistConfig(listen, advertise)
 	if len(cfg.Keys) > 0 {
-		if m.ring, err = memberlist.NewKeyring(cfg.Keys, cfg.Keys[0]); err != nil {
+		if m.keyring, err = memberlist.NewKeyring(cfg.Keys, cfg.Keys[0]); err != nil {
 			return nil, fmt.Errorf("members: keys: %w", err)
 		}
-		c.Keyring = m.ring
+		c.Keyring = m.keyring
 	}
-	if c.Transport, err = listenAt(listen); err != nil {
+	if c.Transport, err = newTransport(listen); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	if m.list, err = memberlist.Create(c); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	m.stopped.Go(m.rejoin)
+	m.goroutines.Go(m.rejoin)
 	return m, nil
 }
 
-func (m *Membership) settings(listen, advertise netip.AddrPort) *memberlist.Config {
+func (m *Membership) memberlistConfig(listen, advertise netip.AddrPort) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Label = m.cfg.Name, m.cfg.Fleet
 	c.BindAddr, c.BindPort = listen.Addr().String(), int(listen.Port())
 	c.AdvertiseAddr, c.AdvertisePort = advertise.Addr().String(), int(advertise.Port())
 	c.Delegate, c.Events, c.Conflict = m, m, m
-	c.Logger = log.New(m.noise, "", 0)
+	c.Logger = log.New(m.libraryLog, "", 0)
 	c.TCPTimeout = 2 * time.Second
-	c.EnableCompression = false              // words are short
-	c.DeadNodeReclaimTime = time.Millisecond // a name that comes back elsewhere goes before its ghost as soon as that is dead
-	c.GossipToTheDeadTime = time.Minute      // so that those who were cut off learn that they are missed
-	c.GossipInterval = time.Second / 2       // membership changes seldom; words go straight to whom they are for
-	c.PushPullInterval = 15 * time.Second    // whole states, over TCP
+	c.EnableCompression = false              // messages are short
+	c.DeadNodeReclaimTime = time.Millisecond // a member restarted at a new address replaces its old entry once that is dead
+	c.GossipToTheDeadTime = time.Minute      // so that members cut off by a partition learn that they are considered dead
+	c.GossipInterval = time.Second / 2       // membership seldom changes, and messages are sent directly
+	c.PushPullInterval = 15 * time.Second    // full state, over TCP
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult = 3, 3
-	c.HandoffQueueDepth = inbox
+	c.HandoffQueueDepth = inboxSize
 	return c
 }
 
-// Alive names all members that are there, this one too.
+// Alive returns the names of all live members, including this one.
 func (m *Membership) Alive() []string {
 	var names []string
 	for _, n := range m.list.Members() {
@@ -119,41 +123,43 @@
 	return names
 }
 
-// Messages is where other members' words come.
-func (m *Membership) Messages() <-chan []byte { return m.words }
+// Messages returns the channel on which messages from other members arrive.
+func (m *Membership) Messages() <-chan []byte { return m.messages }
 
-// Send sends a word, which may be lost. Long ones go over TCP, in a goroutine of their own.
-func (m *Membership) Send(to string, word []byte) error {
+// Send sends a message, which may be lost. A message that is too long for a packet goes over TCP, in a separate
+// goroutine.
+func (m *Membership) Send(to string, message []byte) error {
 	for _, n := range m.list.Members() {
 		if n.Name != to {
 			continue
 		}
-		if len(word) <= mostWord {
-			return m.list.SendBestEffort(n, word)
+		if len(message) <= maxPacketMessage {
+			return m.list.SendBestEffort(n, message)
 		}
-		m.stopped.Go(func() { m.list.SendReliable(n, word) })
+		m.goroutines.Go(func() { m.list.SendReliable(n, message) })
 		return nil
 	}
-	return fmt.Errorf("members: %q is not there", to)
+	return fmt.Errorf("members: %q is not a live member", to)
 }
 
-// Rekey changes the keys. As long as all members understand a key that is in use, none is lost by that: add the new one behind
-// the old everywhere, then put it first everywhere, then take the old one away.
+// Rekey replaces the keys. No messages are lost if all members can decrypt with every key in use at each step. To
+// change a key, first add the new key behind the old one on all members, then put the new key first on all, and then
+// remove the old key.
 func (m *Membership) Rekey(keys [][]byte) error {
-	if m.ring == nil || len(keys) == 0 {
-		return errors.New("members: keys cannot come or go while running")
+	if m.keyring == nil || len(keys) == 0 {
+		return errors.New("members: encryption cannot be switched on or off while running")
 	}
 	for _, k := range keys {
-		if err := m.ring.AddKey(k); err != nil {
+		if err := m.keyring.AddKey(k); err != nil {
 			return fmt.Errorf("members: %w", err)
 		}
 	}
-	if err := m.ring.UseKey(keys[0]); err != nil {
+	if err := m.keyring.UseKey(keys[0]); err != nil {
 		return fmt.Errorf("members: %w", err)
 	}
-	for _, k := range m.ring.GetKeys() {
+	for _, k := range m.keyring.GetKeys() {
 		if !slices.ContainsFunc(keys, func(x []byte) bool { return bytes.Equal(x, k) }) {
-			if err := m.ring.RemoveKey(k); err != nil {
+			if err := m.keyring.RemoveKey(k); err != nil {
 				return fmt.Errorf("members: %w", err)
 			}
 		}
@@ -161,36 +167,39 @@
 	return nil
 }
 
-// Dropped counts what strangers sent, and words that came faster than they were taken.
+// Dropped returns the number of lines that memberlist logged, such as for packets from outside the fleet, plus the
+// number of messages that arrived faster than they were taken.
 func (m *Membership) Dropped() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.dropped + m.noise.total()
+	return m.dropped + m.libraryLog.total()
 }
 
-// Leave tells the others, and ends.
+// Leave tells the other members and ends the membership.
 func (m *Membership) Leave() {
-	close(m.end)
-	m.list.Leave(leaveWithin)
+	close(m.done)
+	m.list.Leave(leaveTimeout)
 	m.list.Shutdown()
-	m.stopped.Wait()
+	m.goroutines.Wait()
 }
 
-// rejoin calls those that were lost, and seeds, until it ends: after a cut in the network neither side would call the other.
-// A process that has just come up may be held for its ghost at another address, which hears in its place that it is dead: it
-// calls a seed again a few times, though that one is there.
+// rejoin contacts lost members, and seeds that are not members, until Leave. Otherwise the two sides of a network
+// partition would never contact each other again.
+//
+// A process that has just restarted may still be known at its previous address, so that the message of its death goes
+// there instead. It therefore contacts a seed again a few times, even if that seed is a live member.
 func (m *Membership) rejoin() {
-	wait, again, born := 10*time.Millisecond, rejoinEvery, time.Now()
+	delay, nextSeedContact, started := 10*time.Millisecond, rejoinInterval, time.Now()
 	for {
 		select {
-		case <-m.end:
+		case <-m.done:
 			return
-		case <-time.After(wait):
+		case <-time.After(delay):
 		}
-		wait = rejoinEvery
-		addrs := m.missing()
-		if age := time.Since(born); age >= again && again < youngFor {
-			again *= 2
+		delay = rejoinInterval
+		addrs := m.rejoinAddrs()
+		if age := time.Since(started); age >= nextSeedContact && nextSeedContact < seedContactPeriod {
+			nextSeedContact *= 2
 			addrs = append(addrs, m.cfg.Seeds[:min(1, len(m.cfg.Seeds))]...)
 		}
 		if len(addrs) > 0 {
@@ -199,38 +208,38 @@
 	}
 }
 
-// missing are addresses worth calling: some of the lost, and seeds that are not there. Guards against islands, each of which
-// would hold itself for the fleet.
-func (m *Membership) missing() (addrs []string) {
-	there := map[string]bool{m.cfg.Advertise: true, m.cfg.Listen: true}
+// rejoinAddrs returns the addresses to contact: some lost members, and the seeds that are not live members. Otherwise
+// separate groups could persist, each of which would take itself for the whole fleet.
+func (m *Membership) rejoinAddrs() (addrs []string) {
+	live := map[string]bool{m.cfg.Advertise: true, m.cfg.Listen: true}
 	for _, n := range m.list.Members() {
-		there[n.Address()] = true
+		live[n.Address()] = true
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	maps.DeleteFunc(m.lost, func(_ string, l lost) bool { return time.Since(l.at) > lostFor })
-	for _, l := range m.lost { // in no order, which spreads the calls
-		if len(addrs) < callMost && !there[l.addr] {
-			addrs = append(addrs, l.addr)
+	maps.DeleteFunc(m.lost, func(_ string, lost lostMember) bool { return time.Since(lost.at) > lostMemberTTL })
+	for _, lost := range m.lost { // map order is random, which spreads the attempts
+		if len(addrs) < maxLostContacts && !live[lost.addr] {
+			addrs = append(addrs, lost.addr)
 		}
 	}
-	for _, s := range m.cfg.Seeds {
-		if !there[s] {
-			addrs = append(addrs, s)
+	for _, seed := range m.cfg.Seeds {
+		if !live[seed] {
+			addrs = append(addrs, seed)
 		}
 	}
 	return addrs
 }
 
-// ---- memberlist's delegates
+// Methods of the memberlist delegates.
 
-// NodeMeta says nothing beyond the name.
+// NodeMeta returns no metadata.
 func (m *Membership) NodeMeta(int) []byte { return nil }
 
-// NotifyMsg takes a word; it must not wait.
+// NotifyMsg queues a message from a member. It must not block.
 func (m *Membership) NotifyMsg(b []byte) {
 	select {
-	case m.words <- bytes.Clone(b):
+	case m.messages <- bytes.Clone(b):
 	default:
 		m.mu.Lock()
 		m.dropped++
@@ -238,113 +247,114 @@
 	}
 }
 
-// GetBroadcasts has none: words go straight to whom they are for.
+// GetBroadcasts returns nothing, because messages are sent directly.
 func (m *Membership) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState adds nothing to what members know of each other.
+// LocalState returns no additional state.
 func (m *Membership) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState takes nothing.
+// MergeRemoteState ignores additional state.
 func (m *Membership) MergeRemoteState([]byte, bool) {}
 
-// NotifyJoin notes a member.
+// NotifyJoin removes a live member from the lost members.
 func (m *Membership) NotifyJoin(n *memberlist.Node) {
 	m.mu.Lock()
 	delete(m.lost, n.Name)
 	m.mu.Unlock()
 }
 
-// NotifyLeave notes one that is lost or has left.
+// NotifyLeave remembers a member that is lost. Members that left on their own are not remembered.
 func (m *Membership) NotifyLeave(n *memberlist.Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if n.State == memberlist.StateDead && len(m.lost) < mostLost {
-		m.lost[n.Name] = lost{n.Address(), time.Now()}
+	if n.State == memberlist.StateDead && len(m.lost) < maxLostMembers {
+		m.lost[n.Name] = lostMember{n.Address(), time.Now()}
 	}
 }
 
-// NotifyUpdate takes nothing: there is no more than the name.
+// NotifyUpdate does nothing, because members have no metadata.
 func (m *Membership) NotifyUpdate(*memberlist.Node) {}
 
-// NotifyConflict tells of two processes with one name.
+// NotifyConflict logs that two processes use the same name.
 func (m *Membership) NotifyConflict(old, other *memberlist.Node) {
-	m.noise.note(fmt.Sprintf("two members are named %s, at %s and %s", old.Name, old.Address(), other.Address()))
+	m.libraryLog.record(fmt.Sprintf("two members are named %s, at %s and %s", old.Name, old.Address(), other.Address()))
 }
 
-// ---- words
+// Encoding of messages.
 
-var handle = func() *codec.MsgpackHandle {
+var msgpackHandle = func() *codec.MsgpackHandle {
 	h := &codec.MsgpackHandle{}
 	h.WriteExt = true
 	return h
 }()
 
-// Encode words a value for the wire (MessagePack).
+// Encode returns the encoding of a value as MessagePack.
 func Encode(v any) ([]byte, error) {
 	var b []byte
-	if err := codec.NewEncoderBytes(&b, handle).Encode(v); err != nil {
+	if err := codec.NewEncoderBytes(&b, msgpackHandle).Encode(v); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	return b, nil
 }
 
-// Decode reads a word. Garbage is an error.
+// Decode decodes a message into v. Malformed input gives an error.
 func Decode(b []byte, v any) error {
-	if err := codec.NewDecoderBytes(b, handle).Decode(v); err != nil {
+	if err := codec.NewDecoderBytes(b, msgpackHandle).Decode(v); err != nil {
 		return fmt.Errorf("members: %w", err)
 	}
 	return nil
 }
 
-// noise counts what memberlist complains of, and logs once a minute of each kind.
-type noise struct {
+// memberlistLog counts the lines that memberlist logs, and logs one line of each kind per minute.
+type memberlistLog struct {
 	log *zap.Logger
 
-	mu    sync.Mutex
-	kinds map[string]*kind
-	all   int
+	mu        sync.Mutex
+	kinds     map[string]*lineKind
+	lineCount int
 }
 
-type kind struct {
-	since int
-	at    time.Time
+type lineKind struct {
+	unlogged int
+	loggedAt time.Time
 }
 
-// Write takes a line of memberlist's log. Its debug lines are dropped.
-func (n *noise) Write(line []byte) (int, error) {
+// Write takes a line of memberlist's log. It ignores debug lines.
+func (l *memberlistLog) Write(line []byte) (int, error) {
 	if !bytes.Contains(line, []byte("[DEBUG]")) {
-		n.note(strings.TrimSpace(string(line)))
+		l.record(strings.TrimSpace(string(line)))
 	}
 	return len(line), nil
 }
 
-const kindLength, mostKinds = 40, 32
+// Lines with the same first kindPrefixLength bytes are of one kind. Beyond maxKinds kinds, lines are counted but not logged.
+const kindPrefixLength, maxKinds = 40, 32
 
-func (n *noise) note(line string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.all++
-	if n.kinds == nil {
-		n.kinds = map[string]*kind{}
+func (l *memberlistLog) record(line string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lineCount++
+	if l.kinds == nil {
+		l.kinds = map[string]*lineKind{}
 	}
-	name := line[:min(len(line), kindLength)]
-	k := n.kinds[name]
+	name := line[:min(len(line), kindPrefixLength)]
+	k := l.kinds[name]
 	if k == nil {
-		if len(n.kinds) >= mostKinds {
+		if len(l.kinds) >= maxKinds {
 			return
 		}
-		k = &kind{}
-		n.kinds[name] = k
+		k = &lineKind{}
+		l.kinds[name] = k
 	}
-	k.since++
-	if time.Since(k.at) >= logEvery {
-		n.log.Info("members", zap.String("said", line), zap.Int("times", k.since))
-		k.since, k.at = 0, time.Now()
+	k.unlogged++
+	if time.Since(k.loggedAt) >= logInterval {
+		l.log.Info("members", zap.String("said", line), zap.Int("times", k.unlogged))
+		k.unlogged, k.loggedAt = 0, time.Now()
 	}
 }
 
-func (n *noise) total() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.all
+func (l *memberlistLog) total() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.lineCount
 }
--- a/internal/member/transport.go
+++ b/internal/member/transport.go
@@ -11,87 +11,88 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport carries memberlist's packets and streams. Its own one takes 64 KiB for each packet that comes, which is most of what
-// a member would cost; and calls here go out from the member's own address, so that who listens to one address is known by it.
+// transport carries memberlist's packets and streams. memberlist's own transport allocates 64 KiB for each incoming
+// packet, which would be most of a member's cost. This transport also dials from the member's own address, so that
+// a member which listens on a specific address is known to others by that address.
 type transport struct {
-	from    netip.Addr
-	pc      *net.UDPConn
-	ln      *net.TCPListener
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	end     chan struct{}
-	wg      sync.WaitGroup
+	localAddr  netip.Addr
+	packetConn *net.UDPConn
+	listener   *net.TCPListener
+	packets    chan *memberlist.Packet
+	streams    chan net.Conn
+	done       chan struct{}
+	goroutines sync.WaitGroup
 }
 
-const packetMost = 64 << 10
+const maxPacketBytes = 64 << 10
 
-func listenAt(at netip.AddrPort) (*transport, error) {
-	ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(at))
+func newTransport(addr netip.AddrPort) (*transport, error) {
+	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, err
 	}
-	pc, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+	packetConn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
-		ln.Close()
+		listener.Close()
 		return nil, err
 	}
-	t := &transport{from: at.Addr(), pc: pc, ln: ln, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn),
-		end: make(chan struct{})}
-	t.wg.Go(t.read)
-	t.wg.Go(t.accept)
+	t := &transport{localAddr: addr.Addr(), packetConn: packetConn, listener: listener,
+		packets: make(chan *memberlist.Packet), streams: make(chan net.Conn), done: make(chan struct{})}
+	t.goroutines.Go(t.readPackets)
+	t.goroutines.Go(t.acceptStreams)
 	return t, nil
 }
 
-func (t *transport) read() {
-	buf := make([]byte, packetMost)
+func (t *transport) readPackets() {
+	buf := make([]byte, maxPacketBytes)
 	for {
-		n, from, err := t.pc.ReadFromUDP(buf)
+		n, from, err := t.packetConn.ReadFromUDP(buf)
 		select {
-		case <-t.end:
+		case <-t.done:
 			return
 		default:
 		}
 		if err != nil || n == 0 {
-			time.Sleep(time.Millisecond) // a refused packet of before is told here; guards against a loop
+			time.Sleep(time.Millisecond) // errors of earlier sends are reported here; the pause prevents a busy loop
 			continue
 		}
 		select {
 		case t.packets <- &memberlist.Packet{Buf: bytes.Clone(buf[:n]), From: from, Timestamp: time.Now()}:
-		case <-t.end:
+		case <-t.done:
 			return
 		}
 	}
 }
 
-func (t *transport) accept() {
+func (t *transport) acceptStreams() {
 	for {
-		c, err := t.ln.Accept()
+		conn, err := t.listener.Accept()
 		select {
-		case <-t.end:
+		case <-t.done:
 			if err == nil {
-				c.Close()
+				conn.Close()
 			}
 			return
 		default:
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // out of descriptors
+			time.Sleep(10 * time.Millisecond) // for example no free file descriptors
 			continue
 		}
 		select {
-		case t.streams <- c:
-		case <-t.end:
-			c.Close()
+		case t.streams <- conn:
+		case <-t.done:
+			conn.Close()
 			return
 		}
 	}
 }
 
-// FinalAdvertiseAddr is what the configuration says.
+// FinalAdvertiseAddr returns the configured address.
 func (t *transport) FinalAdvertiseAddr(ip string, port int) (net.IP, int, error) {
 	addr := net.ParseIP(ip)
 	if addr == nil {
-		return nil, 0, fmt.Errorf("members: %q is no address", ip)
+		return nil, 0, fmt.Errorf("members: %q is not an IP address", ip)
 	}
 	return addr, port, nil
 }
@@ -102,30 +103,30 @@
 	if err != nil {
 		return time.Time{}, fmt.Errorf("members: %w", err)
 	}
-	_, err = t.pc.WriteToUDPAddrPort(b, to)
+	_, err = t.packetConn.WriteToUDPAddrPort(b, to)
 	return time.Now(), err
 }
 
-// PacketCh is where packets come.
+// PacketCh returns the channel of incoming packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// StreamCh is where streams come.
+// StreamCh returns the channel of incoming streams.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
 // DialTimeout connects to a member.
-func (t *transport) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: within}
-	if !t.from.IsUnspecified() {
-		d.LocalAddr = &net.TCPAddr{IP: t.from.AsSlice()}
+func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout}
+	if !t.localAddr.IsUnspecified() {
+		dialer.LocalAddr = &net.TCPAddr{IP: t.localAddr.AsSlice()}
 	}
-	return d.Dial("tcp", addr)
+	return dialer.Dial("tcp", addr)
 }
 
-// Shutdown ends it.
+// Shutdown closes the transport and waits for its goroutines.
 func (t *transport) Shutdown() error {
-	close(t.end)
-	t.ln.Close()
-	t.pc.Close()
-	t.wg.Wait()
+	close(t.done)
+	t.listener.Close()
+	t.packetConn.Close()
+	t.goroutines.Wait()
 	return nil
 }
