--- a/internal/failover/agent.go
+++ b/internal/failover/agent.go
@@ -126,7 +126,7 @@
 	return a.follow(now, target, followsFleet)
 }
 
-// forgetDeparted discards what was stored about members that have left.
+// forgetDeparted discards what was stored about members that have left, and outdated reports of a silent leader.
 func (a *Agent) forgetDeparted(now float64) {
 	gone := func(name string) bool { return !slices.Contains(a.members, name) }
 	maps.DeleteFunc(a.leaderSilentReports, func(name string, at float64) bool {
--- a/internal/failover/capacity.go
+++ b/internal/failover/capacity.go
@@ -8,9 +8,9 @@
 
 const (
 	// The fleet has two capacities per unit of warm weight: up to the soft one answers are fast, and up to the hard one
-	// they are not yet late. Each is learned: it is the rate carried, plus headroom according to the speed of the
-	// answers. It grows more slowly as the hosts become fuller. When load exceeds the threshold of a capacity, that
-	// capacity is cut, and it is not cut again until members have seen the effect.
+	// they are not yet late. Both are learned. A capacity grows towards the rate carried plus headroom. The headroom is
+	// larger the faster the answers are, and growth is slower the fuller the hosts are. Load above the threshold of a
+	// capacity cuts that capacity. The next cut waits until members have seen the effect of the last one.
 	soft, hard                 = 0, 1
 	lowLoadFraction            = 0.75     // of a load threshold: below it capacities grow fast
 	headroom                   = 0.5      // fraction added to the rate carried when load is near zero
@@ -27,14 +27,14 @@
 	overloadGapSeconds    = 4.0  // below the hard threshold, after which exceeding it is a new overload
 	cautiousGrowthRate    = 0.01 // per second
 
-	// A zone whose load exceeds the hard threshold, and the fleet's load by more than maxLoadGap, counts with less of
-	// its weight. The weight recovers later.
+	// The weight fraction of a zone is cut while the zone's load is above the hard threshold and exceeds the fleet's
+	// load by more than maxLoadGap. It recovers afterwards.
 	maxLoadGap         = 0.1
 	weightRecoveryRate = 0.15 // per second
 
 	minFraction         = 0.02 // of a capacity or weight, which is never reduced to zero
 	minAnsweredFraction = 0.5  // of attempts; below it a zone counts as failed rather than full
-	minAnswers          = 10.0 // below which observed load is not meaningful
+	minAnswers          = 10.0 // needed before the load is meaningful
 	minCoverage         = 0.7  // of members that must have reported, for conclusions about the fleet
 )
 
--- a/internal/failover/leader.go
+++ b/internal/failover/leader.go
@@ -35,7 +35,7 @@
 func (a *Agent) coordinate(now float64, own Report, zones []Zone) {
 	leader := a.leader()
 	if leader == a.name && a.fleetPlan == nil && now-a.startedAt < joinSeconds {
-		leader = preferredMember(a.members, a.name) // which knows the plan in force, if there is one
+		leader = preferredMember(a.members, a.name) // the next member knows the plan in force, if there is one
 	}
 	if leader != a.name {
 		a.fleetPlanner = nil
--- a/internal/failover/paths.go
+++ b/internal/failover/paths.go
@@ -8,11 +8,11 @@
 const (
 	// A path is ejected when enough members report that they get no answer on it, and they are the majority of those
 	// that tried it recently.
-	minFailureStreak, minFailureStreakAlone = 4, 8 // where several witnesses are needed, and where one decides
+	minFailureStreak, minFailureStreakAlone = 4, 8 // lowest FailureStreak that counts: with several witnesses, and with one
 	evidenceTTLSeconds                      = 2.0  // after which a failure or an answer is no longer evidence
 
-	minEjectionSeconds, maxEjectionSeconds = 1.0, 30.0 // doubled for each further failure soon after
-	ejectionMemory                         = 3.0       // a failure counts as soon after within 3 ejection times plus 3 s
+	minEjectionSeconds, maxEjectionSeconds = 1.0, 30.0 // doubled each time while the last ejection is recent
+	ejectionMemory                         = 3.0       // an ejection is recent for 3 times its length plus 3 s
 	initialRampFraction, rampFactor        = 0.06, 2.5 // first fraction after an ejection, and its growth per step
 	rampIntervalSeconds                    = 0.5       // of good answers between two ramp steps
 	provenSeconds                          = 1.0       // for which an answer proves that a path works
@@ -86,8 +86,9 @@
 	}
 }
 
-// updatePaths ejects paths and readmits them, and returns the reasons. Only few members can tell about a path that the
-// plan does not use, so that a few false reports could close all such paths. They keep their state until they are used.
+// updatePaths ejects paths and readmits them, and returns the reasons. Few members try a path that the plan does not
+// use, so that a few false reports could close all such paths. Unused paths to other zones therefore keep their state
+// until they are used.
 func (pl *Planner) updatePaths(now float64, zones []Zone, members int) (reasons []string) {
 	found, needed := pl.gatherEvidence(now, members)
 	for _, from := range zones {
--- a/internal/failover/placement.go
+++ b/internal/failover/placement.go
@@ -36,9 +36,9 @@
 	return sum
 }
 
-// Targets in the source's region are filled beyond the common level, by the fraction regionalFill of what they then
-// lack to softFill of their soft capacity. Higher values fill the nearest zone while others have low load; the nearest
-// zone then became overloaded.
+// Targets in the source's region are filled beyond the common level. The excess is the fraction regionalFill of the
+// distance from that level to softFill of the target's soft capacity. With higher values the nearest zone was filled,
+// and became overloaded, while other zones had low load.
 const regionalFill, softFill = 0.5, 0.85
 
 // place assigns all demand: first to the source's own zone up to its capacity, then to spare capacity in the same
@@ -67,8 +67,8 @@
 
 const roundingTolerance = 1e-9 // as a fraction of a demand
 
-// equalFill returns the rate of each target at which all remaining demand is assigned and the targets are equally full
-// in proportion to their hard capacity.
+// equalFill returns the rates at which all remaining demand is assigned and all reachable targets are equally full, in
+// proportion to their hard capacity. The rate of a target may be less than what is assigned to it already.
 func (p *placement) equalFill() []float64 {
 	remaining := 0.0
 	for s := range p.demand {
