--- a/internal/failover/window.go
+++ b/internal/failover/window.go
@@ -6,8 +6,9 @@
 // exchanges Messages with the agents of the other proxies, and gives the ZonePlan in force. A Planner makes plans from
 // reports; the agent has one for itself, and another while it leads the fleet.
 //
-// The package reads no clock, starts no goroutine and does no I/O. Times are seconds from an arbitrary start, and rates
-// are requests per second. docs/failover.md gives the reasons for the design.
+// The package reads no clock, starts no goroutine and does no I/O. Times are seconds from an arbitrary start; only the
+// times of orders are compared between members, and are shown to operators as Unix time. Rates are requests per second.
+// docs/failover.md gives the reasons for the design.
 package failover
 
 import (
