--- a/cmd/beechwing-sidecar/run.go
+++ b/cmd/beechwing-sidecar/run.go
@@ -57,9 +57,9 @@
 	bufs := wire.NewPool()
 	p := &program{log: log, clock: cli.NewClock(), settings: s, host: upstream.New(s.AppAddress, bufs),
 		running: map[uint64]context.CancelFunc{}}
-	o := sidecar.Options{Self: s.Inner(), Zone: s.Zone, Sender: s.Carrier, Seeds: s.Seeds(), Beat: float64(s.BeatMs) / 1000,
-		Ratio: s.Bound("retryRatio", 0.2), Slack: s.Bound("retrySlack", 0), HoldMost: s.Span("holdMaxMs", 0).Seconds(), Version: uint64(time.Now().UnixMilli()),
-		Seed: rand.Uint64(), Agreed: opts.Agreed, Memory: max(16, s.Limits.MemoryMB/memoryShare) << 20,
+	o := sidecar.Options{Self: s.Inner(), Zone: s.Zone, Service: s.Carrier, Seeds: s.Seeds(), HeartbeatInterval: float64(s.BeatMs) / 1000,
+		RetryRatio: s.Bound("retryRatio", 0.2), RetrySlack: s.Bound("retrySlack", 0), MaxKeyHold: s.Span("holdMaxMs", 0).Seconds(), RecordVersion: uint64(time.Now().UnixMilli()),
+		Seed: rand.Uint64(), AgreedEjection: opts.Agreed, MaxBodyBytes: max(16, s.Limits.MemoryMB/memoryShare) << 20,
 		Log: func(e string, args ...any) { log.Info(e, args...) }}
 	if log.Enabled(ctx, slog.LevelDebug) {
 		o.Debug = func(e string, args ...any) { log.Debug(e, args...) }
@@ -76,7 +76,7 @@
 		p.mu.Unlock()
 		return err
 	}
-	p.net.Bound(int64(o.Memory) / 2)
+	p.net.Bound(int64(o.MaxBodyBytes) / 2)
 	if mbps := s.Limits.LinkMbps; mbps > 0 && mbps < slowLink {
 		p.net.Pace(mbps * 1e6 / 8 * linkShare)
 	}
@@ -100,7 +100,7 @@
 	}
 	clients := listener.Open(ln, bufs, p.limits, p.serve)
 	go cli.Settings(ctx, os.Getenv(bootstrap.Variable), reload, log, func(s *bootstrap.Settings) {
-		p.with(func(now float64) { p.sidecar.Seeds(now, s.Seeds()) })
+		p.with(func(now float64) { p.sidecar.SetSeeds(now, s.Seeds()) })
 	})
 	log.Info("listening", "name", s.NodeName, "outbound", s.Docking.Outbound, "inner", s.Inner())
 	go func() {
@@ -108,7 +108,7 @@
 		defer tick.Stop()
 		for range tick.C {
 			p.with(func(now float64) {
-				p.sidecar.Link(p.net.Backlog())
+				p.sidecar.SetLinkBacklog(p.net.Backlog())
 				p.sidecar.Tick(now)
 			})
 			clients.CheckClosed()
@@ -125,7 +125,7 @@
 	p.log.Info("ending")
 	told := time.Now()
 	last := told.Add(p.settings.Span("graceS", 6*time.Second) - lastSpare)
-	p.with(func(now float64) { p.sidecar.Term(now, noticeAfter.Seconds()) })
+	p.with(func(now float64) { p.sidecar.BeginShutdown(now, noticeAfter.Seconds()) })
 	clients.DisableKeepAlives()
 	for time.Now().Before(last) {
 		time.Sleep(tickEvery)
@@ -146,17 +146,17 @@
 	defer p.mu.Unlock()
 	input(p.clock.Now())
 	for {
-		out := p.sidecar.Take()
+		out := p.sidecar.TakeOutput()
 		for _, s := range out.Sends {
 			link := p.net.Send(s.To, s.Message)
 			if s.Via != nil {
 				*s.Via = link
 			}
 		}
-		for _, do := range out.Dos {
+		for _, do := range out.Commands {
 			switch do := do.(type) {
-			case sidecar.Tell:
-				do.Order.Slot.(chan sidecar.Reply) <- do.Reply
+			case sidecar.Respond:
+				do.Request.ReplyTo.(chan sidecar.Reply) <- do.Reply
 			case sidecar.Exchange:
 				ctx, cancel := context.WithCancel(context.Background())
 				p.running[do.Job] = cancel
@@ -170,11 +170,11 @@
 			case sidecar.Probe:
 				go func() {
 					station, well := p.host.Probe(do.Path)
-					p.with(func(now float64) { p.sidecar.Probed(now, station, well) })
+					p.with(func(now float64) { p.sidecar.ProbeDone(now, station, well) })
 				}()
 			}
 		}
-		if len(out.Sends) == 0 && len(out.Dos) == 0 {
+		if len(out.Sends) == 0 && len(out.Commands) == 0 {
 			return
 		}
 	}
@@ -184,22 +184,22 @@
 	p.with(func(now float64) {
 		switch e := e.(type) {
 		case transport.Came:
-			p.sidecar.Message(now, e.From, e.Message)
+			p.sidecar.Receive(now, e.From, e.Message)
 		case transport.Sign:
-			p.sidecar.Sign(now, e.From)
+			p.sidecar.NoteIncoming(now, e.From)
 		case transport.Broke:
-			p.sidecar.Broke(now, e)
+			p.sidecar.ConnectionLost(now, e)
 		}
 	})
 }
 
 // exchange sends a request to the host.
 func (p *program) exchange(ctx context.Context, do sidecar.Exchange) {
-	c := p.host.Run(ctx, do.Forward, p.clock.At(do.Until))
+	c := p.host.Run(ctx, do.Forward, p.clock.At(do.Deadline))
 	p.with(func(now float64) {
 		p.running[do.Job]()
 		delete(p.running, do.Job)
-		p.sidecar.Exchanged(now, do.Job, c)
+		p.sidecar.ExchangeDone(now, do.Job, c)
 	})
 }
 
@@ -211,10 +211,10 @@
 			within = releaseWithin
 		}
 		var result sidecar.KeyResult
-		if call.Release || p.clock.Now() < do.Before {
+		if call.Release || p.clock.Now() < do.GrantBefore {
 			result = p.host.CallKeys(call, time.Now().Add(within))
 		}
-		p.with(func(now float64) { p.sidecar.KeyCalled(now, call.ID, result) })
+		p.with(func(now float64) { p.sidecar.KeyCallDone(now, call.ID, result) })
 	}
 }
 
@@ -254,20 +254,20 @@
 
 // serve passes a client's request to the state machine and waits for the reply.
 func (p *program) serve(q *listener.Request) listener.Response {
-	o := &sidecar.Order{Method: q.Method, Target: q.Target, Host: q.Host, Fields: upstream.Fields(q.Header), Body: q.Body,
-		Framed: q.Framed, ID: q.Header.Get(sidecar.HeaderID), Key: q.Header.Get(sidecar.HeaderKey)}
+	o := &sidecar.Request{Method: q.Method, Target: q.Target, Host: q.Host, Fields: upstream.Fields(q.Header), Body: q.Body,
+		Framed: q.Framed, ID: q.Header.Get(sidecar.HeaderID), IdempotencyKey: q.Header.Get(sidecar.HeaderIdempotencyKey)}
 	if ms, err := strconv.ParseFloat(q.Header.Get(sidecar.HeaderDeadline), 64); err == nil && ms > 0 {
-		o.Left = ms / 1000
+		o.Timeout = ms / 1000
 	}
 	reply := make(chan sidecar.Reply, 1)
-	o.Slot = reply
+	o.ReplyTo = reply
 	q.NotifyClosed(func() { p.with(func(now float64) { p.sidecar.ClientLeft(now, o) }) })
-	p.with(func(now float64) { p.sidecar.Ask(now, o) })
+	p.with(func(now float64) { p.sidecar.Submit(now, o) })
 	return response(o, <-reply)
 }
 
 // response is the HTTP response for a reply.
-func response(o *sidecar.Order, r sidecar.Reply) listener.Response {
+func response(o *sidecar.Request, r sidecar.Reply) listener.Response {
 	if r.Status == 0 {
 		return listener.Response{}
 	}
@@ -280,12 +280,12 @@
 	if o.ID != "" {
 		a.Fields = append(a.Fields, listener.Field{Name: sidecar.HeaderID, Value: o.ID})
 	}
-	if r.Back > 0 {
-		a.Fields = append(a.Fields, listener.Field{Name: "Retry-After", Value: strconv.FormatFloat(r.Back, 'f', 3, 64)})
+	if r.RetryAfter > 0 {
+		a.Fields = append(a.Fields, listener.Field{Name: "Retry-After", Value: strconv.FormatFloat(r.RetryAfter, 'f', 3, 64)})
 	}
-	if r.Ours {
+	if r.FromProxy {
 		a.Fields = append(a.Fields, listener.Field{Name: "Content-Type", Value: "text/plain"})
-		a.Body = append([]byte(r.Why), '\n')
+		a.Body = append([]byte(r.Reason), '\n')
 	}
 	return a
 }
@@ -298,7 +298,7 @@
 		if err != nil {
 			return nil, err
 		}
-		p.with(func(now float64) { p.sidecar.Beat(now, s) })
+		p.with(func(now float64) { p.sidecar.Heartbeat(now, s) })
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if p.hostID != s.ID {
@@ -308,7 +308,7 @@
 		return nil, nil
 	})
 	api.Handle(mux, "DELETE /-/stations/{id}", api.SmallBody, func(c api.Call, _ *api.None) (*api.None, error) {
-		p.with(func(now float64) { p.sidecar.Leave(now, c.ID) })
+		p.with(func(now float64) { p.sidecar.HostSignedOff(now, c.ID) })
 		return nil, nil
 	})
 	api.Handle(mux, "GET /-/state", api.SmallBody, func(api.Call, *api.None) (s *sidecar.State, err error) {
@@ -322,36 +322,36 @@
 func (p *program) metrics(page cli.Page) {
 	var s sidecar.State
 	p.with(func(now float64) { s = p.sidecar.State(now) })
-	for status, n := range s.Counts.Answers {
+	for status, n := range s.Counts.Replies {
 		page.Count("beechwing_sidecar_answers_total", n, "status", strconv.Itoa(status))
 	}
-	countBy(page, "beechwing_sidecar_tries_total", "outcome", s.Counts.Tries)
-	countBy(page, "beechwing_sidecar_turned_away_total", "why", s.Counts.Turned)
+	countBy(page, "beechwing_sidecar_tries_total", "outcome", s.Counts.Attempts)
+	countBy(page, "beechwing_sidecar_turned_away_total", "why", s.Counts.Rejected)
 	page.Count("beechwing_sidecar_runs_total", s.Counts.Runs)
-	page.Count("beechwing_sidecar_late_runs_total", s.Counts.Late)
-	page.Count("beechwing_sidecar_doubts_total", s.Counts.Doubts)
+	page.Count("beechwing_sidecar_late_runs_total", s.Counts.LateRuns)
+	page.Count("beechwing_sidecar_doubts_total", s.Counts.PeerFailures)
 	countBy(page, "beechwing_sidecar_dropped_messages_total", "why", s.Counts.Dropped)
-	countBy(page, "beechwing_sidecar_clients_left_total", "place", s.Counts.Left)
+	countBy(page, "beechwing_sidecar_clients_left_total", "place", s.Counts.ClientsLeft)
 	countBy(page, "beechwing_sidecar_cancelled_total", "place", s.Counts.Cancelled)
 	page.Count("beechwing_sidecar_grants_total", s.Counts.Grants)
-	page.Count("beechwing_sidecar_grants_refused_total", s.Counts.NotGranted)
-	page.Count("beechwing_sidecar_tries_for_clients_left_total", s.Counts.Unasked)
+	page.Count("beechwing_sidecar_grants_refused_total", s.Counts.GrantsRefused)
+	page.Count("beechwing_sidecar_tries_for_clients_left_total", s.Counts.SentAfterClientLeft)
 	page.Count("beechwing_sidecar_host_connections_total", uint64(p.host.Opened()))
 	if k := s.Keys; k != nil {
 		page.Gauge("beechwing_sidecar_key_ranges", float64(k.Ranges), "state", "own")
 		page.Gauge("beechwing_sidecar_key_ranges", float64(k.Held), "state", "held")
 		page.Gauge("beechwing_sidecar_key_ranges", float64(k.Releasing), "state", "releasing")
-		page.Gauge("beechwing_sidecar_key_lease_left_seconds", k.Left)
+		page.Gauge("beechwing_sidecar_key_lease_left_seconds", k.LeaseLeftSeconds)
 	}
 	page.Gauge("beechwing_sidecar_edition", float64(s.Edition))
 	page.Flag("beechwing_sidecar_ready", s.Ready)
-	page.Gauge("beechwing_sidecar_requests_open", float64(s.Orders))
+	page.Gauge("beechwing_sidecar_requests_open", float64(s.Requests))
 	page.Gauge("beechwing_sidecar_host_requests", float64(s.Jobs))
 	page.Gauge("beechwing_sidecar_waiting", float64(s.Queued), "queue", "in time")
-	page.Gauge("beechwing_sidecar_waiting", float64(s.Waiting), "queue", "late")
-	page.Gauge("beechwing_sidecar_roll", float64(len(s.Roll)))
+	page.Gauge("beechwing_sidecar_waiting", float64(s.QueuedLate), "queue", "late")
+	page.Gauge("beechwing_sidecar_roll", float64(len(s.Records)))
 	page.Gauge("beechwing_sidecar_silent", float64(len(s.Silent)))
-	for service, n := range s.Avoided {
+	for service, n := range s.AvoidedHosts {
 		page.Gauge("beechwing_sidecar_avoided_hosts", float64(n), "carrier", service)
 	}
 }
--- a/internal/mesh/api/api.go
+++ b/internal/mesh/api/api.go
@@ -102,13 +102,13 @@
 }
 
 // Station validates a heartbeat and converts it to the data plane's record of the host.
-func (b *Beat) Station(id string) (sidecar.Station, error) {
-	s := sidecar.Station{ID: id, Carrier: b.Carrier, Address: b.Address, Zone: b.Zone, Berths: b.Berths, ColdMs: int(b.ColdLeftMs),
+func (b *Beat) Station(id string) (sidecar.Heartbeat, error) {
+	s := sidecar.Heartbeat{ID: id, Service: b.Carrier, Address: b.Address, Zone: b.Zone, Slots: b.Berths, WarmUpLeftMs: int(b.ColdLeftMs),
 		Sequence: b.Sequence}
 	switch strings.TrimSpace(b.Condition) {
 	case "at_dock":
 	case "unloading":
-		s.Unloading = true
+		s.Draining = true
 	default:
 		return s, Refusal{Status: http.StatusBadRequest, Why: "condition: neither at_dock nor unloading"}
 	}
--- a/internal/mesh/sidecar/actions.go
+++ b/internal/mesh/sidecar/actions.go
@@ -57,7 +57,7 @@
 func (p *Sidecar) sendTry(t *try) {
 	t.gateLife = p.peers[t.peer].life
 	if t.order.left {
-		p.count.Unasked++
+		p.count.SentAfterClientLeft++
 	}
 	parcel := p.question(t.id, &meshpb.Message{Forward: p.forward(t)})
 	if t.peer == p.o.Self {
@@ -80,8 +80,8 @@
 		Body:       o.Body,
 		Framed:     o.Framed,
 		LeftUs:     uint32(min(math.MaxUint32, max(0, o.deadline-p.now)*1e6)),
-		Sender:     p.o.Sender,
-		Key:        o.Key,
+		Sender:     p.o.Service,
+		Key:        o.IdempotencyKey,
 		Token:      o.token,
 		Precedence: uint32(max(0, o.route.Precedence)),
 		Repeatable: o.route.Repeatable(),
@@ -102,18 +102,18 @@
 	if p.waitsForHolder(o) {
 		return
 	}
-	r := Reply{Status: 503, Ours: true, Back: min(comeBackMost, max(comeBack, coolDown)), Why: "refused"}
+	r := Reply{Status: 503, FromProxy: true, RetryAfter: min(comeBackMost, max(comeBack, coolDown)), Reason: "refused"}
 	if o.holder != 0 {
-		r.Back = max(r.Back, keyBack)
+		r.RetryAfter = max(r.RetryAfter, keyBack)
 	}
 	if n := len(o.tries); n == 0 {
-		r.Why = "no room"
+		r.Reason = "no room"
 	}
 	if o.last != nil { // a host has spoken
 		r = p.hosts(o, o.last)
 	}
-	if o.claims && r.Ours { // what is promised not to run gives its key back
-		p.admission.settle(o.Key, &meshpb.Receipt{Token: o.token, State: register.Void})
+	if o.claims && r.FromProxy { // what is promised not to run gives its key back
+		p.admission.settle(o.IdempotencyKey, &meshpb.Receipt{Token: o.token, State: register.Void})
 	}
 	p.tell(o, r)
 	p.later(func() { p.forget(o) })
@@ -126,7 +126,7 @@
 	if o == nil || o.told {
 		return
 	}
-	r := Reply{Status: 502, Ours: true, Why: "it may have run"}
+	r := Reply{Status: 502, FromProxy: true, Reason: "it may have run"}
 	if o.last != nil {
 		r = p.hosts(o, o.last)
 	}
--- a/internal/mesh/sidecar/admission.go
+++ b/internal/mesh/sidecar/admission.go
@@ -108,7 +108,7 @@
 	case own.Station == "" || own.Station != c.Station:
 		g.turn(j, "another host is here", 0)
 		return
-	case own.Condition != AtDock:
+	case own.Condition != Serving:
 		g.turn(j, "the host leaves", 0)
 		return
 	case !g.holdsKey(c):
@@ -117,7 +117,7 @@
 	case sent < p.now && j.until <= p.now: // its sender may have given it up; a fresh one may go elsewhere
 		g.turn(j, "this process was stopped for longer than its time", 1)
 		return
-	case len(g.jobs) >= mostJobs || p.inUse+len(c.Body) > p.o.Memory:
+	case len(g.jobs) >= mostJobs || p.inUse+len(c.Body) > p.o.MaxBodyBytes:
 		g.turn(j, "too much is under way here", 1)
 		return
 	}
@@ -200,7 +200,7 @@
 			g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Expired)})
 		case own.Station != j.carry.Station || own.Condition == Gone:
 			g.turn(j, "the host has gone", 0)
-		case own.Condition != AtDock && g.p.now > g.p.discovery.leftAt+drainAfter:
+		case own.Condition != Serving && g.p.now > g.p.discovery.leftAt+drainAfter:
 			g.turn(j, "the host leaves", 0)
 		case !g.holdsKey(j.carry):
 			g.turn(j, whyNotHeld, notHeldBackMs)
@@ -285,16 +285,16 @@
 	j.sent = g.p.pauses.ran
 	g.p.count.Runs++
 	if j.late {
-		g.p.count.Late++
+		g.p.count.LateRuns++
 	}
 	c := j.carry
 	c.LeftUs = uint32(max(0, j.until-g.p.now) * 1e6)
-	g.p.out.Dos = append(g.p.out.Dos, Exchange{Job: j.id, Forward: c, Until: j.until + hostSlack})
+	g.p.out.Commands = append(g.p.out.Commands, Exchange{Job: j.id, Forward: c, Deadline: j.until + hostSlack})
 }
 
 // turn gives a request back before a byte of it went to the host. backMs is set where the host is full, and not gone.
 func (g *admission) turn(j *job, why string, backMs uint32) {
-	g.p.count.Turned[why]++
+	g.p.count.Rejected[why]++
 	g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Turned), Why: why, BackMs: backMs})
 }
 
@@ -319,7 +319,7 @@
 }
 
 // Exchanged takes the end of an Exchange.
-func (p *Sidecar) Exchanged(now float64, id uint64, c *meshpb.Forwarded) {
+func (p *Sidecar) ExchangeDone(now float64, id uint64, c *meshpb.Forwarded) {
 	p.input(now)
 	p.admission.exchanged(id, c)
 	p.settle()
--- a/internal/mesh/sidecar/admission_test.go
+++ b/internal/mesh/sidecar/admission_test.go
@@ -24,20 +24,20 @@
 
 func openDoor(t *testing.T) *door {
 	d := &door{t: t, now: 1, jobs: map[uint64]Exchange{}, told: map[uint64]*meshpb.Forwarded{}}
-	d.p = New(d.now, Options{Self: "here", Seeds: []string{"hall"}, Beat: 1.5, Memory: 1 << 20})
-	d.p.Beat(d.now, Station{ID: "i-1", Carrier: "shop", Berths: 4, Sequence: 1})
+	d.p = New(d.now, Options{Self: "here", Seeds: []string{"hall"}, HeartbeatInterval: 1.5, MaxBodyBytes: 1 << 20})
+	d.p.Heartbeat(d.now, Heartbeat{ID: "i-1", Service: "shop", Slots: 4, Sequence: 1})
 	d.take()
 	return d
 }
 
 func (d *door) take() {
-	out := d.p.Take()
+	out := d.p.TakeOutput()
 	for _, s := range out.Sends {
 		if s.Message.Forwarded != nil {
 			d.told[s.Message.Id] = s.Message.Forwarded
 		}
 	}
-	for _, do := range out.Dos {
+	for _, do := range out.Commands {
 		switch do := do.(type) {
 		case Exchange:
 			n := uint64(do.Forward.Token)
@@ -52,7 +52,7 @@
 // carry brings a request that has been turned away elsewhere, with so many seconds to its aim and its end.
 func (d *door) carry(aim, left float64) uint64 {
 	d.next++
-	d.p.Message(d.now, "there", &meshpb.Message{Id: d.next, Forward: &meshpb.Forward{Station: "i-1", Token: d.next, Attempt: 1,
+	d.p.Receive(d.now, "there", &meshpb.Message{Id: d.next, Forward: &meshpb.Forward{Station: "i-1", Token: d.next, Attempt: 1,
 		AimUs: uint32(aim * 1e6), LeftUs: uint32(left * 1e6), Repeatable: true}})
 	d.take()
 	return d.next
@@ -66,7 +66,7 @@
 
 // answer has the host answer a request.
 func (d *door) answer(n uint64) {
-	d.p.Exchanged(d.now, d.jobs[n].Job, &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200})
+	d.p.ExchangeDone(d.now, d.jobs[n].Job, &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200})
 	d.take()
 }
 
@@ -165,12 +165,12 @@
 	const perByte = 1.0 / (2 << 20) // 100 KB take 49 ms
 	large := func(aim float64) uint64 {
 		d.next++
-		d.p.Message(d.now, "there", &meshpb.Message{Id: d.next, Forward: &meshpb.Forward{Station: "i-1", Token: d.next, Attempt: 1, Class: 9,
+		d.p.Receive(d.now, "there", &meshpb.Message{Id: d.next, Forward: &meshpb.Forward{Station: "i-1", Token: d.next, Attempt: 1, Class: 9,
 			AimUs: uint32(aim * 1e6), LeftUs: 3e6, Repeatable: true}})
 		d.take()
 		return d.next
 	}
-	d.p.Link(0.15, perByte)
+	d.p.SetLinkBacklog(0.15, perByte)
 	if n := large(0.2); d.told[n] != nil {
 		t.Errorf("turned away with 0.15 s to wait and 0.2 s to its aim: %v", d.told[n])
 	}
--- a/internal/mesh/sidecar/arrivals_test.go
+++ b/internal/mesh/sidecar/arrivals_test.go
@@ -18,7 +18,7 @@
 }
 
 func (d *door) hears(m *meshpb.Message) {
-	d.p.Message(d.now, "there", m)
+	d.p.Receive(d.now, "there", m)
 	d.take()
 }
 
@@ -58,7 +58,7 @@
 	d := openDoor(t)
 	d.hears(numbered(1, someLife))
 	d.hears(numbered(1, someLife+1))
-	d.p.Message(d.now, "elsewhere", numbered(1, someLife))
+	d.p.Receive(d.now, "elsewhere", numbered(1, someLife))
 	d.take()
 	if len(d.runs) != 3 {
 		t.Errorf("%d runs of three requests", len(d.runs))
@@ -73,7 +73,7 @@
 	d.answer(10)
 	for beat := range uint64(2 * rememberFor) {
 		d.pass(1)
-		d.p.Beat(d.now, Station{ID: "i-1", Carrier: "shop", Berths: 4, Sequence: 2 + beat})
+		d.p.Heartbeat(d.now, Heartbeat{ID: "i-1", Service: "shop", Slots: 4, Sequence: 2 + beat})
 	}
 	d.hears(numbered(20, someLife+1)) // its sender has started again
 	d.answer(20)
@@ -135,7 +135,7 @@
 func TestForwardNamesTheProcessItIsFor(t *testing.T) {
 	c := newCaller(6)
 	ask := func(id string) (string, *meshpb.Message) {
-		c.p.Ask(c.now, &Order{Method: "GET", Target: "/x/1", Host: "h.example", ID: id, Left: 5})
+		c.p.Submit(c.now, &Request{Method: "GET", Target: "/x/1", Host: "h.example", ID: id, Timeout: 5})
 		c.take()
 		return c.question(t, func(m *meshpb.Message) bool { return m.Forward != nil })
 	}
@@ -150,7 +150,7 @@
 		c.hears(other, &meshpb.Message{Id: 1, Life: 40, Ping: &meshpb.Ping{}})
 	}
 	for _, peer := range []string{"p1", "p2"} {
-		c.p.Broke(c.now, transport.Broke{Peer: peer, Link: 1})
+		c.p.ConnectionLost(c.now, transport.Broke{Peer: peer, Link: 1})
 	}
 	if peer, q := ask("last"); q.Forward.GateLife != 0 {
 		t.Errorf("the connection to %s broke, and the request is for its process %d", peer, q.Forward.GateLife)
@@ -164,15 +164,15 @@
 	m := numbered(1, someLife)
 	m.Forward.Key = "k"
 	var asked *meshpb.Message
-	d.p.Message(d.now, "there", m)
-	for _, s := range d.p.Take().Sends {
+	d.p.Receive(d.now, "there", m)
+	for _, s := range d.p.TakeOutput().Sends {
 		asked = s.Message
 	}
 	granted := &meshpb.Claimed{State: register.Claimed, Token: 1}
-	d.p.Message(d.now, "hall", meshpb.Answer(asked, &meshpb.Message{Claimed: granted}))
+	d.p.Receive(d.now, "hall", meshpb.Answer(asked, &meshpb.Message{Claimed: granted}))
 	d.take()
-	d.p.Exchanged(d.now, d.jobs[1].Job, &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200})
-	for _, s := range d.p.Take().Sends {
+	d.p.ExchangeDone(d.now, d.jobs[1].Job, &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200})
+	for _, s := range d.p.TakeOutput().Sends {
 		if s.Message.Settle != nil {
 			asked = s.Message
 		}
@@ -181,7 +181,7 @@
 		t.Error("idle with the end of a run not taken")
 	}
 	taken := &meshpb.Claimed{State: register.Done, Token: 1}
-	d.p.Message(d.now, "hall", meshpb.Answer(asked, &meshpb.Message{Claimed: taken}))
+	d.p.Receive(d.now, "hall", meshpb.Answer(asked, &meshpb.Message{Claimed: taken}))
 	if !d.p.Idle() {
 		t.Error("not idle though all is told")
 	}
--- a/internal/mesh/sidecar/calls_test.go
+++ b/internal/mesh/sidecar/calls_test.go
@@ -23,15 +23,15 @@
 func newCaller(seed uint64) *caller {
 	c := &caller{now: 1, asked: map[string][]*meshpb.Message{}}
 	c.p = New(c.now, Options{
-		Self:   "here",
-		Zone:   "a",
-		Sender: "till",
-		Seeds:  []string{"hall"},
-		Beat:   1.5,
-		Memory: 1 << 20,
-		Ratio:  0.2,
-		Slack:  60,
-		Seed:   seed,
+		Self:              "here",
+		Zone:              "a",
+		Service:           "till",
+		Seeds:             []string{"hall"},
+		HeartbeatInterval: 1.5,
+		MaxBodyBytes:      1 << 20,
+		RetryRatio:        0.2,
+		RetrySlack:        60,
+		Seed:              seed,
 	})
 	answerPull(c.p, c.now, &meshpb.Update{
 		FromServer: true,
@@ -39,23 +39,23 @@
 		Text:       []byte(oneRoute),
 		Servers:    []string{"hall", "annex"},
 		Records: []*meshpb.Record{
-			{Source: "p1", Version: 1, Station: "i-1", Carrier: "shop", Zone: "a", Berths: 4, Condition: AtDock},
-			{Source: "p2", Version: 1, Station: "i-2", Carrier: "shop", Zone: "a", Berths: 4, Condition: AtDock},
+			{Source: "p1", Version: 1, Station: "i-1", Carrier: "shop", Zone: "a", Berths: 4, Condition: Serving},
+			{Source: "p2", Version: 1, Station: "i-2", Carrier: "shop", Zone: "a", Berths: 4, Condition: Serving},
 		},
 	})
-	c.p.Beat(c.now, Station{ID: "i-0", Carrier: "till", Berths: 4, Sequence: 1})
+	c.p.Heartbeat(c.now, Heartbeat{ID: "i-0", Service: "till", Slots: 4, Sequence: 1})
 	c.take()
 	return c
 }
 
 func (c *caller) take() {
-	out := c.p.Take()
+	out := c.p.TakeOutput()
 	for _, s := range out.Sends {
 		c.asked[s.To] = append(c.asked[s.To], s.Message)
 	}
-	for _, do := range out.Dos {
+	for _, do := range out.Commands {
 		switch do := do.(type) {
-		case Tell:
+		case Respond:
 			c.replies = append(c.replies, do.Reply)
 		case Exchange:
 			c.runs++
@@ -65,7 +65,7 @@
 
 // hears gives the proxy a message.
 func (c *caller) hears(from string, m *meshpb.Message) {
-	c.p.Message(c.now, from, proto.Clone(m).(*meshpb.Message))
+	c.p.Receive(c.now, from, proto.Clone(m).(*meshpb.Message))
 	c.take()
 }
 
@@ -119,7 +119,7 @@
 // and once.
 func TestForwardedCountsFromWhomWasAsked(t *testing.T) {
 	c := newCaller(1)
-	c.p.Ask(c.now, &Order{Method: "GET", Target: "/x/1", Host: "h.example", ID: "q1", Left: 5})
+	c.p.Submit(c.now, &Request{Method: "GET", Target: "/x/1", Host: "h.example", ID: "q1", Timeout: 5})
 	c.take()
 	peer, q := c.question(t, func(m *meshpb.Message) bool { return m.Forward != nil })
 	answered := &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200}
@@ -185,7 +185,7 @@
 // A pong counts only as the answer to the open ping: others say nothing of how long answers take.
 func TestPongCountsFromWhomWasAsked(t *testing.T) {
 	c := newCaller(4)
-	c.p.Ask(c.now, &Order{Method: "GET", Target: "/x/1", Host: "h.example", ID: "q1", Left: 5})
+	c.p.Submit(c.now, &Request{Method: "GET", Target: "/x/1", Host: "h.example", ID: "q1", Timeout: 5})
 	c.pass(0.1)
 	peer, q := c.question(t, func(m *meshpb.Message) bool { return m.Ping != nil })
 	right := meshpb.Answer(q, &meshpb.Message{Pong: &meshpb.Ping{}})
@@ -229,7 +229,7 @@
 // A try whose answer never counts is let go of after its client's time: nothing stays under way for ever.
 func TestLostAnswerLeavesNothingUnderWay(t *testing.T) {
 	c := newCaller(5)
-	c.p.Ask(c.now, &Order{Method: "GET", Target: "/x/1", Host: "h.example", ID: "q1", Left: 1})
+	c.p.Submit(c.now, &Request{Method: "GET", Target: "/x/1", Host: "h.example", ID: "q1", Timeout: 1})
 	c.take()
 	for range 250 { // its proxy lives, and says nothing of it
 		c.pass(0.02)
--- a/internal/mesh/sidecar/claims_test.go
+++ b/internal/mesh/sidecar/claims_test.go
@@ -32,11 +32,11 @@
 		if c.now >= beats {
 			beats += 1.5
 			c.beats++
-			c.p.Beat(c.now, Station{ID: "i-1", Carrier: "shop", Berths: 4, Sequence: 1 + c.beats})
+			c.p.Heartbeat(c.now, Heartbeat{ID: "i-1", Service: "shop", Slots: 4, Sequence: 1 + c.beats})
 		}
 		for due += rate * tick; due >= 1; due-- {
 			c.next++
-			c.p.Message(c.now, "there", &meshpb.Message{Id: c.next, Life: 9, Forward: &meshpb.Forward{Station: "i-1", Token: c.next,
+			c.p.Receive(c.now, "there", &meshpb.Message{Id: c.next, Life: 9, Forward: &meshpb.Forward{Station: "i-1", Token: c.next,
 				Key: fmt.Sprint("k", c.next), AimUs: 4e5, LeftUs: 1e6}})
 		}
 		c.p.Tick(c.now)
@@ -47,8 +47,8 @@
 // settleAll carries claims and ends of runs with their answers, and has the host answer at once, until nothing is left to carry.
 func (c *claimants) settleAll() {
 	for {
-		out := c.p.Take()
-		if len(out.Sends) == 0 && len(out.Dos) == 0 {
+		out := c.p.TakeOutput()
+		if len(out.Sends) == 0 && len(out.Commands) == 0 {
 			return
 		}
 		for _, s := range out.Sends {
@@ -61,12 +61,12 @@
 			token := s.Message.Claim.GetToken() | s.Message.Settle.GetReceipt().GetToken()
 			if answer := c.answer(s.Message.Claim); token > 0 && answer != nil {
 				answer.Token = token
-				c.p.Message(c.now, s.To, &meshpb.Message{Id: s.Message.Id, Life: s.Message.Life, Claimed: answer})
+				c.p.Receive(c.now, s.To, &meshpb.Message{Id: s.Message.Id, Life: s.Message.Life, Claimed: answer})
 			}
 		}
-		for _, do := range out.Dos {
+		for _, do := range out.Commands {
 			if x, ok := do.(Exchange); ok {
-				c.p.Exchanged(c.now, x.Job, &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200})
+				c.p.ExchangeDone(c.now, x.Job, &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200})
 			}
 		}
 	}
@@ -140,13 +140,13 @@
 	c := openClaimants(t)
 	var first *meshpb.Message
 	c.next++
-	c.p.Message(c.now, "there", &meshpb.Message{Id: c.next, Life: 9, Forward: &meshpb.Forward{Station: "i-1", Token: 1, Key: "k",
+	c.p.Receive(c.now, "there", &meshpb.Message{Id: c.next, Life: 9, Forward: &meshpb.Forward{Station: "i-1", Token: 1, Key: "k",
 		AimUs: 4e5, LeftUs: 1e6}})
 	claims := 0
 	asked := ""
 	for until := c.now + 0.2; c.now < until; c.now += 0.01 {
 		c.p.Tick(c.now)
-		for _, s := range c.p.Take().Sends {
+		for _, s := range c.p.TakeOutput().Sends {
 			if s.Message.Claim == nil {
 				continue
 			}
@@ -158,8 +158,8 @@
 	if claims != 2 {
 		t.Fatalf("%d control processes are asked within 0.2 s", claims)
 	}
-	c.p.Message(c.now, asked, &meshpb.Message{Id: first.Id, Life: first.Life, Claimed: &meshpb.Claimed{State: register.Claimed, Token: 1}})
-	if len(c.p.Take().Dos) != 1 {
+	c.p.Receive(c.now, asked, &meshpb.Message{Id: first.Id, Life: first.Life, Claimed: &meshpb.Claimed{State: register.Claimed, Token: 1}})
+	if len(c.p.TakeOutput().Commands) != 1 {
 		t.Error("the request does not go to the host")
 	}
 }
--- a/internal/mesh/sidecar/departure.go
+++ b/internal/mesh/sidecar/departure.go
@@ -30,7 +30,7 @@
 const whyLeft = "its client has left"
 
 // ClientLeft takes word that the client of a request closed its connection before the answer.
-func (p *Sidecar) ClientLeft(now float64, o *Order) {
+func (p *Sidecar) ClientLeft(now float64, o *Request) {
 	p.input(now)
 	if o.told || p.orders[o.id] != o {
 		return
@@ -40,11 +40,11 @@
 		place = leftSent
 	}
 	o.left = true
-	p.count.Left[place]++
+	p.count.ClientsLeft[place]++
 	if p.o.Debug != nil {
 		p.o.Debug("client left", "id", o.ID, "place", place, "tries", len(o.tries), "service", o.service, "after", now-o.taken)
 	}
-	p.tell(o, Reply{Ours: true, Why: whyLeft})
+	p.tell(o, Reply{FromProxy: true, Reason: whyLeft})
 	if s := p.services[o.service]; s != nil {
 		s.bal.Gone(now, balancer.RequestID(o.id)) // it has the tries that are out cancelled
 	}
@@ -79,7 +79,7 @@
 func (p *Sidecar) endLeft(t *try, v outcome.Outcome) {
 	o := t.order
 	if o.claims && o.arrivals == 0 && v.NeverRan() {
-		p.admission.settle(o.Key, &meshpb.Receipt{Token: o.token, State: register.Void})
+		p.admission.settle(o.IdempotencyKey, &meshpb.Receipt{Token: o.token, State: register.Void})
 	}
 	p.ended(t, balancer.Cancelled, nil, whyLeft)
 }
@@ -101,7 +101,7 @@
 		place = cancelFinishes
 	default:
 		place = cancelRunning
-		g.p.out.Dos = append(g.p.out.Dos, Abort{Job: j.id})
+		g.p.out.Commands = append(g.p.out.Commands, Abort{Job: j.id})
 		g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Cancelled), Why: whyLeft})
 	}
 	g.p.count.Cancelled[place]++
--- a/internal/mesh/sidecar/departure_test.go
+++ b/internal/mesh/sidecar/departure_test.go
@@ -9,7 +9,7 @@
 
 // cancel has the other proxy take a request back.
 func (d *door) cancel(n uint64) {
-	d.p.Message(d.now, "there", &meshpb.Message{Cancel: &meshpb.Cancel{Forward: n}})
+	d.p.Receive(d.now, "there", &meshpb.Message{Cancel: &meshpb.Cancel{Forward: n}})
 	d.take()
 }
 
@@ -67,7 +67,7 @@
 	d := openDoor(t)
 	d.next++
 	n := d.next
-	d.p.Message(d.now, "there", &meshpb.Message{Id: n, Forward: &meshpb.Forward{Station: "i-1", Token: n, AimUs: 1e6, LeftUs: 1e6}})
+	d.p.Receive(d.now, "there", &meshpb.Message{Id: n, Forward: &meshpb.Forward{Station: "i-1", Token: n, AimUs: 1e6, LeftUs: 1e6}})
 	d.take()
 	d.cancel(n)
 	if d.told[n] != nil || len(d.aborted) > 0 {
@@ -81,8 +81,8 @@
 func TestCancellationAheadOfItsRequest(t *testing.T) {
 	d := openDoor(t)
 	const life, id = 9, 77
-	d.p.Message(d.now, "there", &meshpb.Message{Life: life, Cancel: &meshpb.Cancel{Forward: id}})
-	d.p.Message(d.now, "there", &meshpb.Message{Id: id, Life: life, Forward: &meshpb.Forward{Station: "i-1", Token: id, AimUs: 1e6, LeftUs: 1e6}})
+	d.p.Receive(d.now, "there", &meshpb.Message{Life: life, Cancel: &meshpb.Cancel{Forward: id}})
+	d.p.Receive(d.now, "there", &meshpb.Message{Id: id, Life: life, Forward: &meshpb.Forward{Station: "i-1", Token: id, AimUs: 1e6, LeftUs: 1e6}})
 	d.take()
 	if len(d.runs) > 0 {
 		t.Error("it runs")
@@ -93,8 +93,8 @@
 func TestCancellationOfAnothersRequest(t *testing.T) {
 	d := openDoor(t)
 	n := d.carry(1, 2)
-	d.p.Message(d.now, "elsewhere", &meshpb.Message{Cancel: &meshpb.Cancel{Forward: n}})
-	d.p.Message(d.now, "there", &meshpb.Message{Life: 5, Cancel: &meshpb.Cancel{Forward: n}})
+	d.p.Receive(d.now, "elsewhere", &meshpb.Message{Cancel: &meshpb.Cancel{Forward: n}})
+	d.p.Receive(d.now, "there", &meshpb.Message{Life: 5, Cancel: &meshpb.Cancel{Forward: n}})
 	d.take()
 	if len(d.aborted) > 0 || d.told[n] != nil {
 		t.Errorf("taken back by another: %v, %v", d.aborted, d.told[n])
--- a/internal/mesh/sidecar/discovery.go
+++ b/internal/mesh/sidecar/discovery.go
@@ -17,10 +17,10 @@
 
 // The conditions of a host, as records tell them.
 const (
-	Unknown   = meshpb.Unknown
-	AtDock    = meshpb.AtDock
-	Unloading = meshpb.Unloading
-	Gone      = meshpb.Gone
+	Unknown  = meshpb.Unknown
+	Serving  = meshpb.AtDock
+	Draining = meshpb.Unloading
+	Gone     = meshpb.Gone
 )
 
 const (
@@ -72,7 +72,7 @@
 
 func (n *discovery) begin(p *Sidecar) {
 	n.p = p
-	n.own = &meshpb.Record{Source: p.o.Self, Version: p.o.Version, Carrier: p.o.Sender, Zone: p.o.Zone}
+	n.own = &meshpb.Record{Source: p.o.Self, Version: p.o.RecordVersion, Carrier: p.o.Service, Zone: p.o.Zone}
 	n.records = map[string]*meshpb.Record{p.o.Self: n.own}
 	n.gone = map[string]tombstone{}
 	n.watch = map[string]uint64{}
@@ -82,16 +82,16 @@
 }
 
 // Station is what a host says of itself in a beat.
-type Station struct {
-	ID, Carrier, Address, Zone string
-	Berths                     int
-	Unloading                  bool
-	ColdMs                     int
+type Heartbeat struct {
+	ID, Service, Address, Zone string
+	Slots                      int
+	Draining                   bool
+	WarmUpLeftMs               int
 	Sequence                   uint64
 }
 
 // Beat takes a host's word. From here on nothing new goes to one that leaves: it may be acknowledged. A late beat is too.
-func (p *Sidecar) Beat(now float64, s Station) {
+func (p *Sidecar) Heartbeat(now float64, s Heartbeat) {
 	p.input(now)
 	n := &p.discovery
 	if slices.Contains(n.former, s.ID) || s.ID == n.own.Station && !n.counts(s) {
@@ -99,13 +99,13 @@
 	}
 	n.replace(s.ID)
 	n.beatRan, n.sequence, n.signed = p.pauses.ran, s.Sequence, false
-	condition := AtDock
-	if s.Unloading {
-		condition = Unloading
+	condition := Serving
+	if s.Draining {
+		condition = Draining
 	}
 	n.change(func(r *meshpb.Record) {
-		r.Station, r.Carrier, r.Zone, r.Berths = s.ID, cmp.Or(s.Carrier, r.Carrier), cmp.Or(s.Zone, r.Zone), uint32(max(0, s.Berths))
-		r.ColdMs, r.Condition = uint32(max(0, s.ColdMs)), condition
+		r.Station, r.Carrier, r.Zone, r.Berths = s.ID, cmp.Or(s.Service, r.Carrier), cmp.Or(s.Zone, r.Zone), uint32(max(0, s.Slots))
+		r.ColdMs, r.Condition = uint32(max(0, s.WarmUpLeftMs)), condition
 	})
 	p.settle()
 }
@@ -123,30 +123,30 @@
 
 // counts says whether a further beat of the host here is no late one. A host that has signed off stays gone. One that was taken
 // for gone because its beats were missing is back with its next one.
-func (n *discovery) counts(s Station) bool {
+func (n *discovery) counts(s Heartbeat) bool {
 	switch {
 	case n.signed, s.Sequence < n.sequence:
 		return false
 	case n.own.Condition == Gone:
 		return s.Sequence > n.sequence
-	case n.own.Condition == Unloading && !n.ending && !s.Unloading:
+	case n.own.Condition == Draining && !n.ending && !s.Draining:
 		return s.Sequence > n.sequence
 	}
 	return true
 }
 
 // Probed takes what the host beside this proxy answered: a proxy that has just started need not wait for its next beat.
-func (p *Sidecar) Probed(now float64, station string, well bool) {
+func (p *Sidecar) ProbeDone(now float64, station string, well bool) {
 	p.input(now)
 	if n := &p.discovery; station != "" && well && n.own.Station == "" {
 		n.beatRan = p.pauses.ran
-		n.change(func(r *meshpb.Record) { r.Station, r.Condition = station, AtDock })
+		n.change(func(r *meshpb.Record) { r.Station, r.Condition = station, Serving })
 	}
 	p.settle()
 }
 
 // Leave takes a host's sign-off.
-func (p *Sidecar) Leave(now float64, id string) {
+func (p *Sidecar) HostSignedOff(now float64, id string) {
 	p.input(now)
 	if n := &p.discovery; id == n.own.Station {
 		n.signed = true
@@ -213,7 +213,7 @@
 			continue
 		}
 		h := balancer.Host{ID: hostID(r.Station), Zone: n.zone(r.Zone), Status: balancer.Ready}
-		if r.Condition == Unloading || r.Leaving {
+		if r.Condition == Draining || r.Leaving {
 			h.Status = balancer.Draining
 		}
 		at := was[r.Carrier+" "+source] // a new life on the same machine is taken for as fast as the last
@@ -266,7 +266,7 @@
 		pull.Edition = n.p.table.Edition
 	}
 	pull.Assignments = n.p.shards.version()
-	if n.p.o.Agreed {
+	if n.p.o.AgreedEjection {
 		w := &n.p.witness
 		pull.Observations, pull.Accused, pull.EjectionLists = w.words(n.p.now), w.accused, w.version
 	}
@@ -358,7 +358,7 @@
 	}
 	changed = !maps.Equal(silent, n.silent)
 	n.silent = silent
-	return p.o.Agreed && p.witness.ruled(p.now, w) || changed
+	return p.o.AgreedEjection && p.witness.ruled(p.now, w) || changed
 }
 
 // pulled tells another proxy what it lacks of what is known here: those that watch this one ask while no control process
@@ -398,7 +398,7 @@
 }
 
 // Seeds takes over other seeds: the settings file has changed.
-func (p *Sidecar) Seeds(now float64, seeds []string) {
+func (p *Sidecar) SetSeeds(now float64, seeds []string) {
 	p.input(now)
 	p.o.Seeds = seeds
 	p.settle()
@@ -419,12 +419,12 @@
 		n.ask(false)
 	}
 	if n.own.Station == "" && !n.ending && p.table != nil && p.now >= n.probeAt { // its next beat may be a while
-		if s := p.table.Service(p.o.Sender); s != nil && s.HealthPath != "" {
+		if s := p.table.Service(p.o.Service); s != nil && s.HealthPath != "" {
 			n.probeAt = p.now + probeEvery
-			p.out.Dos = append(p.out.Dos, Probe{s.HealthPath})
+			p.out.Commands = append(p.out.Commands, Probe{s.HealthPath})
 		}
 	}
-	if p.o.Agreed && p.witness.tick(p.now) {
+	if p.o.AgreedEjection && p.witness.tick(p.now) {
 		n.list()
 	}
 	if p.now >= n.weighAt {
@@ -436,7 +436,7 @@
 			}
 		}
 	}
-	if n.own.Condition == AtDock && p.o.Beat > 0 && p.pauses.ran > n.beatRan+beatsMissed*p.o.Beat {
+	if n.own.Condition == Serving && p.o.HeartbeatInterval > 0 && p.pauses.ran > n.beatRan+beatsMissed*p.o.HeartbeatInterval {
 		n.change(func(r *meshpb.Record) { r.Condition = Gone })
 	}
 	if p.now > n.heardAt+watchEvery && p.now >= n.watchAt {
--- a/internal/mesh/sidecar/dispatch.go
+++ b/internal/mesh/sidecar/dispatch.go
@@ -14,14 +14,14 @@
 
 // The headers of the operators' protocol.
 const (
-	HeaderID        = "Beechwing-Consignment-Id"
-	HeaderDeadline  = "Beechwing-Deadline-Ms"
-	HeaderKey       = "Beechwing-Once-Key"
-	HeaderPostmark  = "Beechwing-Postmark"
-	HeaderAddressee = "Beechwing-Addressee"
-	HeaderSender    = "Beechwing-Sender-Carrier"
-	HeaderUnrun     = "Beechwing-Undelivered"
-	HeaderStation   = "Beechwing-Station"
+	HeaderID             = "Beechwing-Consignment-Id"
+	HeaderDeadline       = "Beechwing-Deadline-Ms"
+	HeaderIdempotencyKey = "Beechwing-Once-Key"
+	HeaderPostmark       = "Beechwing-Postmark"
+	HeaderAddressee      = "Beechwing-Addressee"
+	HeaderSender         = "Beechwing-Sender-Carrier"
+	HeaderNotRun         = "Beechwing-Undelivered"
+	HeaderStation        = "Beechwing-Station"
 )
 
 const (
@@ -49,14 +49,14 @@
 )
 
 // Order is one request of a client's.
-type Order struct {
+type Request struct {
 	Method, Target, Host string
 	Fields               []*meshpb.Field
 	Body                 []byte
 	Framed               bool // it came with a body, of whatever length
-	ID, Key              string
-	Left                 float64 // seconds that the client waits; 0: it did not say
-	Slot                 any     // the program's
+	ID, IdempotencyKey   string
+	Timeout              float64 // seconds that the client waits; 0: it did not say
+	ReplyTo              any     // the program's
 
 	id       uint64
 	taken    float64
@@ -77,17 +77,17 @@
 
 // Reply is the answer to a client. It has no status where the client has left: nothing is to be written then.
 type Reply struct {
-	Status int
-	Fields []*meshpb.Field
-	Body   []byte
-	Back   float64 // seconds until the client may come again; 0: not told
-	Ours   bool    // not a host's
-	Why    string
+	Status     int
+	Fields     []*meshpb.Field
+	Body       []byte
+	RetryAfter float64 // seconds until the client may come again; 0: not told
+	FromProxy  bool    // not a host's
+	Reason     string
 }
 
 // try is one sending of an order.
 type try struct {
-	order    *Order
+	order    *Request
 	id       uint64
 	number   int
 	host     balancer.HostID
@@ -158,39 +158,39 @@
 }
 
 // Ask takes a request. It is answered exactly once, by a Tell.
-func (p *Sidecar) Ask(now float64, o *Order) {
+func (p *Sidecar) Submit(now float64, o *Request) {
 	p.input(now)
 	o.taken = now
 	p.ask(o)
 	p.settle()
 }
 
-func (p *Sidecar) ask(o *Order) {
+func (p *Sidecar) ask(o *Request) {
 	if p.table == nil {
-		p.tell(o, Reply{Status: 503, Back: comeBackMost, Ours: true, Why: "no configuration yet"})
+		p.tell(o, Reply{Status: 503, RetryAfter: comeBackMost, FromProxy: true, Reason: "no configuration yet"})
 		return
 	}
 	if o.route = p.table.Match(o.Host, o.Target); o.route == nil {
-		p.tell(o, Reply{Status: 404, Ours: true, Why: "no route"})
+		p.tell(o, Reply{Status: 404, FromProxy: true, Reason: "no route"})
 		return
 	}
 	o.class = classOf(o.route)
-	word := o.Key
+	word := o.IdempotencyKey
 	if word == "" {
 		word = o.ID
 	}
 	o.service = o.route.ServiceFor(word)
 	s := p.services[o.service]
 	if s == nil {
-		p.tell(o, Reply{Status: 503, Back: noHostsBack, Ours: true, Why: "no hosts"})
+		p.tell(o, Reply{Status: 503, RetryAfter: noHostsBack, FromProxy: true, Reason: "no hosts"})
 		return
 	}
-	if o.route.RouteKind == routeconfig.Tracked && o.Key != "" {
-		o.Key = o.Host + "\x00" + o.Key // one of the same tenant's, whom the host name tells apart
+	if o.route.RouteKind == routeconfig.Tracked && o.IdempotencyKey != "" {
+		o.IdempotencyKey = o.Host + "\x00" + o.IdempotencyKey // one of the same tenant's, whom the host name tells apart
 	} else {
-		o.Key = ""
+		o.IdempotencyKey = ""
 	}
-	left := min(o.Left, mostLeft)
+	left := min(o.Timeout, mostLeft)
 	if left <= 0 {
 		left = defaultLeft
 	}
@@ -201,12 +201,12 @@
 	o.shardKey = noKey
 	if p.sharded(o.service) {
 		if o.shardKey = keyOf(o.Fields); o.shardKey == noKey {
-			p.tell(o, Reply{Status: 400, Ours: true, Why: HeaderShardKey + ": is to be a number from 0 to 65535"})
+			p.tell(o, Reply{Status: 400, FromProxy: true, Reason: HeaderShardKey + ": is to be a number from 0 to 65535"})
 			return
 		}
 	}
-	if p.inUse+len(o.Body) > p.o.Memory {
-		p.tell(o, Reply{Status: 503, Back: comeBackMost, Ours: true, Why: "no memory for its body"})
+	if p.inUse+len(o.Body) > p.o.MaxBodyBytes {
+		p.tell(o, Reply{Status: 503, RetryAfter: comeBackMost, FromProxy: true, Reason: "no memory for its body"})
 		return
 	}
 	p.inUse += len(o.Body)
@@ -222,7 +222,7 @@
 }
 
 // request puts an order to the module of its service.
-func (p *Sidecar) request(o *Order) {
+func (p *Sidecar) request(o *Request) {
 	s := p.services[o.service]
 	if s == nil {
 		return // its service is gone: it ends with its time
@@ -232,9 +232,9 @@
 }
 
 // over ends an order whose time is over.
-func (p *Sidecar) over(o *Order) {
+func (p *Sidecar) over(o *Request) {
 	if !o.told {
-		reply := Reply{Status: 504, Ours: true, Why: "its time was over"}
+		reply := Reply{Status: 504, FromProxy: true, Reason: "its time was over"}
 		if o.last != nil {
 			reply = p.hosts(o, o.last)
 		}
@@ -250,7 +250,7 @@
 }
 
 // endStrays ends the tries of an order that nobody has ended, and will not: their answer was lost, or belonged to nothing.
-func (p *Sidecar) endStrays(o *Order) {
+func (p *Sidecar) endStrays(o *Request) {
 	for _, t := range o.tries {
 		if p.leave(t) {
 			p.outcome(t, balancer.TimedOut, true)
@@ -260,23 +260,23 @@
 }
 
 // tell gives an order its answer.
-func (p *Sidecar) tell(o *Order, r Reply) {
+func (p *Sidecar) tell(o *Request, r Reply) {
 	if o.told {
 		return
 	}
 	o.told = true
 	if !o.left {
-		p.count.Answers[r.Status]++
+		p.count.Replies[r.Status]++
 	}
-	p.out.Dos = append(p.out.Dos, Tell{o, r})
+	p.out.Commands = append(p.out.Commands, Respond{o, r})
 	if p.o.Debug != nil {
-		p.o.Debug("answered", "id", o.ID, "status", r.Status, "ours", r.Ours, "why", r.Why, "tries", len(o.tries),
+		p.o.Debug("answered", "id", o.ID, "status", r.Status, "ours", r.FromProxy, "why", r.Reason, "tries", len(o.tries),
 			"service", o.service, "took", p.now-o.taken)
 	}
 }
 
 // forget lets go of an order that is answered and has nothing out.
-func (p *Sidecar) forget(o *Order) {
+func (p *Sidecar) forget(o *Request) {
 	if !o.told || p.orders[o.id] == nil || slices.ContainsFunc(o.tries, func(t *try) bool { return t.out }) {
 		return
 	}
@@ -285,11 +285,11 @@
 }
 
 // hosts words a host's answer for the client.
-func (p *Sidecar) hosts(o *Order, c *meshpb.Forwarded) Reply {
+func (p *Sidecar) hosts(o *Request, c *meshpb.Forwarded) Reply {
 	r := Reply{Status: int(c.Status), Fields: c.Fields, Body: c.Body}
 	switch r.Status { // a promise that only the host's own word can make, which it did not
 	case 503, 429, 408, 421:
-		r = Reply{Status: 502, Ours: true, Why: "the host's " + strconv.Itoa(r.Status) + " without its word that it has not run"}
+		r = Reply{Status: 502, FromProxy: true, Reason: "the host's " + strconv.Itoa(r.Status) + " without its word that it has not run"}
 	}
 	return r
 }
--- a/internal/mesh/sidecar/dispatch_test.go
+++ b/internal/mesh/sidecar/dispatch_test.go
@@ -12,9 +12,9 @@
 // answerPull has the control process "hall" answer what a proxy asks it as it starts.
 func answerPull(p *Sidecar, now float64, update *meshpb.Update) {
 	p.Tick(now)
-	for _, s := range p.Take().Sends {
+	for _, s := range p.TakeOutput().Sends {
 		if s.To == "hall" && s.Message.Pull != nil {
-			p.Message(now, "hall", meshpb.Answer(s.Message, &meshpb.Message{Update: update}))
+			p.Receive(now, "hall", meshpb.Answer(s.Message, &meshpb.Message{Update: update}))
 		}
 	}
 }
@@ -23,16 +23,16 @@
 // proxy lives: asking elsewhere would fill the links with the same answers again.
 func TestWhatComesIsNotSilent(t *testing.T) {
 	now := 1.0
-	p := New(now, Options{Self: "here", Zone: "a", Sender: "till", Seeds: []string{"hall"}, Beat: 1.5, Memory: 1 << 20, Ratio: 0.2, Slack: 60})
+	p := New(now, Options{Self: "here", Zone: "a", Service: "till", Seeds: []string{"hall"}, HeartbeatInterval: 1.5, MaxBodyBytes: 1 << 20, RetryRatio: 0.2, RetrySlack: 60})
 	carried := map[string]int{}
 	pass := func(s float64, sign string) {
 		for end := now + s; now < end; {
 			now += 0.02
 			if sign != "" {
-				p.Sign(now, sign)
+				p.NoteIncoming(now, sign)
 			}
 			p.Tick(now)
-			for _, s := range p.Take().Sends {
+			for _, s := range p.TakeOutput().Sends {
 				if s.Message.Forward != nil {
 					carried[s.To]++
 				}
@@ -40,10 +40,10 @@
 		}
 	}
 	answerPull(p, now, &meshpb.Update{FromServer: true, Edition: 1, Text: []byte(oneRoute), Records: []*meshpb.Record{
-		{Source: "p1", Version: 1, Station: "i-1", Carrier: "shop", Zone: "a", Berths: 4, Condition: AtDock},
-		{Source: "p2", Version: 1, Station: "i-2", Carrier: "shop", Zone: "a", Berths: 4, Condition: AtDock}}})
+		{Source: "p1", Version: 1, Station: "i-1", Carrier: "shop", Zone: "a", Berths: 4, Condition: Serving},
+		{Source: "p2", Version: 1, Station: "i-2", Carrier: "shop", Zone: "a", Berths: 4, Condition: Serving}}})
 	pass(0.1, "")
-	p.Ask(now, &Order{Method: "GET", Target: "/x/1", Host: "h.example", ID: "q1", Left: 5})
+	p.Submit(now, &Request{Method: "GET", Target: "/x/1", Host: "h.example", ID: "q1", Timeout: 5})
 	pass(0.04, "")
 	var first string
 	for to := range carried {
--- a/internal/mesh/sidecar/introduction_test.go
+++ b/internal/mesh/sidecar/introduction_test.go
@@ -23,7 +23,7 @@
 	hall, pull := c.question(t, func(m *meshpb.Message) bool { return m.Pull != nil })
 	update := &meshpb.Update{FromServer: true, Edition: 2, Text: []byte(onceRoute)}
 	c.hears(hall, meshpb.Answer(pull, &meshpb.Message{Update: update}))
-	c.p.Ask(c.now, &Order{Method: "POST", Target: "/x/1", Host: "h.example", ID: "q1", Left: 5})
+	c.p.Submit(c.now, &Request{Method: "POST", Target: "/x/1", Host: "h.example", ID: "q1", Timeout: 5})
 	c.take()
 	if c.forwards("p1")+c.forwards("p2") > 0 {
 		t.Fatal("it went to a process that is not known")
@@ -65,7 +65,10 @@
 // What was held for a process that cannot be reached, or says nothing, has not gone: it goes to another.
 func TestUnrepeatableThatWasHeldGoesElsewhere(t *testing.T) {
 	for name, lose := range map[string]func(c *caller, peer string){
-		"broken": func(c *caller, peer string) { c.p.Broke(c.now, transport.Broke{Peer: peer, Link: 1}); c.take() },
+		"broken": func(c *caller, peer string) {
+			c.p.ConnectionLost(c.now, transport.Broke{Peer: peer, Link: 1})
+			c.take()
+		},
 		"silent": func(c *caller, peer string) {
 			for at, _ := c.question(t, isPing); at == peer && c.now < 2; at, _ = c.question(t, isPing) {
 				c.pass(0.02)
--- a/internal/mesh/sidecar/keylease.go
+++ b/internal/mesh/sidecar/keylease.go
@@ -25,20 +25,20 @@
 
 // KeyCalls has calls made at the host beside this proxy, one after the other. The end of each comes back by KeyCalled.
 type KeyCalls struct {
-	Calls  []KeyCall
-	Before float64 // a grant is not sent later
+	Calls       []KeyCall
+	GrantBefore float64 // a grant is not sent later
 }
 
-func (KeyCalls) do() {}
+func (KeyCalls) command() {}
 
 // KeyCall grants keys to the host, or releases them.
 type KeyCall struct {
-	ID          uint64
-	First, Last int // keys
-	Fence       uint64
-	Release     bool
-	HoldMs      int    // of a grant
-	Handover    string // of a grant, what the former holder told; empty: nothing
+	ID                uint64
+	FirstKey, LastKey int // keys
+	Fence             uint64
+	Release           bool
+	HoldMs            int    // of a grant
+	Handover          string // of a grant, what the former holder told; empty: nothing
 }
 
 // KeyResult is the end of a KeyCall.
@@ -247,13 +247,13 @@
 	if k.releaseAll {
 		id := p.id()
 		k.releases[id] = k.toRelease[0]
-		p.out.Dos = append(p.out.Dos, KeyCalls{Calls: []KeyCall{{ID: id, Last: sharding.Keys - 1, Fence: k.epoch, Release: true}}})
+		p.out.Commands = append(p.out.Commands, KeyCalls{Calls: []KeyCall{{ID: id, LastKey: sharding.Keys - 1, Fence: k.epoch, Release: true}}})
 		return
 	}
 	for _, r := range k.toRelease { // each waits for what runs on its keys
 		id := p.id()
 		k.releases[id] = r
-		p.out.Dos = append(p.out.Dos, KeyCalls{Calls: []KeyCall{{ID: id, First: r.First(), Last: r.Last(), Fence: k.epoch, Release: true}}})
+		p.out.Commands = append(p.out.Commands, KeyCalls{Calls: []KeyCall{{ID: id, FirstKey: r.First(), LastKey: r.Last(), Fence: k.epoch, Release: true}}})
 	}
 }
 
@@ -261,7 +261,7 @@
 func (p *Sidecar) grant() {
 	k, own := &p.lease, p.discovery.own
 	before := k.askedAt + sharding.GrantWithin
-	if k.table == nil || len(k.grants) > 0 || p.now >= before || own.Condition != AtDock || own.Station == "" ||
+	if k.table == nil || len(k.grants) > 0 || p.now >= before || own.Condition != Serving || own.Station == "" ||
 		k.table.Epoch < k.epoch {
 		return
 	}
@@ -270,8 +270,8 @@
 		if at, known := k.granted[r]; known && at >= k.askedAt || !k.table.Free(r) {
 			continue
 		}
-		call := KeyCall{ID: p.id(), First: r.First(), Last: r.Last(), Fence: k.table.Epoch,
-			HoldMs: int(sharding.Hold(p.o.HoldMost) * msPerSecond)}
+		call := KeyCall{ID: p.id(), FirstKey: r.First(), LastKey: r.Last(), Fence: k.table.Epoch,
+			HoldMs: int(sharding.Hold(p.o.MaxKeyHold) * msPerSecond)}
 		if k.table.Before(r) != p.o.Self {
 			call.Handover = k.table.Handover(r)
 		}
@@ -282,12 +282,12 @@
 	}
 	if len(calls) > 0 {
 		k.batchAt = k.askedAt
-		p.out.Dos = append(p.out.Dos, KeyCalls{Calls: calls, Before: before})
+		p.out.Commands = append(p.out.Commands, KeyCalls{Calls: calls, GrantBefore: before})
 	}
 }
 
 // KeyCalled takes the end of a call at the host.
-func (p *Sidecar) KeyCalled(now float64, id uint64, result KeyResult) {
+func (p *Sidecar) KeyCallDone(now float64, id uint64, result KeyResult) {
 	p.input(now)
 	k := &p.lease
 	if r, granting := k.grants[id]; granting {
@@ -308,19 +308,19 @@
 	k.granted[r] = k.batchAt // where it failed, the next answer is granted on
 	p.count.Grants++
 	if result.Status != statusGranted || k.station != p.discovery.own.Station || k.table.Epoch < k.epoch || k.table.Holder(r) != p.o.Self {
-		p.count.NotGranted++
+		p.count.GrantsRefused++
 		if result.Refused {
 			p.hostLost()
 		}
 		return
 	}
-	k.until[r] = k.batchAt + sharding.HeldFor(p.o.HoldMost)
+	k.until[r] = k.batchAt + sharding.HeldFor(p.o.MaxKeyHold)
 }
 
 // hostLost notes that no process listens at the host's address: its keys are to go to others, who cannot serve them before. A further
 // beat of the same life proves it wrong.
 func (p *Sidecar) hostLost() {
-	if p.discovery.own.Condition == AtDock {
+	if p.discovery.own.Condition == Serving {
 		p.o.Log("host lost", "station", p.discovery.own.Station, "why", "nobody listens at its address")
 		p.discovery.change(func(r *meshpb.Record) { r.Condition = Gone })
 	}
@@ -371,12 +371,12 @@
 
 // KeyState is what an operator sees of the keys that the host here holds.
 type KeyState struct {
-	Carrier   string  `json:"carrier"`
-	Epoch     uint64  `json:"epoch"`     // the fence
-	Ranges    int     `json:"ranges"`    // that are its own
-	Held      int     `json:"held"`      // of these, on how many requests may begin now
-	Left      float64 `json:"leftS"`     // seconds until the first of them runs out, if nothing is renewed
-	Releasing int     `json:"releasing"` // that it has lost and not released yet
+	Service          string  `json:"carrier"`
+	Epoch            uint64  `json:"epoch"`     // the fence
+	Ranges           int     `json:"ranges"`    // that are its own
+	Held             int     `json:"held"`      // of these, on how many requests may begin now
+	LeaseLeftSeconds float64 `json:"leftS"`     // seconds until the first of them runs out, if nothing is renewed
+	Releasing        int     `json:"releasing"` // that it has lost and not released yet
 }
 
 // keyState is what is known of the keys here; nil: there are none.
@@ -385,14 +385,14 @@
 	if k.table == nil {
 		return nil
 	}
-	s := &KeyState{Carrier: k.carrier, Epoch: k.table.Epoch, Ranges: len(k.mine), Releasing: len(k.toRelease)}
+	s := &KeyState{Service: k.carrier, Epoch: k.table.Epoch, Ranges: len(k.mine), Releasing: len(k.toRelease)}
 	for _, until := range k.until {
 		left := until - p.now
 		if left <= 0 {
 			continue
 		}
-		if s.Held == 0 || left < s.Left {
-			s.Left = left
+		if s.Held == 0 || left < s.LeaseLeftSeconds {
+			s.LeaseLeftSeconds = left
 		}
 		s.Held++
 	}
--- a/internal/mesh/sidecar/pause_test.go
+++ b/internal/mesh/sidecar/pause_test.go
@@ -12,7 +12,7 @@
 
 // beat brings a beat of the host here.
 func (d *door) beat(sequence uint64, unloading bool) {
-	d.p.Beat(d.now, Station{ID: "i-1", Carrier: "shop", Berths: 4, Sequence: sequence, Unloading: unloading})
+	d.p.Heartbeat(d.now, Heartbeat{ID: "i-1", Service: "shop", Slots: 4, Sequence: sequence, Draining: unloading})
 	d.take()
 }
 
@@ -29,7 +29,7 @@
 	d.pass(2)
 	d.freeze(8)
 	d.pass(2.5)
-	d.wantCondition(AtDock, "8 s frozen, 4.5 s awake")
+	d.wantCondition(Serving, "8 s frozen, 4.5 s awake")
 	d.pass(0.8)
 	d.wantCondition(Gone, "8 s frozen, 5.3 s awake, 5.25 s are 3.5 beats")
 }
@@ -43,7 +43,7 @@
 	d.beat(1, false)
 	d.wantCondition(Gone, "its last beat again")
 	d.beat(2, false)
-	d.wantCondition(AtDock, "its next beat")
+	d.wantCondition(Serving, "its next beat")
 	if n := d.carry(1, 2); len(d.runs) != 1 || d.runs[0] != n {
 		t.Errorf("ran %v, want %d", d.runs, n)
 	}
@@ -54,14 +54,14 @@
 	d := openDoor(t)
 	d.pass(6)
 	d.beat(3, true)
-	d.wantCondition(Unloading, "back and leaving")
+	d.wantCondition(Draining, "back and leaving")
 	d.beat(2, false)
 	d.beat(3, false)
-	d.wantCondition(Unloading, "late beats")
+	d.wantCondition(Draining, "late beats")
 	d.freeze(8)
 	d.pass(6)
 	d.beat(3, false)
-	d.wantCondition(Unloading, "a late beat after a freeze")
+	d.wantCondition(Draining, "a late beat after a freeze")
 }
 
 // A host that has signed off is not back by any beat, also where its beats were missing before that.
@@ -71,7 +71,7 @@
 		if missed {
 			d.pass(6)
 		}
-		d.p.Leave(d.now, "i-1")
+		d.p.HostSignedOff(d.now, "i-1")
 		d.beat(9, false)
 		d.wantCondition(Gone, name)
 	}
@@ -119,7 +119,7 @@
 func TestOwnRequestsAfterAFreezeAreFresh(t *testing.T) {
 	d := openDoor(t)
 	d.freeze(6)
-	d.p.Message(d.now, "here", &meshpb.Message{Id: 1, Forward: &meshpb.Forward{Station: "i-1", Token: 1, Attempt: 1,
+	d.p.Receive(d.now, "here", &meshpb.Message{Id: 1, Forward: &meshpb.Forward{Station: "i-1", Token: 1, Attempt: 1,
 		AimUs: 1e6, LeftUs: 1.5e6, Repeatable: true}})
 	d.take()
 	if len(d.runs) != 1 {
@@ -131,7 +131,7 @@
 func TestLateBeatOfAFormerLifeChangesNothing(t *testing.T) {
 	d := openDoor(t)
 	life := func(id string, sequence uint64, unloading bool) {
-		d.p.Beat(d.now, Station{ID: id, Carrier: "shop", Berths: 4, Sequence: sequence, Unloading: unloading})
+		d.p.Heartbeat(d.now, Heartbeat{ID: id, Service: "shop", Slots: 4, Sequence: sequence, Draining: unloading})
 		d.take()
 	}
 	life("i-2", 1, false)
@@ -140,7 +140,7 @@
 		if got := d.p.discovery.own.Station; got != "i-2" {
 			t.Fatalf("the list has %q", got)
 		}
-		d.wantCondition(AtDock, "a late beat of a former life")
+		d.wantCondition(Serving, "a late beat of a former life")
 	}
 	life("i-3", 1, false)
 	life("i-2", 2, false)
--- a/internal/mesh/sidecar/services.go
+++ b/internal/mesh/sidecar/services.go
@@ -88,7 +88,7 @@
 func (s *service) config() balancer.Config {
 	p := s.p
 	cfg := balancer.Config{Seed: p.random(), Zone: p.discovery.zone(p.o.Zone), Balancers: max(1, len(p.discovery.records)),
-		Prices: balancer.Prices{CrossZone: crossing}, Weighted: true, Gated: true, Cancelling: true, Agreed: p.o.Agreed, MaxCoolDown: comeBackMost, ConnectTimeout: 1}
+		Prices: balancer.Prices{CrossZone: crossing}, Weighted: true, Gated: true, Cancelling: true, Agreed: p.o.AgreedEjection, MaxCoolDown: comeBackMost, ConnectTimeout: 1}
 	if s.far {
 		cfg.Prices.CrossZone = crossingLarge
 	}
--- a/internal/mesh/sidecar/shards.go
+++ b/internal/mesh/sidecar/shards.go
@@ -67,7 +67,7 @@
 }
 
 // holderOf is the host that holds a request's key; 0: nobody is known to.
-func (p *Sidecar) holderOf(o *Order) balancer.HostID {
+func (p *Sidecar) holderOf(o *Request) balancer.HostID {
 	table := p.shards.tables[o.service]
 	if table == nil {
 		return 0
@@ -80,10 +80,10 @@
 }
 
 // askHolder sends a request to the host that holds its key.
-func (p *Sidecar) askHolder(o *Order) {
+func (p *Sidecar) askHolder(o *Request) {
 	o.holder = p.holderOf(o)
 	if o.holder == 0 {
-		p.tell(o, Reply{Status: 503, Back: keyBack, Ours: true, Why: whyNoTable})
+		p.tell(o, Reply{Status: 503, RetryAfter: keyBack, FromProxy: true, Reason: whyNoTable})
 		p.forget(o)
 		return
 	}
@@ -92,7 +92,7 @@
 
 // waitsForHolder says whether a request that was refused goes to its key's holder once more: the holder may be about to change. It
 // has run nowhere.
-func (p *Sidecar) waitsForHolder(o *Order) bool {
+func (p *Sidecar) waitsForHolder(o *Request) bool {
 	if o.holder == 0 || o.arrivals > 0 || o.last != nil || o.claims || p.now+keyRetry > o.taken+keyPart*o.class.aim {
 		return false
 	}
@@ -101,7 +101,7 @@
 }
 
 // askAgain puts a request to the module anew: as another one, as that has refused it.
-func (p *Sidecar) askAgain(o *Order) {
+func (p *Sidecar) askAgain(o *Request) {
 	if o.told || p.orders[o.id] != o {
 		return
 	}
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -23,53 +23,53 @@
 
 // Options is what a proxy is told at its start.
 type Options struct {
-	Self     string // its address for the others
-	Zone     string
-	Sender   string // the service of the host on this machine
-	Seeds    []string
-	Beat     float64 // seconds between a host's beats
-	Ratio    float64 // of the rule on further tries
-	Slack    float64
-	Version  uint64 // of its record to begin with: later starts have higher ones, as a rule
-	Seed     uint64
-	Agreed   bool    // a host is left out for what must not run twice only where most that met it agree
-	HoldMost float64 // seconds for which hosts let themselves be granted keys at most; 0: not told
-	Memory   int     // bytes that bodies under way may take
-	Log      func(event string, args ...any)
-	Debug    func(event string, args ...any) // nil: nobody listens
+	Self              string // its address for the others
+	Zone              string
+	Service           string // the service of the host on this machine
+	Seeds             []string
+	HeartbeatInterval float64 // seconds between a host's beats
+	RetryRatio        float64 // of the rule on further tries
+	RetrySlack        float64
+	RecordVersion     uint64 // of its record to begin with: later starts have higher ones, as a rule
+	Seed              uint64
+	AgreedEjection    bool    // a host is left out for what must not run twice only where most that met it agree
+	MaxKeyHold        float64 // seconds for which hosts let themselves be granted keys at most; 0: not told
+	MaxBodyBytes      int     // bytes that bodies under way may take
+	Log               func(event string, args ...any)
+	Debug             func(event string, args ...any) // nil: nobody listens
 }
 
 // Do is something for the program to carry out: Exchange, Abort, KeyCalls, Tell or Probe.
-type Do interface{ do() }
+type Command interface{ command() }
 
 // Exchange has a request run by the host beside this proxy. The end of it comes back by Exchanged.
 type Exchange struct {
-	Job     uint64
-	Forward *meshpb.Forward
-	Until   float64 // the host has to have answered by then
+	Job      uint64
+	Forward  *meshpb.Forward
+	Deadline float64 // the host has to have answered by then
 }
 
 // Abort breaks off an Exchange: nobody waits for its end, which may come back all the same.
 type Abort struct{ Job uint64 }
 
 // Tell gives a client's request its answer.
-type Tell struct {
-	Order *Order
-	Reply Reply
+type Respond struct {
+	Request *Request
+	Reply   Reply
 }
 
 // Probe asks the host beside this proxy which life of it is there and whether it is well. The answer comes back by Probed.
 type Probe struct{ Path string }
 
-func (Probe) do()    {}
-func (Exchange) do() {}
-func (Abort) do()    {}
-func (Tell) do()     {}
+func (Probe) command()    {}
+func (Exchange) command() {}
+func (Abort) command()    {}
+func (Respond) command()  {}
 
 // Effects are what a machine wants done, in order.
-type Effects struct {
-	Sends []transport.Send
-	Dos   []Do
+type Output struct {
+	Sends    []transport.Send
+	Commands []Command
 }
 
 // Sidecar is one proxy. It is single-threaded; every input carries the time in seconds on a clock that never jumps.
@@ -78,14 +78,14 @@
 	now   float64
 	rng   random.Source
 	table *routeconfig.Table
-	out   Effects
+	out   Output
 	local []func() // what actions of the module gave rise to; it may not be called from within one
 	inUse int      // bytes of bodies
 	count Counts
 
 	// dispatch.go
 	services map[string]*service
-	orders   map[uint64]*Order
+	orders   map[uint64]*Request
 	tries    map[uint64]*try
 	life     uint64 // of this process; its questions carry it
 	lastID   uint64
@@ -107,24 +107,24 @@
 	if o.Log == nil {
 		o.Log = func(string, ...any) {}
 	}
-	p := &Sidecar{o: o, now: now, rng: random.Source(o.Seed), services: map[string]*service{}, orders: map[uint64]*Order{}, tries: map[uint64]*try{},
-		budget: retrybudget.New(o.Ratio, o.Slack), peers: map[string]*peer{},
-		count: Counts{Answers: map[int]uint64{}, Tries: map[string]uint64{}, Turned: map[string]uint64{}, Dropped: map[string]uint64{},
-			Left: map[string]uint64{}, Cancelled: map[string]uint64{}}}
+	p := &Sidecar{o: o, now: now, rng: random.Source(o.Seed), services: map[string]*service{}, orders: map[uint64]*Request{}, tries: map[uint64]*try{},
+		budget: retrybudget.New(o.RetryRatio, o.RetrySlack), peers: map[string]*peer{},
+		count: Counts{Replies: map[int]uint64{}, Attempts: map[string]uint64{}, Rejected: map[string]uint64{}, Dropped: map[string]uint64{},
+			ClientsLeft: map[string]uint64{}, Cancelled: map[string]uint64{}}}
 	p.pauses.inputAt = now
 	p.identify()
 	p.admission.begin(p)
 	p.shards.tables = map[string]*sharding.Table{}
-	p.lease.init(o.Sender)
+	p.lease.init(o.Service)
 	p.discovery.begin(p)
 	return p
 }
 
 // Take gives what is to be done since the last call.
-func (p *Sidecar) Take() Effects {
+func (p *Sidecar) TakeOutput() Output {
 	p.settle()
 	out := p.out
-	p.out = Effects{}
+	p.out = Output{}
 	return out
 }
 
@@ -153,7 +153,7 @@
 }
 
 // Message takes what another process says.
-func (p *Sidecar) Message(now float64, from string, parcel *meshpb.Message) {
+func (p *Sidecar) Receive(now float64, from string, parcel *meshpb.Message) {
 	p.input(now)
 	if w := p.peers[from]; w != nil && (!meshpb.IsAnswer(parcel) || p.ofThisLife(from, parcel)) {
 		w.heard, w.life = now, senderLife(parcel)
@@ -164,10 +164,12 @@
 }
 
 // Link takes word of how many seconds a large answer waits for this machine's link, and takes there for each byte; 0: next to nothing.
-func (p *Sidecar) Link(wait, perByte float64) { p.admission.link, p.admission.perByte = wait, perByte }
+func (p *Sidecar) SetLinkBacklog(wait, perByte float64) {
+	p.admission.link, p.admission.perByte = wait, perByte
+}
 
 // Sign takes word that a large parcel of another process's is on its way: it is not silent.
-func (p *Sidecar) Sign(now float64, from string) {
+func (p *Sidecar) NoteIncoming(now float64, from string) {
 	if w := p.peers[from]; w != nil {
 		w.heard = now
 	}
@@ -197,7 +199,7 @@
 }
 
 // Broke takes word that a connection is no more.
-func (p *Sidecar) Broke(now float64, b transport.Broke) {
+func (p *Sidecar) ConnectionLost(now float64, b transport.Broke) {
 	p.input(now)
 	p.brokeTries(b)
 	p.admission.broke(b)
@@ -222,7 +224,7 @@
 // Term begins the end: clients hear that they had better go elsewhere, and once they have had time to, after so many seconds,
 // nothing may be under way. The others hear of it shortly before that: until then the host here is of use to them. What comes
 // nevertheless is served.
-func (p *Sidecar) Term(now, notice float64) {
+func (p *Sidecar) BeginShutdown(now, notice float64) {
 	p.input(now)
 	p.discovery.ending = true
 	p.discovery.leaveAt = now + max(0, notice-leaveAhead)
@@ -245,64 +247,64 @@
 
 // Counts add up since the process started.
 type Counts struct {
-	Answers map[int]uint64    `json:"answers"` // to clients, by status
-	Tries   map[string]uint64 `json:"tries"`   // sent to proxies beside hosts, by verdict
-	Turned  map[string]uint64 `json:"turned"`  // away before the host here, by reason
-	Runs    uint64            `json:"runs"`    // given to the host here
-	Late    uint64            `json:"late"`    // of those past their aim before they began
-	Doubts  uint64            `json:"doubts"`  // tries given up as the proxy that had them is silent or gone
-	Dropped map[string]uint64 `json:"dropped"` // messages that changed nothing, by reason
-	Left    map[string]uint64 `json:"left"`    // requests whose clients left before the answer, by where they were
-	Unasked uint64            `json:"unasked"` // tries sent for clients that had left: none is ever due
-
-	Grants     uint64 `json:"grants"`     // of keys to the host here
-	NotGranted uint64 `json:"notGranted"` // of these, how many it did not take
+	Replies             map[int]uint64    `json:"answers"` // to clients, by status
+	Attempts            map[string]uint64 `json:"tries"`   // sent to proxies beside hosts, by verdict
+	Rejected            map[string]uint64 `json:"turned"`  // away before the host here, by reason
+	Runs                uint64            `json:"runs"`    // given to the host here
+	LateRuns            uint64            `json:"late"`    // of those past their aim before they began
+	PeerFailures        uint64            `json:"doubts"`  // tries given up as the proxy that had them is silent or gone
+	Dropped             map[string]uint64 `json:"dropped"` // messages that changed nothing, by reason
+	ClientsLeft         map[string]uint64 `json:"left"`    // requests whose clients left before the answer, by where they were
+	SentAfterClientLeft uint64            `json:"unasked"` // tries sent for clients that had left: none is ever due
+
+	Grants        uint64 `json:"grants"`     // of keys to the host here
+	GrantsRefused uint64 `json:"notGranted"` // of these, how many it did not take
 
 	Cancelled map[string]uint64 `json:"cancelled"` // requests taken back by others, by where they were here
 }
 
 // State is what an operator sees of a proxy.
 type State struct {
-	Edition uint64           `json:"edition"`
-	Ready   bool             `json:"ready"`
-	Ending  bool             `json:"ending"`
-	Servers []string         `json:"servers"`
-	Host    *meshpb.Record   `json:"host"`
-	Roll    []*meshpb.Record `json:"roll"`
-	Silent  []string         `json:"silent"`
-	Orders  int              `json:"orders"`
-	Jobs    int              `json:"jobs"`
-	Queued  int              `json:"queued"`
-	Waiting int              `json:"late"`
-	Counts  Counts           `json:"counts"`
-	Avoided map[string]int   `json:"avoided"`
-	Out     []string         `json:"condemned"`
-	Accused []string         `json:"accused"`
-	Keys    *KeyState        `json:"keys,omitempty"` // nil: the host here holds none, nor is to
+	Edition      uint64           `json:"edition"`
+	Ready        bool             `json:"ready"`
+	Ending       bool             `json:"ending"`
+	Servers      []string         `json:"servers"`
+	Host         *meshpb.Record   `json:"host"`
+	Records      []*meshpb.Record `json:"roll"`
+	Silent       []string         `json:"silent"`
+	Requests     int              `json:"orders"`
+	Jobs         int              `json:"jobs"`
+	Queued       int              `json:"queued"`
+	QueuedLate   int              `json:"late"`
+	Counts       Counts           `json:"counts"`
+	AvoidedHosts map[string]int   `json:"avoided"`
+	Ejected      []string         `json:"condemned"`
+	Suspects     []string         `json:"accused"`
+	Keys         *KeyState        `json:"keys,omitempty"` // nil: the host here holds none, nor is to
 }
 
 // State tells what is known here.
 func (p *Sidecar) State(now float64) State {
 	p.input(now)
-	s := State{Ready: p.Ready(), Ending: p.discovery.ending, Servers: p.discovery.servers, Host: p.discovery.own, Orders: len(p.orders),
-		Jobs: len(p.admission.jobs), Queued: len(p.admission.queue), Waiting: len(p.admission.late.jobs), Avoided: map[string]int{},
-		Counts: Counts{Answers: maps.Clone(p.count.Answers), Tries: maps.Clone(p.count.Tries), Turned: maps.Clone(p.count.Turned),
-			Runs: p.count.Runs, Late: p.count.Late, Doubts: p.count.Doubts, Dropped: maps.Clone(p.count.Dropped), Left: maps.Clone(p.count.Left),
-			Unasked: p.count.Unasked, Cancelled: maps.Clone(p.count.Cancelled), Grants: p.count.Grants,
-			NotGranted: p.count.NotGranted}}
+	s := State{Ready: p.Ready(), Ending: p.discovery.ending, Servers: p.discovery.servers, Host: p.discovery.own, Requests: len(p.orders),
+		Jobs: len(p.admission.jobs), Queued: len(p.admission.queue), QueuedLate: len(p.admission.late.jobs), AvoidedHosts: map[string]int{},
+		Counts: Counts{Replies: maps.Clone(p.count.Replies), Attempts: maps.Clone(p.count.Attempts), Rejected: maps.Clone(p.count.Rejected),
+			Runs: p.count.Runs, LateRuns: p.count.LateRuns, PeerFailures: p.count.PeerFailures, Dropped: maps.Clone(p.count.Dropped), ClientsLeft: maps.Clone(p.count.ClientsLeft),
+			SentAfterClientLeft: p.count.SentAfterClientLeft, Cancelled: maps.Clone(p.count.Cancelled), Grants: p.count.Grants,
+			GrantsRefused: p.count.GrantsRefused}}
 	if p.table != nil {
 		s.Edition = p.table.Edition
 	}
 	for _, source := range p.discovery.sources() {
-		s.Roll = append(s.Roll, p.discovery.records[source])
+		s.Records = append(s.Records, p.discovery.records[source])
 		if p.discovery.silent[source] {
 			s.Silent = append(s.Silent, source)
 		}
 	}
-	s.Out, s.Accused = p.witness.all(now), p.witness.accused
+	s.Ejected, s.Suspects = p.witness.all(now), p.witness.accused
 	s.Keys = p.keyState()
 	for name, service := range p.services {
-		s.Avoided[name] = service.bal.Avoided(now)
+		s.AvoidedHosts[name] = service.bal.Avoided(now)
 	}
 	return s
 }
--- a/internal/mesh/sidecar/timers.go
+++ b/internal/mesh/sidecar/timers.go
@@ -41,7 +41,7 @@
 }
 
 // Next is when the next timer is due; infinite: none is set.
-func (p *Sidecar) Next() float64 {
+func (p *Sidecar) NextTimer() float64 {
 	if len(p.timers) == 0 {
 		return math.Inf(1)
 	}
--- a/internal/mesh/sidecar/tries.go
+++ b/internal/mesh/sidecar/tries.go
@@ -36,7 +36,7 @@
 func (p *Sidecar) carried(t *try, c *meshpb.Forwarded) {
 	o := t.order
 	v := outcome.Outcome(c.Verdict)
-	p.count.Tries[v.String()]++
+	p.count.Attempts[v.String()]++
 	if v == outcome.Answered && c.Status < 500 {
 		p.services[o.service].timed(t.host, o.class, float64(c.TookUs)/1e6)
 	}
@@ -83,11 +83,11 @@
 	case outcome.Late:
 		p.ended(t, balancer.TimedOut, nil, why)
 	case outcome.Busy:
-		p.final(t, Reply{Status: 409, Ours: true, Back: comeBack, Why: "its key is at work"})
+		p.final(t, Reply{Status: 409, FromProxy: true, RetryAfter: comeBack, Reason: "its key is at work"})
 	case outcome.Kept:
-		p.final(t, Reply{Status: int(c.Status), Fields: c.Fields, Body: c.Body, Why: "its key's answer"})
+		p.final(t, Reply{Status: int(c.Status), Fields: c.Fields, Body: c.Body, Reason: "its key's answer"})
 	case outcome.Lost:
-		p.final(t, Reply{Status: 502, Ours: true, Why: "its key's run has no known end"})
+		p.final(t, Reply{Status: 502, FromProxy: true, Reason: "its key's run has no known end"})
 	default:
 		p.ended(t, balancer.Reset, nil, why)
 	}
@@ -188,7 +188,7 @@
 func (p *Sidecar) doubt(t *try, why string) {
 	o := t.order
 	if !t.asked {
-		p.count.Doubts++
+		p.count.PeerFailures++
 		if s := p.services[o.service]; s != nil && s.hosts[t.host] != nil {
 			p.saw(s.hosts[t.host].station, true)
 		}
@@ -197,12 +197,12 @@
 	case o.route.Repeatable():
 		o.arrivals++ // it may have arrived
 		p.ended(t, balancer.ConnectFailed, nil, why)
-	case o.Key == "":
+	case o.IdempotencyKey == "":
 		o.arrivals++
 		p.ended(t, balancer.Reset, nil, why)
 	case !t.asked:
 		t.asked = true
-		p.admission.voidIfFree(o.Key, o.token, func(state uint32) {
+		p.admission.voidIfFree(o.IdempotencyKey, o.token, func(state uint32) {
 			if state != register.Void {
 				o.arrivals++
 				p.ended(t, balancer.Reset, nil, why+"; its key was claimed")
--- a/internal/mesh/sidecar/witness.go
+++ b/internal/mesh/sidecar/witness.go
@@ -41,7 +41,7 @@
 
 // saw notes how a run ended, or that the proxy beside a host is gone. Time that ran out says nothing: that is load.
 func (p *Sidecar) saw(station string, bad bool) {
-	if p.o.Agreed && station != "" && p.witness.docket.Record(p.now, station, bad) {
+	if p.o.AgreedEjection && station != "" && p.witness.docket.Record(p.now, station, bad) {
 		p.discovery.ask(false) // a complaint is told at once
 	}
 }
--- a/internal/mesh/simulation/claims_test.go
+++ b/internal/mesh/simulation/claims_test.go
@@ -14,7 +14,7 @@
 	w.Checker.asked(asker, id, "/pay/x", "k")
 	return &meshpb.Message{Id: 1, Life: 1, Forward: &meshpb.Forward{Station: gate.station.id, Method: "POST", Target: "/pay/x",
 		Host: "shop.example", Key: "k", Token: 77, LeftUs: 2e6, AimUs: 1e6,
-		Fields: []*meshpb.Field{{Name: sidecar.HeaderID, Value: id}, {Name: sidecar.HeaderKey, Value: "k"}}}}
+		Fields: []*meshpb.Field{{Name: sidecar.HeaderID, Value: id}, {Name: sidecar.HeaderIdempotencyKey, Value: "k"}}}}
 }
 
 // One attempt reaches two gates that both take the host it names for theirs, as where a host has moved. The
--- a/internal/mesh/simulation/ejection_test.go
+++ b/internal/mesh/simulation/ejection_test.go
@@ -32,7 +32,7 @@
 // condemners counts the proxies for which a host is out.
 func condemners(w *World, station string) (n int) {
 	for _, s := range w.Proxies {
-		if s.up && slices.Contains(s.State().Out, station) {
+		if s.up && slices.Contains(s.State().Ejected, station) {
 			n++
 		}
 	}
--- a/internal/mesh/simulation/forgotten_test.go
+++ b/internal/mesh/simulation/forgotten_test.go
@@ -22,9 +22,9 @@
 			return false
 		}
 	}
-	for _, r := range state.Roll {
+	for _, r := range state.Records {
 		if r.Source == other.addr {
-			return r.Station != "" && r.Condition == sidecar.AtDock
+			return r.Station != "" && r.Condition == sidecar.Serving
 		}
 	}
 	return false
@@ -32,7 +32,7 @@
 
 // remembers says whether a proxy has a record of another.
 func remembers(s, other *Proxy) bool {
-	for _, r := range s.State().Roll {
+	for _, r := range s.State().Records {
 		if r.Source == other.addr {
 			return true
 		}
--- a/internal/mesh/simulation/fuzz_test.go
+++ b/internal/mesh/simulation/fuzz_test.go
@@ -204,24 +204,24 @@
 func TestProxySurvivesAnyMessage(t *testing.T) {
 	for seed := range fuzzRounds() {
 		d := &drawn{rng: rand.New(rand.NewPCG(seed, 5))}
-		p := sidecar.New(1, sidecar.Options{Self: "p:1", Zone: "a", Sender: "shop", Seeds: []string{"a:1", "b:1", "c:1"}, Beat: beat,
-			Ratio: 0.2, Slack: 60, Version: 1, Seed: seed, Memory: 1 << 24, Agreed: seed%2 == 0})
+		p := sidecar.New(1, sidecar.Options{Self: "p:1", Zone: "a", Service: "shop", Seeds: []string{"a:1", "b:1", "c:1"}, HeartbeatInterval: beat,
+			RetryRatio: 0.2, RetrySlack: 60, RecordVersion: 1, Seed: seed, MaxBodyBytes: 1 << 24, AgreedEjection: seed%2 == 0})
 		now, life := 1.0, uint64(0)
 		take := func() {
-			out := p.Take()
+			out := p.TakeOutput()
 			d.note(out.Sends)
 			for _, s := range out.Sends {
 				if !meshpb.IsAnswer(s.Message) {
 					life = s.Message.Life
 				}
 			}
-			for _, do := range out.Dos {
+			for _, do := range out.Commands {
 				if x, ok := do.(sidecar.Exchange); ok && d.rng.IntN(2) == 0 {
-					p.Exchanged(now, x.Job, &meshpb.Forwarded{Verdict: uint32(d.rng.IntN(12)), Status: 200})
+					p.ExchangeDone(now, x.Job, &meshpb.Forwarded{Verdict: uint32(d.rng.IntN(12)), Status: 200})
 				}
 			}
 		}
-		p.Beat(now, sidecar.Station{ID: "i-1", Carrier: "shop", Berths: 1, Sequence: 1})
+		p.Heartbeat(now, sidecar.Heartbeat{ID: "i-1", Service: "shop", Slots: 1, Sequence: 1})
 		p.Tick(now)
 		take()
 		for i := range messagesEach {
@@ -231,13 +231,13 @@
 				m.Life = life
 			}
 			name := fmt.Sprintf("seed %d, message %d from %s", seed, i, from)
-			survive(t, name, m, func() { p.Message(now, from, m); take() })
-			o := &sidecar.Order{Method: "POST", Target: "/read/x", Host: "shop.example", ID: "q", Left: 1, Slot: 0}
+			survive(t, name, m, func() { p.Receive(now, from, m); take() })
+			o := &sidecar.Request{Method: "POST", Target: "/read/x", Host: "shop.example", ID: "q", Timeout: 1, ReplyTo: 0}
 			if i%2 == 0 {
-				o.Target, o.Key = "/pay/x", "k"
+				o.Target, o.IdempotencyKey = "/pay/x", "k"
 			}
 			now += tickEvery * d.rng.Float64()
-			survive(t, name+", then a request", m, func() { p.Ask(now, o); take() })
+			survive(t, name+", then a request", m, func() { p.Submit(now, o); take() })
 			survive(t, name+", then a tick", m, func() { p.Tick(now); take() })
 		}
 	}
--- a/internal/mesh/simulation/keys.go
+++ b/internal/mesh/simulation/keys.go
@@ -41,30 +41,30 @@
 // grant takes keys for a time from now on, unless a higher fence was seen on one of them.
 func (h *heldKeys) grant(now float64, call sidecar.KeyCall) bool {
 	for _, x := range h.holds {
-		if x.fence > call.Fence && x.first <= call.Last && call.First <= x.last {
+		if x.fence > call.Fence && x.first <= call.LastKey && call.FirstKey <= x.last {
 			return false
 		}
 	}
 	h.cut(call)
-	h.holds = append(h.holds, hold{call.First, call.Last, call.Fence, now + slowClock*float64(call.HoldMs)/1000})
+	h.holds = append(h.holds, hold{call.FirstKey, call.LastKey, call.Fence, now + slowClock*float64(call.HoldMs)/1000})
 	return true
 }
 
 // release ends new work on keys at once. Their fence stays known.
 func (h *heldKeys) release(call sidecar.KeyCall) {
 	h.cut(call)
-	h.holds = append(h.holds, hold{call.First, call.Last, call.Fence, 0})
+	h.holds = append(h.holds, hold{call.FirstKey, call.LastKey, call.Fence, 0})
 }
 
 // cut takes keys out of what is held.
 func (h *heldKeys) cut(call sidecar.KeyCall) {
 	var left []hold
 	for _, x := range h.holds {
-		if x.first < call.First {
-			left = append(left, hold{x.first, min(x.last, call.First-1), x.fence, x.until})
+		if x.first < call.FirstKey {
+			left = append(left, hold{x.first, min(x.last, call.FirstKey-1), x.fence, x.until})
 		}
-		if x.last > call.Last {
-			left = append(left, hold{max(x.first, call.Last+1), x.last, x.fence, x.until})
+		if x.last > call.LastKey {
+			left = append(left, hold{max(x.first, call.LastKey+1), x.last, x.fence, x.until})
 		}
 	}
 	h.holds = left
@@ -86,7 +86,7 @@
 			case call.Release:
 				st.held.release(call)
 				result.Status, result.Handover, takes = 200, st.id, 0.05
-			case s.w.Now >= do.Before: // not sent
+			case s.w.Now >= do.GrantBefore: // not sent
 			case st.held.grant(s.w.Now, call):
 				result.Status = 200
 			default:
@@ -94,7 +94,7 @@
 			}
 			s.w.After(takes, func() {
 				if s.up && s.lives == life {
-					s.input(func() { s.sidecar.KeyCalled(s.w.Now, call.ID, result) })
+					s.input(func() { s.sidecar.KeyCallDone(s.w.Now, call.ID, result) })
 				}
 			})
 		})
--- a/internal/mesh/simulation/people.go
+++ b/internal/mesh/simulation/people.go
@@ -50,10 +50,10 @@
 	if !s.up {
 		return
 	}
-	word := sidecar.Station{ID: st.id, Carrier: s.host.Carrier, Zone: s.host.Zone, Berths: 4, Unloading: st.leaving, Sequence: st.seq}
+	word := sidecar.Heartbeat{ID: st.id, Service: s.host.Carrier, Zone: s.host.Zone, Slots: 4, Draining: st.leaving, Sequence: st.seq}
 	s.input(func() {
-		s.sidecar.Beat(s.w.Now, word)
-		if st.leaving && word.Unloading && st.acked == 0 {
+		s.sidecar.Heartbeat(s.w.Now, word)
+		if st.leaving && word.Draining && st.acked == 0 {
 			st.acked = s.w.Now
 		}
 	})
@@ -66,7 +66,7 @@
 	s.beat(st)
 	s.w.After(3, func() {
 		st.dead = true
-		s.input(func() { s.sidecar.Leave(s.w.Now, st.id) })
+		s.input(func() { s.sidecar.HostSignedOff(s.w.Now, st.id) })
 	})
 }
 
@@ -96,7 +96,7 @@
 		s.w.After(after, func() {
 			if s.up && s.lives == life {
 				delete(s.running, do.Job)
-				s.input(func() { s.sidecar.Exchanged(s.w.Now, do.Job, answer) })
+				s.input(func() { s.sidecar.ExchangeDone(s.w.Now, do.Job, answer) })
 			}
 		})
 	}
@@ -135,7 +135,7 @@
 		life := s.lives
 		s.w.After(0.002, func() {
 			if s.up && s.lives == life {
-				s.input(func() { s.sidecar.Probed(s.w.Now, st.id, !st.leaving) })
+				s.input(func() { s.sidecar.ProbeDone(s.w.Now, st.id, !st.leaving) })
 			}
 		})
 	}
@@ -163,11 +163,11 @@
 		}
 	}
 	life, thawed, answered := s.lives, s.thawed, false
-	o.Slot = func(r sidecar.Reply) {
+	o.ReplyTo = func(r sidecar.Reply) {
 		answered = true
 		w.Checker.answered(id, r)
 		if r.Status >= 300 && r.Status != 404 {
-			again(max(0.02, r.Back))
+			again(max(0.02, r.RetryAfter))
 		}
 	}
 	w.After(2, func() {
@@ -178,16 +178,16 @@
 			again(0.1)
 		}
 	})
-	s.input(func() { s.sidecar.Ask(w.Now, o) })
+	s.input(func() { s.sidecar.Submit(w.Now, o) })
 }
 
 // order is a new request of a client's.
-func (w *World) order(s *Proxy, path, key string) *sidecar.Order {
+func (w *World) order(s *Proxy, path, key string) *sidecar.Request {
 	w.seq++
 	id := fmt.Sprintf("q%d", w.seq)
 	w.Checker.asked(s, id, path, key)
-	o := &sidecar.Order{Method: "POST", Target: path, Host: "shop.example", ID: id, Key: key, Left: 1.5,
-		Fields: []*meshpb.Field{{Name: sidecar.HeaderID, Value: id}, {Name: sidecar.HeaderKey, Value: key}}}
+	o := &sidecar.Request{Method: "POST", Target: path, Host: "shop.example", ID: id, IdempotencyKey: key, Timeout: 1.5,
+		Fields: []*meshpb.Field{{Name: sidecar.HeaderID, Value: id}, {Name: sidecar.HeaderIdempotencyKey, Value: key}}}
 	if serviceOf(path) == shardedService {
 		o.Fields = append(o.Fields, &meshpb.Field{Name: headerShardKey, Value: strconv.Itoa(w.Rand.IntN(shardKeys))})
 	}
@@ -201,13 +201,13 @@
 	}
 	o := w.order(s, path, key)
 	life, answered, left := s.lives, false, false
-	o.Slot = func(r sidecar.Reply) {
+	o.ReplyTo = func(r sidecar.Reply) {
 		if !left {
 			answered = true
 			w.Checker.answered(o.ID, r)
 		}
 	}
-	s.input(func() { s.sidecar.Ask(w.Now, o) })
+	s.input(func() { s.sidecar.Submit(w.Now, o) })
 	w.After(after, func() {
 		if answered || !s.up || s.lives != life {
 			return
--- a/internal/mesh/simulation/proxies.go
+++ b/internal/mesh/simulation/proxies.go
@@ -41,8 +41,8 @@
 	s.up, s.unlit, s.freezer = true, false, freezer{}
 	s.running = map[uint64]*hostRun{}
 	s.version += uint64(1000 * s.w.Rand.Float64()) // the time of day may have gone back
-	s.sidecar = sidecar.New(s.w.Now, sidecar.Options{Self: s.addr, Zone: s.host.Zone, Sender: s.host.Carrier, Seeds: s.seeds, Beat: beat,
-		Ratio: 0.2, Slack: 60, Version: s.version, Seed: cmp.Or(s.seed, s.w.Rand.Uint64()), Memory: 1 << 24, Agreed: s.w.Agreed, HoldMost: holdMost})
+	s.sidecar = sidecar.New(s.w.Now, sidecar.Options{Self: s.addr, Zone: s.host.Zone, Service: s.host.Carrier, Seeds: s.seeds, HeartbeatInterval: beat,
+		RetryRatio: 0.2, RetrySlack: 60, RecordVersion: s.version, Seed: cmp.Or(s.seed, s.w.Rand.Uint64()), MaxBodyBytes: 1 << 24, AgreedEjection: s.w.Agreed, MaxKeyHold: holdMost})
 	life := s.lives
 	var tick func()
 	tick = func() {
@@ -72,7 +72,7 @@
 func (s *Proxy) Term(ended func()) {
 	const notice, grace = 2.2, 5.0
 	began, life := s.w.Now, s.lives
-	s.input(func() { s.sidecar.Term(s.w.Now, notice) })
+	s.input(func() { s.sidecar.BeginShutdown(s.w.Now, notice) })
 	var look func()
 	look = func() {
 		switch {
@@ -91,10 +91,10 @@
 func (s *Proxy) State() sidecar.State { return s.sidecar.State(s.w.Now) }
 
 func (s *Proxy) heard(from string, p *meshpb.Message) {
-	s.input(func() { s.sidecar.Message(s.w.Now, from, p) })
+	s.input(func() { s.sidecar.Receive(s.w.Now, from, p) })
 }
 
-func (s *Proxy) broke(b transport.Broke) { s.input(func() { s.sidecar.Broke(s.w.Now, b) }) }
+func (s *Proxy) broke(b transport.Broke) { s.input(func() { s.sidecar.ConnectionLost(s.w.Now, b) }) }
 
 func (s *Proxy) input(f func()) {
 	if !s.up || s.holds(f, s.input) {
@@ -102,17 +102,17 @@
 	}
 	f()
 	for {
-		out := s.sidecar.Take()
+		out := s.sidecar.TakeOutput()
 		for _, send := range out.Sends {
 			number := s.w.send(s.addr, send.To, send.Message)
 			if send.Via != nil {
 				*send.Via = number
 			}
 		}
-		for _, do := range out.Dos {
+		for _, do := range out.Commands {
 			switch do := do.(type) {
-			case sidecar.Tell:
-				do.Order.Slot.(func(sidecar.Reply))(do.Reply)
+			case sidecar.Respond:
+				do.Request.ReplyTo.(func(sidecar.Reply))(do.Reply)
 			case sidecar.Exchange:
 				s.exchange(do)
 			case sidecar.Abort:
@@ -123,7 +123,7 @@
 				s.probe()
 			}
 		}
-		if len(out.Sends) == 0 && len(out.Dos) == 0 {
+		if len(out.Sends) == 0 && len(out.Commands) == 0 {
 			return
 		}
 	}
--- a/internal/mesh/upstream/calls_test.go
+++ b/internal/mesh/upstream/calls_test.go
@@ -13,7 +13,7 @@
 )
 
 // refusal is a host's word that it has not run a request, which does not say whose.
-const refusal = "HTTP/1.1 503 Full\r\n" + sidecar.HeaderUnrun + ": 1\r\nContent-Length: 0\r\n\r\n"
+const refusal = "HTTP/1.1 503 Full\r\n" + sidecar.HeaderNotRun + ": 1\r\nContent-Length: 0\r\n\r\n"
 
 // A host's refusal that does not say whose it is comes a second time, ahead of the answer to the next
 // request: that one has run, and is not told as refused.
--- a/internal/mesh/upstream/keys.go
+++ b/internal/mesh/upstream/keys.go
@@ -37,7 +37,7 @@
 	if call.Release {
 		path = pathRelease
 	}
-	body, err := json.Marshal(keyRange{call.First, call.Last, call.Fence, call.HoldMs, call.Handover})
+	body, err := json.Marshal(keyRange{call.FirstKey, call.LastKey, call.Fence, call.HoldMs, call.Handover})
 	if err != nil {
 		return sidecar.KeyResult{}
 	}
--- a/internal/mesh/upstream/upstream.go
+++ b/internal/mesh/upstream/upstream.go
@@ -37,7 +37,7 @@
 )
 
 // once are the headers that may stand in a host's answer a single time.
-var once = []string{"Content-Length", "Transfer-Encoding", sidecar.HeaderUnrun, sidecar.HeaderPostmark, sidecar.HeaderID}
+var once = []string{"Content-Length", "Transfer-Encoding", sidecar.HeaderNotRun, sidecar.HeaderPostmark, sidecar.HeaderID}
 
 // Host is the way to one host.
 type Host struct {
@@ -284,7 +284,7 @@
 // judge says what a whole message is worth.
 func judge(a answer, res *http.Response, id string) error {
 	switch {
-	case res.Header.Get(sidecar.HeaderUnrun) != "", res.StatusCode == http.StatusMisdirectedRequest:
+	case res.Header.Get(sidecar.HeaderNotRun) != "", res.StatusCode == http.StatusMisdirectedRequest:
 		a.Verdict = uint32(outcome.HostTurned)
 		a.Fields, a.Body = nil, nil
 		a.Why = fmt.Sprintf("the host says %d, not run", a.Status)
@@ -357,7 +357,7 @@
 	"Proxy-Authorization": true, sidecar.HeaderDeadline: true, sidecar.HeaderAddressee: true, sidecar.HeaderSender: true}
 
 // stay are those that go on even where a Connection header names them.
-var stay = map[string]bool{sidecar.HeaderID: true, sidecar.HeaderKey: true, sidecar.HeaderPostmark: true}
+var stay = map[string]bool{sidecar.HeaderID: true, sidecar.HeaderIdempotencyKey: true, sidecar.HeaderPostmark: true}
 
 // Fields are a message's headers that go on.
 func Fields(h http.Header) []*meshpb.Field {
--- a/internal/mesh/upstream/upstream_test.go
+++ b/internal/mesh/upstream/upstream_test.go
@@ -75,7 +75,7 @@
 		{"its own failure", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", outcome.Answered},
 		{"after 100", "HTTP/1.1 100 Continue\r\n\r\n" + good("q", "hello"), outcome.Answered},
 		{"chunks", "HTTP/1.1 200 OK\r\n" + sidecar.HeaderID + ": q\r\n" + sidecar.HeaderPostmark + ": p\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", outcome.Answered},
-		{"not run", "HTTP/1.1 503 Full\r\n" + sidecar.HeaderUnrun + ": 1\r\nContent-Length: 0\r\n\r\n", outcome.HostTurned},
+		{"not run", "HTTP/1.1 503 Full\r\n" + sidecar.HeaderNotRun + ": 1\r\nContent-Length: 0\r\n\r\n", outcome.HostTurned},
 		{"another host", "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n", outcome.HostTurned},
 		{"closed", "", outcome.Broken},
 		{"cut in the head", "HTTP/1.1 200 OK\r\ncut", outcome.Broken},
