--- a/internal/mesh/sidecar/actions.go
+++ b/internal/mesh/sidecar/actions.go
@@ -14,124 +14,124 @@
 
 // Send sends a request to the proxy beside the picked host.
 func (s *service) Send(id balancer.RequestID, host balancer.HostID, _ float64) {
-	p := s.p
-	o := p.orders[uint64(id)]
-	if o == nil {
+	p := s.sidecar
+	req := p.requests[uint64(id)]
+	if req == nil {
 		return
 	}
-	at := s.hosts[host]
-	t := &try{order: o, id: p.id(), number: len(o.tries), host: host, sent: p.now, out: true}
-	o.tries = append(o.tries, t)
-	p.tries[t.id] = t
+	ep := s.hosts[host]
+	a := &attempt{request: req, id: p.nextID(), number: len(req.attempts), host: host, sentAt: p.now, inFlight: true}
+	req.attempts = append(req.attempts, a)
+	p.attempts[a.id] = a
 	switch {
-	case o.told, p.now >= o.deadline:
-		p.later(func() { p.ended(t, balancer.Moot, nil, "") })
+	case req.answered, p.now >= req.deadline:
+		p.runLater(func() { p.endAttempt(a, balancer.Moot, nil, "") })
 		return
-	case at == nil:
-		p.later(func() { p.ended(t, balancer.ConnectFailed, nil, "gone from the roll") })
+	case ep == nil:
+		p.runLater(func() { p.endAttempt(a, balancer.ConnectFailed, nil, "gone from the roll") })
 		return
-	case o.arrivals >= max(1, o.route.Tries):
-		p.later(func() { p.ended(t, balancer.Moot, nil, "no tries left") })
+	case req.arrivals >= max(1, req.route.Tries):
+		p.runLater(func() { p.endAttempt(a, balancer.Moot, nil, "no tries left") })
 		return
-	case o.arrivals > 0 && !p.budget.Spend(o.service):
-		p.later(func() { p.ended(t, balancer.Moot, nil, "no budget for a further try") })
+	case req.arrivals > 0 && !p.retryBudget.Spend(req.service):
+		p.runLater(func() { p.endAttempt(a, balancer.Moot, nil, "no budget for a further try") })
 		return
 	}
-	t.spent = o.arrivals > 0
-	t.peer, t.station = at.source, at.station
-	if w := p.peers[t.peer]; w == nil {
-		p.peers[t.peer] = &peer{out: 1, heard: p.now, oldest: p.now}
+	a.budgetSpent = req.arrivals > 0
+	a.peer, a.hostInstance = ep.proxy, ep.instance
+	if peer := p.peers[a.peer]; peer == nil {
+		p.peers[a.peer] = &peerState{inFlight: 1, heardAt: p.now, progressAt: p.now}
 	} else {
-		if w.out++; w.out == 1 {
-			w.oldest, w.heard = p.now, p.now
+		if peer.inFlight++; peer.inFlight == 1 {
+			peer.progressAt, peer.heardAt = p.now, p.now
 		}
 	}
-	if !o.route.Repeatable() && t.peer != p.o.Self && p.peers[t.peer].life == 0 {
-		p.hold(t)
+	if !req.route.Repeatable() && a.peer != p.opts.Self && p.peers[a.peer].incarnation == 0 {
+		p.holdAttempt(a)
 		return
 	}
-	p.sendTry(t)
+	p.sendAttempt(a)
 }
 
 // sendTry has a try go to the proxy beside its host.
-func (p *Sidecar) sendTry(t *try) {
-	t.gateLife = p.peers[t.peer].life
-	if t.order.left {
-		p.count.SentAfterClientLeft++
-	}
-	parcel := p.question(t.id, &meshpb.Message{Forward: p.forward(t)})
-	if t.peer == p.o.Self {
-		p.send(t.peer, parcel)
+func (p *Sidecar) sendAttempt(a *attempt) {
+	a.peerIncarnation = p.peers[a.peer].incarnation
+	if a.request.clientLeft {
+		p.counts.SentAfterClientLeft++
+	}
+	m := p.newRPC(a.id, &meshpb.Message{Forward: p.newForward(a)})
+	if a.peer == p.opts.Self {
+		p.send(a.peer, m)
 		return
 	}
-	p.out.Sends = append(p.out.Sends, transport.Send{To: t.peer, Message: parcel, Via: &t.link})
+	p.output.Sends = append(p.output.Sends, transport.Send{To: a.peer, Message: m, Via: &a.link})
 }
 
 // forward is what a try asks of the proxy beside its host.
-func (p *Sidecar) forward(t *try) *meshpb.Forward {
-	o := t.order
-	aim := min(o.deadline, o.taken+o.class.aim)
+func (p *Sidecar) newForward(a *attempt) *meshpb.Forward {
+	req := a.request
+	target := min(req.deadline, req.receivedAt+req.class.target)
 	return &meshpb.Forward{
-		Station:    t.station,
-		Method:     o.Method,
-		Target:     o.Target,
-		Host:       o.Host,
-		Fields:     o.Fields,
-		Body:       o.Body,
-		Framed:     o.Framed,
-		LeftUs:     uint32(min(math.MaxUint32, max(0, o.deadline-p.now)*1e6)),
-		Sender:     p.o.Service,
-		Key:        o.IdempotencyKey,
-		Token:      o.token,
-		Precedence: uint32(max(0, o.route.Precedence)),
-		Repeatable: o.route.Repeatable(),
-		Attempt:    uint32(t.number),
-		Class:      o.class.number(),
-		AimUs:      uint32(max(0, aim-p.now) * 1e6),
-		GateLife:   t.gateLife,
+		Station:    a.hostInstance,
+		Method:     req.Method,
+		Target:     req.Target,
+		Host:       req.Host,
+		Fields:     req.Fields,
+		Body:       req.Body,
+		Framed:     req.Framed,
+		LeftUs:     uint32(min(math.MaxUint32, max(0, req.deadline-p.now)*1e6)),
+		Sender:     p.opts.Service,
+		Key:        req.IdempotencyKey,
+		Token:      req.token,
+		Precedence: uint32(max(0, req.route.Precedence)),
+		Repeatable: req.route.Repeatable(),
+		Attempt:    uint32(a.number),
+		Class:      req.class.wireID(),
+		AimUs:      uint32(max(0, target-p.now) * 1e6),
+		GateLife:   a.peerIncarnation,
 	}
 }
 
 // Refuse answers that trying again is harmless.
 func (s *service) Refuse(id balancer.RequestID, coolDown float64) {
-	p := s.p
-	o := p.orders[uint64(id)]
-	if o == nil || o.told {
+	p := s.sidecar
+	req := p.requests[uint64(id)]
+	if req == nil || req.answered {
 		return
 	}
-	if p.waitsForHolder(o) {
+	if p.retriesAtHolder(req) {
 		return
 	}
-	r := Reply{Status: 503, FromProxy: true, RetryAfter: min(comeBackMost, max(comeBack, coolDown)), Reason: "refused"}
-	if o.holder != 0 {
-		r.RetryAfter = max(r.RetryAfter, keyBack)
+	reply := Reply{Status: 503, FromProxy: true, RetryAfter: min(maxRetryAfter, max(minRetryAfter, coolDown)), Reason: "refused"}
+	if req.holder != 0 {
+		reply.RetryAfter = max(reply.RetryAfter, noHolderRetryAfter)
 	}
-	if n := len(o.tries); n == 0 {
-		r.Reason = "no room"
+	if n := len(req.attempts); n == 0 {
+		reply.Reason = "no room"
 	}
-	if o.last != nil { // a host has spoken
-		r = p.hosts(o, o.last)
+	if req.lastResponse != nil { // a host has spoken
+		reply = p.hostReply(req, req.lastResponse)
 	}
-	if o.claims && r.FromProxy { // what is promised not to run gives its key back
-		p.admission.settle(o.IdempotencyKey, &meshpb.Receipt{Token: o.token, State: register.Void})
+	if req.mayHoldClaim && reply.FromProxy { // what is promised not to run gives its key back
+		p.admission.settle(req.IdempotencyKey, &meshpb.Receipt{Token: req.token, State: register.Void})
 	}
-	p.tell(o, r)
-	p.later(func() { p.forget(o) })
+	p.reply(req, reply)
+	p.runLater(func() { p.forget(req) })
 }
 
 // Fail answers that nothing is promised.
 func (s *service) Fail(id balancer.RequestID) {
-	p := s.p
-	o := p.orders[uint64(id)]
-	if o == nil || o.told {
+	p := s.sidecar
+	req := p.requests[uint64(id)]
+	if req == nil || req.answered {
 		return
 	}
-	r := Reply{Status: 502, FromProxy: true, Reason: "it may have run"}
-	if o.last != nil {
-		r = p.hosts(o, o.last)
+	reply := Reply{Status: 502, FromProxy: true, Reason: "it may have run"}
+	if req.lastResponse != nil {
+		reply = p.hostReply(req, req.lastResponse)
 	}
-	p.tell(o, r)
-	p.later(func() { p.forget(o) })
+	p.reply(req, reply)
+	p.runLater(func() { p.forget(req) })
 }
 
 // Probe is not asked for.
@@ -139,9 +139,9 @@
 
 // Timer asks for an event.
 func (s *service) Timer(after float64, token uint64) {
-	s.p.at(s.p.now+max(0, after), func() {
-		if s.p.services[s.name] == s {
-			s.bal.Timer(s.p.now, token)
+	s.sidecar.schedule(s.sidecar.now+max(0, after), func() {
+		if s.sidecar.services[s.name] == s {
+			s.balancer.Timer(s.sidecar.now, token)
 		}
 	})
 }
@@ -155,9 +155,9 @@
 
 // Log writes a line of the module's.
 func (s *service) Log(text string) {
-	if s.p.o.Debug != nil {
-		s.p.o.Debug("balancer", "service", s.name, "says", text)
+	if s.sidecar.opts.Debug != nil {
+		s.sidecar.opts.Debug("balancer", "service", s.name, "says", text)
 	}
 }
 
-func (p *Sidecar) later(f func()) { p.local = append(p.local, f) }
+func (p *Sidecar) runLater(f func()) { p.pending = append(p.pending, f) }
--- a/internal/mesh/sidecar/admission_test.go
+++ b/internal/mesh/sidecar/admission_test.go
@@ -9,32 +9,32 @@
 )
 
 // door is a proxy with a host of four berths beside it, as another proxy meets it.
-type door struct {
-	t    *testing.T
-	p    *Sidecar
-	now  float64
-	next uint64
-	runs []uint64            // what went to the host, by the parcels' numbers
-	jobs map[uint64]Exchange // by the same
-	told map[uint64]*meshpb.Forwarded
-
-	beats   uint64
-	aborted []uint64 // jobs that were broken off at the host
+type hostFixture struct {
+	t         *testing.T
+	sidecar   *Sidecar
+	now       float64
+	lastID    uint64
+	runs      []uint64            // what went to the host, by the parcels' numbers
+	exchanges map[uint64]Exchange // by the same
+	results   map[uint64]*meshpb.Forwarded
+
+	heartbeats uint64
+	aborted    []uint64 // jobs that were broken off at the host
 }
 
-func openDoor(t *testing.T) *door {
-	d := &door{t: t, now: 1, jobs: map[uint64]Exchange{}, told: map[uint64]*meshpb.Forwarded{}}
-	d.p = New(d.now, Options{Self: "here", Seeds: []string{"hall"}, HeartbeatInterval: 1.5, MaxBodyBytes: 1 << 20})
-	d.p.Heartbeat(d.now, Heartbeat{ID: "i-1", Service: "shop", Slots: 4, Sequence: 1})
-	d.take()
+func newHostFixture(t *testing.T) *hostFixture {
+	d := &hostFixture{t: t, now: 1, exchanges: map[uint64]Exchange{}, results: map[uint64]*meshpb.Forwarded{}}
+	d.sidecar = New(d.now, Options{Self: "here", Seeds: []string{"hall"}, HeartbeatInterval: 1.5, MaxBodyBytes: 1 << 20})
+	d.sidecar.Heartbeat(d.now, Heartbeat{ID: "i-1", Service: "shop", Slots: 4, Sequence: 1})
+	d.collect()
 	return d
 }
 
-func (d *door) take() {
-	out := d.p.TakeOutput()
+func (d *hostFixture) collect() {
+	out := d.sidecar.TakeOutput()
 	for _, s := range out.Sends {
 		if s.Message.Forwarded != nil {
-			d.told[s.Message.Id] = s.Message.Forwarded
+			d.results[s.Message.Id] = s.Message.Forwarded
 		}
 	}
 	for _, do := range out.Commands {
@@ -42,7 +42,7 @@
 		case Exchange:
 			n := uint64(do.Forward.Token)
 			d.runs = append(d.runs, n)
-			d.jobs[n] = do
+			d.exchanges[n] = do
 		case Abort:
 			d.aborted = append(d.aborted, do.Job)
 		}
@@ -50,55 +50,55 @@
 }
 
 // carry brings a request that has been turned away elsewhere, with so many seconds to its aim and its end.
-func (d *door) carry(aim, left float64) uint64 {
-	d.next++
-	d.p.Receive(d.now, "there", &meshpb.Message{Id: d.next, Forward: &meshpb.Forward{Station: "i-1", Token: d.next, Attempt: 1,
-		AimUs: uint32(aim * 1e6), LeftUs: uint32(left * 1e6), Repeatable: true}})
-	d.take()
-	return d.next
+func (d *hostFixture) forward(target, left float64) uint64 {
+	d.lastID++
+	d.sidecar.Receive(d.now, "there", &meshpb.Message{Id: d.lastID, Forward: &meshpb.Forward{Station: "i-1", Token: d.lastID, Attempt: 1,
+		AimUs: uint32(target * 1e6), LeftUs: uint32(left * 1e6), Repeatable: true}})
+	d.collect()
+	return d.lastID
 }
 
 // beatNext has the host say again that it is well.
-func (d *door) beatNext() {
-	d.beats++
-	d.beat(1+d.beats, false)
+func (d *hostFixture) nextHeartbeat() {
+	d.heartbeats++
+	d.heartbeat(1+d.heartbeats, false)
 }
 
 // answer has the host answer a request.
-func (d *door) answer(n uint64) {
-	d.p.ExchangeDone(d.now, d.jobs[n].Job, &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200})
-	d.take()
+func (d *hostFixture) hostAnswers(n uint64) {
+	d.sidecar.ExchangeDone(d.now, d.exchanges[n].Job, &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200})
+	d.collect()
 }
 
-func (d *door) pass(s float64) {
+func (d *hostFixture) advance(s float64) {
 	for end := d.now + s; d.now < end; {
 		d.now += 0.02
-		d.p.Tick(d.now)
-		d.take()
+		d.sidecar.Tick(d.now)
+		d.collect()
 	}
 }
 
 // At a full host what cannot be in time waits behind all that can, takes no more than its part of the berths, and goes while
 // its client still waits.
 func TestLateOnesWaitBehindThoseInTime(t *testing.T) {
-	d := openDoor(t)
-	first := []uint64{d.carry(1, 2), d.carry(1, 2), d.carry(1, 2), d.carry(1, 2)}
-	late := d.carry(0, 2)
-	prompt := d.carry(1, 2)
-	if len(d.runs) != 4 || d.told[late] != nil {
-		t.Fatalf("ran %v, told %v", d.runs, d.told)
-	}
-	d.pass(0.1)
-	d.answer(first[0])
+	d := newHostFixture(t)
+	first := []uint64{d.forward(1, 2), d.forward(1, 2), d.forward(1, 2), d.forward(1, 2)}
+	late := d.forward(0, 2)
+	prompt := d.forward(1, 2)
+	if len(d.runs) != 4 || d.results[late] != nil {
+		t.Fatalf("ran %v, told %v", d.runs, d.results)
+	}
+	d.advance(0.1)
+	d.hostAnswers(first[0])
 	if n := d.runs[len(d.runs)-1]; n != prompt {
 		t.Fatalf("%d got the free berth, %d was in time", n, prompt)
 	}
-	d.answer(first[1])
-	d.answer(first[2])
+	d.hostAnswers(first[1])
+	d.hostAnswers(first[2])
 	if n := d.runs[len(d.runs)-1]; n != prompt {
 		t.Fatalf("%d runs with half of the berths in use: nothing is left for what has hurry", n)
 	}
-	d.answer(first[3])
+	d.hostAnswers(first[3])
 	if n := d.runs[len(d.runs)-1]; n != late {
 		t.Fatalf("%d is the last that ran, %d waits beside free berths", n, late)
 	}
@@ -106,52 +106,52 @@
 
 // No more wait late than may be served so: the others are told at once, and one that waits is told as soon as it is too late for it.
 func TestLateOnesAreFewAndToldInTime(t *testing.T) {
-	d := openDoor(t)
+	d := newHostFixture(t)
 	for range 4 {
-		d.carry(1, 3)
+		d.forward(1, 3)
 	}
 	var waiting []uint64
 	for range 5 {
-		n := d.carry(0, 1)
-		if d.told[n] == nil {
+		n := d.forward(0, 1)
+		if d.results[n] == nil {
 			waiting = append(waiting, n)
-		} else if outcome.Outcome(d.told[n].Verdict) != outcome.Turned || d.told[n].BackMs == 0 {
-			t.Errorf("told %v", d.told[n])
+		} else if outcome.Outcome(d.results[n].Verdict) != outcome.Turned || d.results[n].BackMs == 0 {
+			t.Errorf("told %v", d.results[n])
 		}
 	}
 	if len(waiting) != 2 {
 		t.Fatalf("%d of 5 wait where nobody knows whether any gets its turn, want 2", len(waiting))
 	}
-	d.pass(0.9)
+	d.advance(0.9)
 	for _, n := range waiting {
-		if d.told[n] != nil {
+		if d.results[n] != nil {
 			t.Errorf("%d was given up with time left", n)
 		}
 	}
-	d.pass(0.1)
+	d.advance(0.1)
 	for _, n := range waiting {
-		if c := d.told[n]; c == nil || outcome.Outcome(c.Verdict) != outcome.Turned {
-			t.Errorf("%d is held to its end: %v", n, c)
+		if forwarded := d.results[n]; forwarded == nil || outcome.Outcome(forwarded.Verdict) != outcome.Turned {
+			t.Errorf("%d is held to its end: %v", n, forwarded)
 		}
 	}
 }
 
 // One that waits in time and then is not goes behind the others.
 func TestWaitingPastTheAimLosesThePlace(t *testing.T) {
-	d := openDoor(t)
+	d := newHostFixture(t)
 	var first []uint64
 	for range 4 {
-		first = append(first, d.carry(3, 4))
+		first = append(first, d.forward(3, 4))
 	}
-	slow := d.carry(0.2, 2)
-	d.pass(0.3)
-	prompt := d.carry(1, 2)
-	d.answer(first[0])
+	slow := d.forward(0.2, 2)
+	d.advance(0.3)
+	prompt := d.forward(1, 2)
+	d.hostAnswers(first[0])
 	if n := d.runs[len(d.runs)-1]; n != prompt {
 		t.Errorf("%d got the berth, %d is past its aim and %d is not", n, slow, prompt)
 	}
 	for _, n := range first[1:] {
-		d.answer(n)
+		d.hostAnswers(n)
 	}
 	if n := d.runs[len(d.runs)-1]; n != slow {
 		t.Errorf("%d ran last, want %d", n, slow)
@@ -160,68 +160,68 @@
 
 // A full link: a large answer is asked for only where it can be in time behind those that wait or are being made; small ones go as ever.
 func TestLargeAnswersDoNotQueueInAFullLink(t *testing.T) {
-	d := openDoor(t)
-	d.p.admission.bytes[9] = 100 << 10
+	d := newHostFixture(t)
+	d.sidecar.admission.classBodyBytes[9] = 100 << 10
 	const perByte = 1.0 / (2 << 20) // 100 KB take 49 ms
-	large := func(aim float64) uint64 {
-		d.next++
-		d.p.Receive(d.now, "there", &meshpb.Message{Id: d.next, Forward: &meshpb.Forward{Station: "i-1", Token: d.next, Attempt: 1, Class: 9,
-			AimUs: uint32(aim * 1e6), LeftUs: 3e6, Repeatable: true}})
-		d.take()
-		return d.next
-	}
-	d.p.SetLinkBacklog(0.15, perByte)
-	if n := large(0.2); d.told[n] != nil {
-		t.Errorf("turned away with 0.15 s to wait and 0.2 s to its aim: %v", d.told[n])
-	}
-	if n := large(0.2); d.told[n] == nil || d.told[n].BackMs == 0 {
+	large := func(target float64) uint64 {
+		d.lastID++
+		d.sidecar.Receive(d.now, "there", &meshpb.Message{Id: d.lastID, Forward: &meshpb.Forward{Station: "i-1", Token: d.lastID, Attempt: 1, Class: 9,
+			AimUs: uint32(target * 1e6), LeftUs: 3e6, Repeatable: true}})
+		d.collect()
+		return d.lastID
+	}
+	d.sidecar.SetLinkBacklog(0.15, perByte)
+	if n := large(0.2); d.results[n] != nil {
+		t.Errorf("turned away with 0.15 s to wait and 0.2 s to its aim: %v", d.results[n])
+	}
+	if n := large(0.2); d.results[n] == nil || d.results[n].BackMs == 0 {
 		t.Error("taken behind one that is being made, 0.2 s to wait and 0.2 s to its aim")
 	}
-	if n := large(0.4); d.told[n] != nil {
-		t.Errorf("turned away with 0.2 s to wait and 0.4 s to its aim: %v", d.told[n])
+	if n := large(0.4); d.results[n] != nil {
+		t.Errorf("turned away with 0.2 s to wait and 0.4 s to its aim: %v", d.results[n])
 	}
-	if n := d.carry(0.2, 1); d.told[n] != nil {
-		t.Errorf("a small one is turned away: %v", d.told[n])
+	if n := d.forward(0.2, 1); d.results[n] != nil {
+		t.Errorf("a small one is turned away: %v", d.results[n])
 	}
 }
 
 // This process is stopped while its host runs something: that says nothing of how long the host takes, and all goes on afterwards.
 func TestStopOfThisProcessIsNoSlowHost(t *testing.T) {
-	d := openDoor(t)
-	n := d.carry(1, 2)
+	d := newHostFixture(t)
+	n := d.forward(1, 2)
 	d.now += 40
-	d.answer(n)
-	d.pass(bufferedFor)
-	d.beatNext()
-	if work := d.p.admission.work; work > firstWork+workStep {
+	d.hostAnswers(n)
+	d.advance(bufferedFor)
+	d.nextHeartbeat()
+	if work := d.sidecar.admission.meanRunSeconds; work > initialRunSeconds+meanRunStep {
 		t.Errorf("the host is taken to work %.2f s on a request", work)
 	}
-	if n := d.carry(0.2, 2); d.told[n] != nil {
-		t.Errorf("turned away from an idle host: %v", d.told[n])
+	if n := d.forward(0.2, 2); d.results[n] != nil {
+		t.Errorf("turned away from an idle host: %v", d.results[n])
 	}
 }
 
 // A host that was slow is found to be fast again, though nothing seemed to be in time there.
 func TestSlowHostIsTriedAgain(t *testing.T) {
-	d := openDoor(t)
+	d := newHostFixture(t)
 	const slow = 1.0
 	for range 60 {
-		n := d.carry(2, 4)
-		d.pass(slow)
-		d.answer(n)
-		d.beatNext()
+		n := d.forward(2, 4)
+		d.advance(slow)
+		d.hostAnswers(n)
+		d.nextHeartbeat()
 	}
 	for range 200 {
-		n := d.carry(0.2, 0.5)
-		if d.told[n] != nil {
-			t.Fatalf("turned away from an idle host: %v", d.told[n])
+		n := d.forward(0.2, 0.5)
+		if d.results[n] != nil {
+			t.Fatalf("turned away from an idle host: %v", d.results[n])
 		}
-		d.pass(0.02)
-		d.answer(n)
-		d.beatNext()
+		d.advance(0.02)
+		d.hostAnswers(n)
+		d.nextHeartbeat()
 	}
-	first, second := d.carry(0.2, 0.5), d.carry(0.2, 0.5)
-	if d.told[first] != nil || d.told[second] != nil {
-		t.Errorf("fast again, and turned away: %v, %v", d.told[first], d.told[second])
+	first, second := d.forward(0.2, 0.5), d.forward(0.2, 0.5)
+	if d.results[first] != nil || d.results[second] != nil {
+		t.Errorf("fast again, and turned away: %v, %v", d.results[first], d.results[second])
 	}
 }
--- /dev/null
+++ b/internal/mesh/sidecar/attempts.go
@@ -0,0 +1,252 @@
+package sidecar
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"beechwing/balancer"
+	"beechwing/internal/mesh/meshpb"
+	"beechwing/internal/mesh/transport"
+
+	"beechwing/internal/mesh/outcome"
+	"beechwing/internal/mesh/register"
+)
+
+// A try ends by the word of the proxy that it went to, by a connection that breaks, or by silence.
+
+// forwarded takes the end of a try from the proxy that had it.
+func (p *Sidecar) receiveForwarded(from string, m *meshpb.Message) {
+	a, asked := p.attempts[m.Id], ""
+	if a != nil {
+		asked = a.peer
+	}
+	if !p.acceptsResponse(from, m, asked) {
+		return
+	}
+	if a.peerIncarnation != 0 && m.Responder != a.peerIncarnation {
+		p.drop(from, m, dropOtherResponder)
+		p.peerFailed(a, "another process is at its proxy's address")
+		return
+	}
+	p.handleOutcome(a, m.Forwarded)
+}
+
+// carried takes the end of a try.
+func (p *Sidecar) handleOutcome(a *attempt, forwarded *meshpb.Forwarded) {
+	req := a.request
+	verdict := outcome.Outcome(forwarded.Verdict)
+	p.counts.Attempts[verdict.String()]++
+	if verdict == outcome.Answered && forwarded.Status < 500 {
+		p.services[req.service].recordLatency(a.host, req.class, float64(forwarded.TookUs)/1e6)
+	}
+	if ep := p.services[req.service].hosts[a.host]; ep != nil && a.peer != p.opts.Self { // of the host here its admission speaks
+		p.recordOutcome(ep.instance, forwarded)
+	}
+	if verdict.Arrived() {
+		req.arrivals++
+	} else if a.budgetSpent {
+		p.retryBudget.Back(req.service)
+	}
+	req.mayHoldClaim = req.mayHoldClaim || verdict.NeverRan() && forwarded.Claimed
+	if req.clientLeft && verdict.NeverRan() || verdict == outcome.Cancelled {
+		p.endAfterClientLeft(a, verdict)
+		return
+	}
+	why := forwarded.Why
+	if why == "" {
+		why = verdict.String()
+	}
+	switch verdict {
+	case outcome.Answered:
+		if forwarded.Status >= 500 {
+			p.endAttempt(a, balancer.Errored, forwarded, why)
+		} else {
+			p.endAttempt(a, balancer.OK, forwarded, why)
+		}
+	case outcome.Turned:
+		if forwarded.BackMs > 0 { // it is full
+			p.endAttempt(a, balancer.TurnedAway, nil, why)
+		} else {
+			p.endAttempt(a, balancer.ConnectFailed, nil, why)
+		}
+	case outcome.HostTurned:
+		p.endAttempt(a, balancer.TurnedAway, nil, why)
+	case outcome.Unclaimed:
+		if p.now > p.discovery.serverHeardAt+controlSilentAfter || a.number > 0 || forwarded.BackMs > 0 { // another proxy reaches no more of the control plane
+			p.endAttempt(a, balancer.Moot, nil, why)
+		} else {
+			p.endAttempt(a, balancer.TurnedAway, nil, why)
+		}
+	case outcome.Expired:
+		p.endAttempt(a, balancer.Moot, nil, why)
+	case outcome.Late:
+		p.endAttempt(a, balancer.TimedOut, nil, why)
+	case outcome.Busy:
+		p.endWithReply(a, Reply{Status: 409, FromProxy: true, RetryAfter: minRetryAfter, Reason: "its key is at work"})
+	case outcome.Kept:
+		p.endWithReply(a, Reply{Status: int(forwarded.Status), Fields: forwarded.Fields, Body: forwarded.Body, Reason: "its key's answer"})
+	case outcome.Lost:
+		p.endWithReply(a, Reply{Status: 502, FromProxy: true, Reason: "its key's run has no known end"})
+	default:
+		p.endAttempt(a, balancer.Reset, nil, why)
+	}
+}
+
+// leave takes a try off the books.
+func (p *Sidecar) removeAttempt(a *attempt) bool {
+	if !a.inFlight {
+		return false
+	}
+	a.inFlight = false
+	delete(p.attempts, a.id)
+	if peer := p.peers[a.peer]; peer != nil {
+		if peer.inFlight--; peer.inFlight <= 0 {
+			peer.inFlight = 0
+		}
+		if a.held {
+			a.held = false
+			peer.held--
+		}
+		peer.progressAt = p.now
+	}
+	return true
+}
+
+// final ends a try, and with it the order, by something that says nothing of the host.
+func (p *Sidecar) endWithReply(a *attempt, reply Reply) {
+	if !p.removeAttempt(a) {
+		return
+	}
+	req := a.request
+	p.reply(req, reply)
+	p.reportOutcome(a, balancer.Cancelled, true)
+	p.forget(req)
+}
+
+// ended takes the result of a try to the module, which says what follows.
+func (p *Sidecar) endAttempt(a *attempt, result balancer.Result, forwarded *meshpb.Forwarded, why string) {
+	if !p.removeAttempt(a) {
+		return
+	}
+	req := a.request
+	if p.opts.Debug != nil {
+		p.opts.Debug("try ended", "id", req.ID, "try", a.number, "peer", a.peer, "result", result, "why", why, "took", p.now-a.sentAt)
+	}
+	final := req.answered
+	switch {
+	case forwarded == nil:
+	case result == balancer.OK || !req.route.Repeatable():
+		p.reply(req, p.hostReply(req, forwarded))
+		final = true
+	default:
+		req.lastResponse = forwarded
+	}
+	p.reportOutcome(a, result, final)
+	p.forget(req)
+}
+
+func (p *Sidecar) reportOutcome(a *attempt, result balancer.Result, final bool) {
+	if s := p.services[a.request.service]; s != nil {
+		s.balancer.Outcome(p.now, balancer.Outcome{ID: balancer.RequestID(a.request.id), Attempt: a.number, Host: a.host, Result: result,
+			Took: p.now - a.sentAt, Final: final})
+	}
+}
+
+// brokeTries ends the tries that went by a connection that is no more. What had not gone out has not run.
+func (p *Sidecar) failAttempts(b transport.Broke) {
+	for _, id := range b.Unsent {
+		if a := p.attempts[id]; a != nil && a.peer == b.Peer {
+			p.endUnsent(a, "no connection to the proxy beside the host")
+		}
+	}
+	p.failHeld(b.Peer, "no connection to the proxy beside the host")
+	if b.Link == 0 {
+		return
+	}
+	if peer := p.peers[b.Peer]; peer != nil {
+		peer.incarnation = 0 // another process may have the address
+	}
+	for _, a := range p.attemptsAt(b.Peer) {
+		if a.link != b.Link {
+			continue
+		}
+		p.peerFailed(a, "the connection to the proxy beside the host broke")
+	}
+}
+
+// endUnsent ends a try of which nothing has gone.
+func (p *Sidecar) endUnsent(a *attempt, why string) {
+	if a.budgetSpent {
+		p.retryBudget.Back(a.request.service)
+	}
+	p.endAttempt(a, balancer.ConnectFailed, nil, why)
+}
+
+// doubt ends a try of which nothing will be heard. What may be sent again is. What has a key has not run, and never will, if no
+// claim of its token was granted and none will be: the register says so. Of the rest it is not known.
+func (p *Sidecar) peerFailed(a *attempt, why string) {
+	req := a.request
+	if !a.voidRequested {
+		p.counts.PeerFailures++
+		if s := p.services[req.service]; s != nil && s.hosts[a.host] != nil {
+			p.recordResult(s.hosts[a.host].instance, true)
+		}
+	}
+	switch {
+	case req.route.Repeatable():
+		req.arrivals++ // it may have arrived
+		p.endAttempt(a, balancer.ConnectFailed, nil, why)
+	case req.IdempotencyKey == "":
+		req.arrivals++
+		p.endAttempt(a, balancer.Reset, nil, why)
+	case !a.voidRequested:
+		a.voidRequested = true
+		p.admission.voidIfFree(req.IdempotencyKey, req.token, func(state uint32) {
+			if state != register.Void {
+				req.arrivals++
+				p.endAttempt(a, balancer.Reset, nil, why+"; its key was claimed")
+				return
+			}
+			if a.inFlight {
+				req.token = p.random()
+			}
+			p.endAttempt(a, balancer.ConnectFailed, nil, why+"; its key was free")
+		})
+	}
+}
+
+// triesAt are the tries that another proxy has in hand, the oldest first.
+func (p *Sidecar) attemptsAt(proxy string) (all []*attempt) {
+	for _, a := range p.attempts {
+		if a.peer == proxy {
+			all = append(all, a)
+		}
+	}
+	slices.SortFunc(all, func(a, b *attempt) int { return cmp.Compare(a.id, b.id) })
+	return all
+}
+
+// watchPeers finds proxies that have gone silent with something of ours in hand: a machine behind a cut says nothing. What may
+// be sent again is; what may not waits for its end.
+func (p *Sidecar) watchPeers() {
+	for _, proxy := range slices.Sorted(maps.Keys(p.peers)) { // in order: a seed replays
+		peer := p.peers[proxy]
+		if peer.inFlight == 0 || proxy == p.opts.Self {
+			continue
+		}
+		quiet := p.now - max(peer.heardAt, peer.progressAt)
+		switch {
+		case quiet < pingAfter:
+		case peer.pingedAt < peer.heardAt || peer.pingedAt < peer.progressAt:
+			p.ping(proxy)
+		case p.now-peer.pingedAt > min(maxPongTimeout, minPongTimeout+pongTimeoutFactor*p.meanPongSeconds):
+			p.failHeld(proxy, "the proxy beside the host is silent")
+			for _, a := range p.attemptsAt(proxy) {
+				if a.sentAt < peer.pingedAt {
+					p.peerFailed(a, "the proxy beside the host is silent")
+				}
+			}
+		}
+	}
+}
--- a/internal/mesh/sidecar/claims.go
+++ b/internal/mesh/sidecar/claims.go
@@ -18,145 +18,149 @@
 // of a run is told again after pauses that grow.
 
 const (
-	muteFor      = 1.5  // seconds for which a control process that did not answer is asked last
-	claimAsk     = 0.12 // seconds at least until the next control process is asked for a claim beside the first,
-	claimSlow    = 2.0  // or so many times what answers of the first usually take,
-	claimLate    = 0.24 // and at most
-	tookStep     = 0.1  // weight of one answer in that
-	claimMost    = 0.36 // and until it is given up: nothing has been sent to the host then
-	furtherEarn  = 0.1  // further questions for each claim that is answered
-	furtherMost  = 5.0  // that are saved up
-	overloadBack = 300  // milliseconds until a client is to come back whose claim the control plane has no room for
-	settleAsk    = 0.25 // seconds until the end of a run is told again; twice as long after each time
-	settleTries  = 6
-	mostSettles  = 4096
+	deprioritizedFor     = 1.5  // seconds for which a control process that did not answer is asked last
+	minHedgeDelay        = 0.12 // seconds at least until the next control process is asked for a claim beside the first,
+	hedgeDelayFactor     = 2.0  // or so many times what answers of the first usually take,
+	maxHedgeDelay        = 0.24 // and at most
+	meanAnswerStep       = 0.1  // weight of one answer in that
+	claimTimeout         = 0.36 // and until it is given up: nothing has been sent to the host then
+	hedgeBudgetEarn      = 0.1  // further questions for each claim that is answered
+	maxHedgeBudget       = 5.0  // that are saved up
+	overloadRetryAfterMs = 300  // milliseconds until a client is to come back whose claim the control plane has no room for
+	settleRetryDelay     = 0.25 // seconds until the end of a run is told again; twice as long after each time
+	maxSettleAttempts    = 6
+	maxSettles           = 4096
 )
 
 // keys is what this proxy has asked control processes about operations' keys.
-type keys struct {
-	claims   map[uint64]*claimQuestion
-	settles  map[uint64]*settling
-	mute     map[string]float64 // control processes that did not answer, until when they are asked last
-	throttle throttle.Throttle  // of claims
-	took     map[string]float64 // mean seconds until a control process answers a claim
-	further  float64            // questions that may go out beside one that is not answered yet
+type keyRPCs struct {
+	claims             map[uint64]*claimRPC
+	settles            map[uint64]*settleRPC
+	deprioritizedUntil map[string]float64 // control processes that did not answer, until when they are asked last
+	throttle           throttle.Throttle  // of claims
+	meanAnswerSeconds  map[string]float64 // mean seconds until a control process answers a claim
+	hedgeBudget        float64            // questions that may go out beside one that is not answered yet
 }
 
-func (k *keys) init() {
-	k.claims, k.settles, k.further = map[uint64]*claimQuestion{}, map[uint64]*settling{}, furtherMost
-	k.mute, k.took = map[string]float64{}, map[string]float64{}
+func (k *keyRPCs) init() {
+	k.claims, k.settles, k.hedgeBudget = map[uint64]*claimRPC{}, map[uint64]*settleRPC{}, maxHedgeBudget
+	k.deprioritizedUntil, k.meanAnswerSeconds = map[string]float64{}, map[string]float64{}
 }
 
 // lateAt is when the answer to a question is late: a control process in another region takes longer, and is no worse for that.
-func (k *keys) lateAt(q *claimQuestion) float64 {
-	return q.asked + min(claimLate, max(claimAsk, claimSlow*k.took[q.at]))
+func (k *keyRPCs) hedgeAt(rpc *claimRPC) float64 {
+	return rpc.sentAt + min(maxHedgeDelay, max(minHedgeDelay, hedgeDelayFactor*k.meanAnswerSeconds[rpc.server]))
 }
 
 // sawAnswer notes how long a control process took to answer a claim.
-func (k *keys) sawAnswer(now float64, q *claimQuestion) {
-	seconds := now - q.asked
-	if was, known := k.took[q.at]; known {
-		seconds = was + tookStep*(seconds-was)
+func (k *keyRPCs) recordAnswerTime(now float64, rpc *claimRPC) {
+	seconds := now - rpc.sentAt
+	if was, known := k.meanAnswerSeconds[rpc.server]; known {
+		seconds = was + meanAnswerStep*(seconds-was)
 	}
-	k.took[q.at] = seconds
+	k.meanAnswerSeconds[rpc.server] = seconds
 }
 
 // claim is a job's part of that.
 type claim struct {
-	servers  []string // not asked yet
-	open     []uint64 // questions that are not answered
-	began    float64  // when the first went out; 0: none has
-	mayStand bool     // a control process may have bound the key to this job
+	servers     []string // not asked yet
+	outstanding []uint64 // questions that are not answered
+	startedAt   float64  // when the first went out; 0: none has
+	mayBeHeld   bool     // a control process may have bound the key to this job
 }
 
 // claimQuestion is a claim on its way.
-type claimQuestion struct {
-	job   *job
-	at    string // whom
-	asked float64
-	late  bool // the next one has been asked, or may not be
+type claimRPC struct {
+	job     *job
+	server  string // whom
+	sentAt  float64
+	overdue bool // the next one has been asked, or may not be
 }
 
 // settling is word on the end of a run, until a control process has taken it.
-type settling struct {
-	key     string
-	receipt *meshpb.Receipt
-	ifFree  bool
-	told    func(state uint32) // nil: nobody waits for it
-	servers []string
-	at      string // whom
-	asked   float64
-	tries   int
+type settleRPC struct {
+	key      string
+	receipt  *meshpb.Receipt
+	ifFree   bool
+	done     func(state uint32) // nil: nobody waits for it
+	servers  []string
+	server   string // whom
+	sentAt   float64
+	attempts int
 }
 
 // urgent says that it is the first word on a run's answer, which repeats of the request wait for.
-func (s *settling) urgent() bool { return s.tries == 1 && s.receipt.State != register.Void }
+func (settling *settleRPC) urgent() bool {
+	return settling.attempts == 1 && settling.receipt.State != register.Void
+}
 
 // againAt is when it is to be told again.
-func (s *settling) againAt() float64 { return s.asked + settleAsk*float64(uint(1)<<(s.tries-1)) }
+func (settling *settleRPC) retryAt() float64 {
+	return settling.sentAt + settleRetryDelay*float64(uint(1)<<(settling.attempts-1))
+}
 
 // close forgets the questions of a job.
-func (k *keys) close(j *job) {
-	for _, id := range j.claim.open {
+func (k *keyRPCs) closeClaim(j *job) {
+	for _, id := range j.claim.outstanding {
 		delete(k.claims, id)
 	}
-	j.claim.open = nil
+	j.claim.outstanding = nil
 }
 
 // answered takes a question off the books.
-func (k *keys) answered(id uint64, j *job) {
+func (k *keyRPCs) removeClaim(id uint64, j *job) {
 	delete(k.claims, id)
-	j.claim.open = slices.DeleteFunc(j.claim.open, func(open uint64) bool { return open == id })
+	j.claim.outstanding = slices.DeleteFunc(j.claim.outstanding, func(open uint64) bool { return open == id })
 }
 
 // beginClaim asks that a request's key be bound to its run here. Until that is granted nothing goes to the host.
-func (g *admission) beginClaim(j *job) {
-	j.claim.began, j.claim.servers = g.p.now, g.homes(j.carry.Key)
-	g.askNext(j)
+func (adm *admission) beginClaim(j *job) {
+	j.claim.startedAt, j.claim.servers = adm.sidecar.now, adm.serversFor(j.forward.Key)
+	adm.claimAtNextServer(j)
 }
 
 // askNext puts the claim to the next control process. Without one, or where they have no room, the job ends once no answer can come.
-func (g *admission) askNext(j *job) {
+func (adm *admission) claimAtNextServer(j *job) {
 	c := &j.claim
-	allMute := len(c.open) == 0 && c.mayStand && !slices.ContainsFunc(c.servers, func(h string) bool { return g.p.now >= g.keys.mute[h] })
+	allMute := len(c.outstanding) == 0 && c.mayBeHeld && !slices.ContainsFunc(c.servers, func(h string) bool { return adm.sidecar.now >= adm.keys.deprioritizedUntil[h] })
 	switch {
 	case len(c.servers) == 0 || allMute:
-		if len(c.open) == 0 {
-			g.unclaimed(j, 0)
+		if len(c.outstanding) == 0 {
+			adm.failClaim(j, 0)
 		}
 		return
-	case g.claimOver(j):
-		g.unclaimed(j, 0)
+	case adm.claimTimedOut(j):
+		adm.failClaim(j, 0)
 		return
-	case !g.keys.throttle.Allow(g.p.now, g.p.draw()):
-		if len(c.open) == 0 {
-			g.unclaimed(j, overloadBack)
+	case !adm.keys.throttle.Allow(adm.sidecar.now, adm.sidecar.randomFloat()):
+		if len(c.outstanding) == 0 {
+			adm.failClaim(j, overloadRetryAfterMs)
 		}
 		return
 	}
-	id := g.p.id()
-	q := &claimQuestion{job: j, at: c.servers[0], asked: g.p.now}
-	g.keys.claims[id], c.open, c.servers = q, append(c.open, id), c.servers[1:]
-	m := &meshpb.Claim{Key: j.carry.Key, Token: j.carry.Token, Attempt: j.carry.Attempt, Gate: g.p.o.Self, GateLife: g.p.life}
-	g.p.send(q.at, g.p.question(id, &meshpb.Message{Claim: m}))
+	id := adm.sidecar.nextID()
+	rpc := &claimRPC{job: j, server: c.servers[0], sentAt: adm.sidecar.now}
+	adm.keys.claims[id], c.outstanding, c.servers = rpc, append(c.outstanding, id), c.servers[1:]
+	m := &meshpb.Claim{Key: j.forward.Key, Token: j.forward.Token, Attempt: j.forward.Attempt, Gate: adm.sidecar.opts.Self, GateLife: adm.sidecar.incarnation}
+	adm.sidecar.send(rpc.server, adm.sidecar.newRPC(id, &meshpb.Message{Claim: m}))
 }
 
 // claimOver says that a claim has taken so long that nothing may go to the host any more.
-func (g *admission) claimOver(j *job) bool {
-	return g.p.now > j.claim.began+claimMost || g.p.now >= j.until
+func (adm *admission) claimTimedOut(j *job) bool {
+	return adm.sidecar.now > j.claim.startedAt+claimTimeout || adm.sidecar.now >= j.deadline
 }
 
 // unclaimed ends a job whose key was not bound. backMs is set where the control plane has no room for it.
-func (g *admission) unclaimed(j *job, backMs uint32) {
-	j.claim.mayStand = j.claim.mayStand || len(j.claim.open) > 0
-	g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Unclaimed), BackMs: backMs})
+func (adm *admission) failClaim(j *job, backMs uint32) {
+	j.claim.mayBeHeld = j.claim.mayBeHeld || len(j.claim.outstanding) > 0
+	adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Unclaimed), BackMs: backMs})
 }
 
 // homes are the control processes in the order in which one asks them for a key. Those that did not answer lately come last.
-func (g *admission) homes(key string) []string {
-	all := register.Home(key, g.p.discovery.servers)
+func (adm *admission) serversFor(key string) []string {
+	all := register.Home(key, adm.sidecar.discovery.servers)
 	slices.SortStableFunc(all, func(a, b string) int {
-		return cmp.Compare(btoi(g.p.now < g.keys.mute[a]), btoi(g.p.now < g.keys.mute[b]))
+		return cmp.Compare(btoi(adm.sidecar.now < adm.keys.deprioritizedUntil[a]), btoi(adm.sidecar.now < adm.keys.deprioritizedUntil[b]))
 	})
 	return all
 }
@@ -169,187 +173,187 @@
 }
 
 // muted notes that a control process did not answer, or could do nothing.
-func (g *admission) muted(server string) {
-	if slices.Contains(g.p.discovery.servers, server) {
-		g.keys.mute[server] = g.p.now + muteFor
+func (adm *admission) deprioritize(server string) {
+	if slices.Contains(adm.sidecar.discovery.servers, server) {
+		adm.keys.deprioritizedUntil[server] = adm.sidecar.now + deprioritizedFor
 	}
 }
 
 // claimed takes a control process's answer to a claim or to word on the end of a run.
-func (g *admission) claimed(from string, m *meshpb.Message) {
-	s, q := g.keys.settles[m.Id], g.keys.claims[m.Id]
+func (adm *admission) receiveClaimed(from string, m *meshpb.Message) {
+	settling, rpc := adm.keys.settles[m.Id], adm.keys.claims[m.Id]
 	asked, token := "", m.Claimed.Token
 	switch {
-	case s != nil:
-		asked, token = s.at, s.receipt.Token
-	case q != nil:
-		asked, token = q.at, q.job.carry.Token
+	case settling != nil:
+		asked, token = settling.server, settling.receipt.Token
+	case rpc != nil:
+		asked, token = rpc.server, rpc.job.forward.Token
 	}
 	switch {
-	case !g.p.accepts(from, m, asked):
+	case !adm.sidecar.acceptsResponse(from, m, asked):
 	case m.Claimed.Token != token:
-		g.p.drop(from, m, dropToken)
-	case s != nil:
-		g.settled(m.Id, s, m.Claimed.State)
+		adm.sidecar.drop(from, m, dropOtherToken)
+	case settling != nil:
+		adm.settleAnswered(m.Id, settling, m.Claimed.State)
 	default:
-		g.keys.answered(m.Id, q.job)
-		g.granted(q, m.Claimed)
+		adm.keys.removeClaim(m.Id, rpc.job)
+		adm.handleClaimed(rpc, m.Claimed)
 	}
 }
 
 // granted takes what became of a claim.
-func (g *admission) granted(q *claimQuestion, c *meshpb.Claimed) {
-	j := q.job
-	if c.State == register.Unsure {
-		g.notGranted(q, c)
+func (adm *admission) handleClaimed(rpc *claimRPC, claimed *meshpb.Claimed) {
+	j := rpc.job
+	if claimed.State == register.Unsure {
+		adm.claimUndecided(rpc, claimed)
 		return
 	}
-	j.claim.mayStand = true
-	g.keys.sawAnswer(g.p.now, q)
-	g.keys.throttle.Accepted(g.p.now)
-	g.keys.further = min(furtherMost, g.keys.further+furtherEarn)
-	g.keys.close(j) // what else was asked asks for the same
-	switch c.State {
+	j.claim.mayBeHeld = true
+	adm.keys.recordAnswerTime(adm.sidecar.now, rpc)
+	adm.keys.throttle.Accepted(adm.sidecar.now)
+	adm.keys.hedgeBudget = min(maxHedgeBudget, adm.keys.hedgeBudget+hedgeBudgetEarn)
+	adm.keys.closeClaim(j) // what else was asked asks for the same
+	switch claimed.State {
 	case register.Claimed:
-		if g.p.now >= j.until {
-			g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Expired)})
+		if adm.sidecar.now >= j.deadline {
+			adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Expired)})
 			return
 		}
-		if own := g.p.discovery.own; own.Station != j.carry.Station || own.Condition == Gone { // meanwhile
-			g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Unclaimed), Why: "the host has gone"})
+		if own := adm.sidecar.discovery.own; own.Station != j.forward.Station || own.Condition == Gone { // meanwhile
+			adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Unclaimed), Why: "the host has gone"})
 			return
 		}
-		g.enter(j)
+		adm.enqueue(j)
 	case register.Busy:
-		g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Busy)})
+		adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Busy)})
 	case register.Done:
-		g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Kept), Status: c.Receipt.GetStatus(), Fields: c.Receipt.GetFields(),
-			Body: c.Receipt.GetBody()})
+		adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Kept), Status: claimed.Receipt.GetStatus(), Fields: claimed.Receipt.GetFields(),
+			Body: claimed.Receipt.GetBody()})
 	case register.Lost:
-		g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Lost)})
+		adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Lost)})
 	default:
-		g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Unclaimed), Why: "its claim was given back"})
+		adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Unclaimed), Why: "its claim was given back"})
 	}
 }
 
 // notGranted goes on after a control process that could not say.
-func (g *admission) notGranted(q *claimQuestion, c *meshpb.Claimed) {
-	j := q.job
-	j.claim.mayStand = j.claim.mayStand || !c.Untouched
-	if !q.late { // it has been counted else
-		g.keys.throttle.Failed(g.p.now)
+func (adm *admission) claimUndecided(rpc *claimRPC, claimed *meshpb.Claimed) {
+	j := rpc.job
+	j.claim.mayBeHeld = j.claim.mayBeHeld || !claimed.Untouched
+	if !rpc.overdue { // it has been counted else
+		adm.keys.throttle.Failed(adm.sidecar.now)
 	}
-	if c.Overloaded {
-		if len(j.claim.open) == 0 && !g.mayAskFurther() {
-			g.unclaimed(j, overloadBack)
+	if claimed.Overloaded {
+		if len(j.claim.outstanding) == 0 && !adm.spendHedgeBudget() {
+			adm.failClaim(j, overloadRetryAfterMs)
 			return
 		}
 	} else {
-		g.muted(q.at)
+		adm.deprioritize(rpc.server)
 	}
-	if len(j.claim.open) == 0 {
-		g.askNext(j)
+	if len(j.claim.outstanding) == 0 {
+		adm.claimAtNextServer(j)
 	}
 }
 
 // mayAskFurther takes a question beyond a claim's first off the budget, if there is one.
-func (g *admission) mayAskFurther() bool {
-	if g.keys.further < 1 {
+func (adm *admission) spendHedgeBudget() bool {
+	if adm.keys.hedgeBudget < 1 {
 		return false
 	}
-	g.keys.further--
+	adm.keys.hedgeBudget--
 	return true
 }
 
 // settle tells how a run ended, until a control process has taken it.
-func (g *admission) settle(key string, r *meshpb.Receipt) {
-	if len(g.keys.settles) >= mostSettles {
+func (adm *admission) settle(key string, receipt *meshpb.Receipt) {
+	if len(adm.keys.settles) >= maxSettles {
 		return // its key stays claimed, and ends as lost
 	}
-	g.tellEnd(&settling{key: key, receipt: r})
+	adm.sendSettle(&settleRPC{key: key, receipt: receipt})
 }
 
 // voidIfFree keeps claims of a token out, and tells whether that was in time.
-func (g *admission) voidIfFree(key string, token uint64, told func(state uint32)) {
-	if len(g.keys.settles) < mostSettles {
-		g.tellEnd(&settling{key: key, receipt: &meshpb.Receipt{Token: token, State: register.Void}, ifFree: true, told: told})
+func (adm *admission) voidIfFree(key string, token uint64, told func(state uint32)) {
+	if len(adm.keys.settles) < maxSettles {
+		adm.sendSettle(&settleRPC{key: key, receipt: &meshpb.Receipt{Token: token, State: register.Void}, ifFree: true, done: told})
 	}
 }
 
 // tellEnd sends word on the end of a run to the next control process.
-func (g *admission) tellEnd(s *settling) {
-	if len(s.servers) == 0 {
-		s.servers = g.homes(s.key)
+func (adm *admission) sendSettle(settling *settleRPC) {
+	if len(settling.servers) == 0 {
+		settling.servers = adm.serversFor(settling.key)
 	}
-	if s.at != "" {
-		g.keys.throttle.Failed(g.p.now)
+	if settling.server != "" {
+		adm.keys.throttle.Failed(adm.sidecar.now)
 	}
-	if s.tries++; len(s.servers) == 0 || s.tries > settleTries {
+	if settling.attempts++; len(settling.servers) == 0 || settling.attempts > maxSettleAttempts {
 		return
 	}
-	id := g.p.id()
-	s.asked = g.p.now
-	g.keys.settles[id] = s
-	allowed := g.keys.throttle.Allow(g.p.now, g.p.draw())
-	if s.at = ""; !allowed && !s.urgent() { // it has its turn after the next pause
+	id := adm.sidecar.nextID()
+	settling.sentAt = adm.sidecar.now
+	adm.keys.settles[id] = settling
+	allowed := adm.keys.throttle.Allow(adm.sidecar.now, adm.sidecar.randomFloat())
+	if settling.server = ""; !allowed && !settling.urgent() { // it has its turn after the next pause
 		return
 	}
-	s.at = s.servers[0]
-	s.servers = s.servers[1:]
-	settle := &meshpb.Settle{Key: s.key, Receipt: s.receipt, IfFree: s.ifFree}
-	g.p.send(s.at, g.p.question(id, &meshpb.Message{Settle: settle}))
+	settling.server = settling.servers[0]
+	settling.servers = settling.servers[1:]
+	settle := &meshpb.Settle{Key: settling.key, Receipt: settling.receipt, IfFree: settling.ifFree}
+	adm.sidecar.send(settling.server, adm.sidecar.newRPC(id, &meshpb.Message{Settle: settle}))
 }
 
 // settled ends the telling of how a run ended. Of what no majority was found for it goes on.
-func (g *admission) settled(id uint64, s *settling, state uint32) {
+func (adm *admission) settleAnswered(id uint64, settling *settleRPC, state uint32) {
 	if state == register.Unsure {
 		return
 	}
-	delete(g.keys.settles, id)
-	g.keys.throttle.Accepted(g.p.now)
-	if s.told != nil {
-		s.told(state)
+	delete(adm.keys.settles, id)
+	adm.keys.throttle.Accepted(adm.sidecar.now)
+	if settling.done != nil {
+		settling.done(state)
 	}
 }
 
 // broke goes on to the next control process with what the one that is gone had in hand.
-func (g *admission) broke(b transport.Broke) {
+func (adm *admission) connectionLost(b transport.Broke) {
 	for _, id := range b.Unsent {
-		if q := g.keys.claims[id]; q != nil && q.at == b.Peer {
-			g.keys.answered(id, q.job)
-			g.muted(q.at)
-			if len(q.job.claim.open) == 0 {
-				g.askNext(q.job)
+		if rpc := adm.keys.claims[id]; rpc != nil && rpc.server == b.Peer {
+			adm.keys.removeClaim(id, rpc.job)
+			adm.deprioritize(rpc.server)
+			if len(rpc.job.claim.outstanding) == 0 {
+				adm.claimAtNextServer(rpc.job)
 			}
 		}
-		if s := g.keys.settles[id]; s != nil && s.at == b.Peer {
-			delete(g.keys.settles, id)
-			g.tellEnd(s)
+		if settling := adm.keys.settles[id]; settling != nil && settling.server == b.Peer {
+			delete(adm.keys.settles, id)
+			adm.sendSettle(settling)
 		}
 	}
 }
 
 // tickKeys asks others where answers are late, and gives up what has waited for long enough.
-func (g *admission) tickKeys() {
-	for _, id := range slices.Sorted(maps.Keys(g.keys.claims)) {
-		q := g.keys.claims[id]
+func (adm *admission) tickKeys() {
+	for _, id := range slices.Sorted(maps.Keys(adm.keys.claims)) {
+		rpc := adm.keys.claims[id]
 		switch {
-		case q == nil: // its job has ended in here
-		case g.claimOver(q.job):
-			g.unclaimed(q.job, 0)
-		case !q.late && g.p.now > g.keys.lateAt(q):
-			q.late = true
-			g.keys.throttle.Failed(g.p.now)
-			g.muted(q.at)
-			if g.mayAskFurther() {
-				g.askNext(q.job)
+		case rpc == nil: // its job has ended in here
+		case adm.claimTimedOut(rpc.job):
+			adm.failClaim(rpc.job, 0)
+		case !rpc.overdue && adm.sidecar.now > adm.keys.hedgeAt(rpc):
+			rpc.overdue = true
+			adm.keys.throttle.Failed(adm.sidecar.now)
+			adm.deprioritize(rpc.server)
+			if adm.spendHedgeBudget() {
+				adm.claimAtNextServer(rpc.job)
 			}
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(g.keys.settles)) {
-		if s := g.keys.settles[id]; g.p.now > s.againAt() {
-			delete(g.keys.settles, id)
-			g.tellEnd(s)
+	for _, id := range slices.Sorted(maps.Keys(adm.keys.settles)) {
+		if settling := adm.keys.settles[id]; adm.sidecar.now > settling.retryAt() {
+			delete(adm.keys.settles, id)
+			adm.sendSettle(settling)
 		}
 	}
 }
--- a/internal/mesh/sidecar/claims_test.go
+++ b/internal/mesh/sidecar/claims_test.go
@@ -10,63 +10,63 @@
 )
 
 // claimants is a proxy to which keyed requests come, and the control processes that it asks, which answer as the test says.
-type claimants struct {
-	*door
-	answer func(claim *meshpb.Claim) *meshpb.Claimed // nil: none
-	claims int                                       // sent
-	ends   []*meshpb.Forwarded
-	beats  uint64
+type claimFixture struct {
+	*hostFixture
+	answerClaim func(claim *meshpb.Claim) *meshpb.Claimed // nil: none
+	claims      int                                       // sent
+	finished    []*meshpb.Forwarded
+	heartbeats  uint64
 }
 
-func openClaimants(t *testing.T) *claimants {
-	c := &claimants{door: openDoor(t)}
-	c.p.discovery.servers = []string{"s1", "s2", "s3", "s4"}
+func newClaimFixture(t *testing.T) *claimFixture {
+	c := &claimFixture{hostFixture: newHostFixture(t)}
+	c.sidecar.discovery.servers = []string{"s1", "s2", "s3", "s4"}
 	return c
 }
 
 // run has so many requests a second come for some seconds.
-func (c *claimants) run(rate, seconds float64) {
+func (c *claimFixture) run(rate, seconds float64) {
 	const tick = 0.01
 	due, beats := 0.0, c.now
 	for until := c.now + seconds; c.now < until; c.now += tick {
 		if c.now >= beats {
 			beats += 1.5
-			c.beats++
-			c.p.Heartbeat(c.now, Heartbeat{ID: "i-1", Service: "shop", Slots: 4, Sequence: 1 + c.beats})
+			c.heartbeats++
+			c.sidecar.Heartbeat(c.now, Heartbeat{ID: "i-1", Service: "shop", Slots: 4, Sequence: 1 + c.heartbeats})
 		}
 		for due += rate * tick; due >= 1; due-- {
-			c.next++
-			c.p.Receive(c.now, "there", &meshpb.Message{Id: c.next, Life: 9, Forward: &meshpb.Forward{Station: "i-1", Token: c.next,
-				Key: fmt.Sprint("k", c.next), AimUs: 4e5, LeftUs: 1e6}})
+			c.lastID++
+			c.sidecar.Receive(c.now, "there", &meshpb.Message{Id: c.lastID, Life: 9, Forward: &meshpb.Forward{Station: "i-1", Token: c.lastID,
+				Key: fmt.Sprint("k", c.lastID), AimUs: 4e5, LeftUs: 1e6}})
 		}
-		c.p.Tick(c.now)
+		c.sidecar.Tick(c.now)
 		c.settleAll()
 	}
 }
 
 // settleAll carries claims and ends of runs with their answers, and has the host answer at once, until nothing is left to carry.
-func (c *claimants) settleAll() {
+func (c *claimFixture) settleAll() {
 	for {
-		out := c.p.TakeOutput()
+		out := c.sidecar.TakeOutput()
 		if len(out.Sends) == 0 && len(out.Commands) == 0 {
 			return
 		}
 		for _, s := range out.Sends {
 			if f := s.Message.Forwarded; f != nil {
-				c.ends = append(c.ends, f)
+				c.finished = append(c.finished, f)
 			}
 			if s.Message.Claim != nil {
 				c.claims++
 			}
 			token := s.Message.Claim.GetToken() | s.Message.Settle.GetReceipt().GetToken()
-			if answer := c.answer(s.Message.Claim); token > 0 && answer != nil {
+			if answer := c.answerClaim(s.Message.Claim); token > 0 && answer != nil {
 				answer.Token = token
-				c.p.Receive(c.now, s.To, &meshpb.Message{Id: s.Message.Id, Life: s.Message.Life, Claimed: answer})
+				c.sidecar.Receive(c.now, s.To, &meshpb.Message{Id: s.Message.Id, Life: s.Message.Life, Claimed: answer})
 			}
 		}
 		for _, do := range out.Commands {
 			if x, ok := do.(Exchange); ok {
-				c.p.ExchangeDone(c.now, x.Job, &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200})
+				c.sidecar.ExchangeDone(c.now, x.Job, &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200})
 			}
 		}
 	}
@@ -86,23 +86,23 @@
 func TestClaimsFollowAnswers(t *testing.T) {
 	const rate = 40.0
 	for name, answer := range map[string]func(*meshpb.Claim) *meshpb.Claimed{"silent": silent, "overloaded": overloaded} {
-		c := openClaimants(t)
-		c.answer = granted
+		c := newClaimFixture(t)
+		c.answerClaim = granted
 		c.run(rate, 5)
 		if got := float64(c.claims); got > 5*rate*1.02 {
 			t.Errorf("%s: %.0f claims for %.0f requests before", name, got, 5*rate)
 		}
-		c.answer, c.claims = answer, 0
+		c.answerClaim, c.claims = answer, 0
 		c.run(rate, 10)
 		if share := float64(c.claims) / (10 * rate); share > 0.5 {
 			t.Errorf("%s: %.2f claims a request", name, share)
 		}
-		c.answer = granted
+		c.answerClaim = granted
 		c.run(rate, 4)
-		c.ends = nil
+		c.finished = nil
 		c.run(rate, 4)
 		served := 0
-		for _, end := range c.ends {
+		for _, end := range c.finished {
 			if end.Verdict == uint32(outcome.Answered) {
 				served++
 			}
@@ -120,14 +120,14 @@
 		answer   func(*meshpb.Claim) *meshpb.Claimed
 		mayStand bool
 	}{{"silent", silent, true}, {"overloaded", overloaded, false}, {"not voting", notVoting, false}} {
-		c := openClaimants(t)
-		c.answer = test.answer
+		c := newClaimFixture(t)
+		c.answerClaim = test.answer
 		c.run(20, 0.06)
 		c.run(0, 1)
-		if len(c.ends) == 0 {
+		if len(c.finished) == 0 {
 			t.Fatalf("%s: no request has ended", test.name)
 		}
-		for _, end := range c.ends {
+		for _, end := range c.finished {
 			if end.Verdict != uint32(outcome.Unclaimed) || end.Claimed != test.mayStand {
 				t.Errorf("%s: ends as %v, a claim may stand: %v", test.name, outcome.Outcome(end.Verdict), end.Claimed)
 			}
@@ -137,16 +137,16 @@
 
 // A grant that comes after another control process was asked still counts.
 func TestLateGrantCounts(t *testing.T) {
-	c := openClaimants(t)
+	c := newClaimFixture(t)
 	var first *meshpb.Message
-	c.next++
-	c.p.Receive(c.now, "there", &meshpb.Message{Id: c.next, Life: 9, Forward: &meshpb.Forward{Station: "i-1", Token: 1, Key: "k",
+	c.lastID++
+	c.sidecar.Receive(c.now, "there", &meshpb.Message{Id: c.lastID, Life: 9, Forward: &meshpb.Forward{Station: "i-1", Token: 1, Key: "k",
 		AimUs: 4e5, LeftUs: 1e6}})
 	claims := 0
 	asked := ""
 	for until := c.now + 0.2; c.now < until; c.now += 0.01 {
-		c.p.Tick(c.now)
-		for _, s := range c.p.TakeOutput().Sends {
+		c.sidecar.Tick(c.now)
+		for _, s := range c.sidecar.TakeOutput().Sends {
 			if s.Message.Claim == nil {
 				continue
 			}
@@ -158,16 +158,16 @@
 	if claims != 2 {
 		t.Fatalf("%d control processes are asked within 0.2 s", claims)
 	}
-	c.p.Receive(c.now, asked, &meshpb.Message{Id: first.Id, Life: first.Life, Claimed: &meshpb.Claimed{State: register.Claimed, Token: 1}})
-	if len(c.p.TakeOutput().Commands) != 1 {
+	c.sidecar.Receive(c.now, asked, &meshpb.Message{Id: first.Id, Life: first.Life, Claimed: &meshpb.Claimed{State: register.Claimed, Token: 1}})
+	if len(c.sidecar.TakeOutput().Commands) != 1 {
 		t.Error("the request does not go to the host")
 	}
 }
 
 // Requests that come all at once after a quiet time are all claimed: that no answer has come yet says nothing.
 func TestBurstIsClaimed(t *testing.T) {
-	c := openClaimants(t)
-	c.answer = silent // for as long as answers are on their way
+	c := newClaimFixture(t)
+	c.answerClaim = silent // for as long as answers are on their way
 	c.run(0, 6)
 	const burst = 100
 	c.run(burst/0.02, 0.02)
--- a/internal/mesh/sidecar/discovery.go
+++ b/internal/mesh/sidecar/discovery.go
@@ -24,61 +24,61 @@
 )
 
 const (
-	pullAgain   = 1.3 // seconds without an answer until another control process is asked, where it may wait for something new
-	pullAtOnce  = 0.2 // the same where it has to answer at once: its machine may have no power
-	beatsMissed = 3.5 // beats after which a host that said nothing while this process ran is gone
-	watched     = 3   // other proxies that this one knows and watches
-	watchEvery  = 1.0 // seconds between questions to them, while no control process answers
-	aloneAgain  = 0.05
-	leaveAhead  = 0.5  // seconds before its end in which the others send a proxy nothing
-	probeEvery  = 0.3  // seconds between questions to a host that has not said anything yet
-	retryAfter  = 0.04 // seconds after a control process that could not be reached
+	longPollTimeout       = 1.3 // seconds without an answer until another control process is asked, where it may wait for something new
+	minPullTimeout        = 0.2 // the same where it has to answer at once: its machine may have no power
+	missedHeartbeats      = 3.5 // beats after which a host that said nothing while this process ran is gone
+	watchedCount          = 3   // other proxies that this one knows and watches
+	watchInterval         = 1.0 // seconds between questions to them, while no control process answers
+	isolatedRetryDelay    = 0.05
+	leaveNotice           = 0.5  // seconds before its end in which the others send a proxy nothing
+	probeInterval         = 0.3  // seconds between questions to a host that has not said anything yet
+	unreachableRetryDelay = 0.04 // seconds after a control process that could not be reached
 )
 
 // discovery is what this proxy knows: the host beside it, which it alone tells the others of; who else there is; and which
 // configuration is in force. It pulls what it lacks by a vector of versions, one for each source.
 type discovery struct {
-	p        *Sidecar
-	own      *meshpb.Record
-	sequence uint64   // of the host's last beat
-	former   []string // ids of the lives before the host's present one, the newest last
-	beatRan  float64  // for how long this process had run then
-	signed   bool     // the host has signed off
-	leftAt   float64  // when it said that it leaves
-	ending   bool
-	leaveAt  float64 // when the others hear of that
-	leaving  bool    // they have
-
-	records map[string]*meshpb.Record
-	gone    map[string]tombstone // by source
-	silent  map[string]bool
-	servers []string
-	epoch   uint64            // of the view that named them
-	server  int               // whom it pulls from
-	pull    uint64            // the newest question to one
-	pulls   []openPull        // the questions to them that are open, in order
-	watch   map[string]uint64 // those to other proxies
-	pullAt  float64
-	held    bool    // it may be held until there is something
-	missed  int     // control processes in a row that did not answer
-	again   float64 // not before then
-	heardAt float64 // of a control process
-	told    bool    // one has answered in this life
-	watchAt float64
-	weighAt float64
-	probeAt float64
-	zones   []string
+	sidecar            *Sidecar
+	own                *meshpb.Record
+	lastSequence       uint64   // of the host's last beat
+	formerInstances    []string // ids of the lives before the host's present one, the newest last
+	heartbeatAt        float64  // for how long this process had run then
+	signedOff          bool     // the host has signed off
+	conditionChangedAt float64  // when it said that it leaves
+	shuttingDown       bool
+	announceLeavingAt  float64 // when the others hear of that
+	announcedLeaving   bool    // they have
+
+	records          map[string]*meshpb.Record
+	tombstones       map[string]tombstone // by source
+	silent           map[string]bool
+	servers          []string
+	serversEpoch     uint64            // of the view that named them
+	serverIndex      int               // whom it pulls from
+	newestPull       uint64            // the newest question to one
+	outstandingPulls []outstandingPull // the questions to them that are open, in order
+	watchPulls       map[string]uint64 // those to other proxies
+	pulledAt         float64
+	longPoll         bool    // it may be held until there is something
+	missedPulls      int     // control processes in a row that did not answer
+	pullNotBefore    float64 // not before then
+	serverHeardAt    float64 // of a control process
+	serverAnswered   bool    // one has answered in this life
+	nextWatchAt      float64
+	nextWeightsAt    float64
+	nextProbeAt      float64
+	zones            []string
 }
 
-func (n *discovery) begin(p *Sidecar) {
-	n.p = p
-	n.own = &meshpb.Record{Source: p.o.Self, Version: p.o.RecordVersion, Carrier: p.o.Service, Zone: p.o.Zone}
-	n.records = map[string]*meshpb.Record{p.o.Self: n.own}
-	n.gone = map[string]tombstone{}
-	n.watch = map[string]uint64{}
-	n.silent = map[string]bool{}
-	n.server = int(p.random() % 1024)
-	n.heardAt = p.now
+func (d *discovery) init(p *Sidecar) {
+	d.sidecar = p
+	d.own = &meshpb.Record{Source: p.opts.Self, Version: p.opts.RecordVersion, Carrier: p.opts.Service, Zone: p.opts.Zone}
+	d.records = map[string]*meshpb.Record{p.opts.Self: d.own}
+	d.tombstones = map[string]tombstone{}
+	d.watchPulls = map[string]uint64{}
+	d.silent = map[string]bool{}
+	d.serverIndex = int(p.random() % 1024)
+	d.serverHeardAt = p.now
 }
 
 // Station is what a host says of itself in a beat.
@@ -91,144 +91,144 @@
 }
 
 // Beat takes a host's word. From here on nothing new goes to one that leaves: it may be acknowledged. A late beat is too.
-func (p *Sidecar) Heartbeat(now float64, s Heartbeat) {
-	p.input(now)
-	n := &p.discovery
-	if slices.Contains(n.former, s.ID) || s.ID == n.own.Station && !n.counts(s) {
+func (p *Sidecar) Heartbeat(now float64, h Heartbeat) {
+	p.beginInput(now)
+	d := &p.discovery
+	if slices.Contains(d.formerInstances, h.ID) || h.ID == d.own.Station && !d.isNewHeartbeat(h) {
 		return // a late one
 	}
-	n.replace(s.ID)
-	n.beatRan, n.sequence, n.signed = p.pauses.ran, s.Sequence, false
+	d.replaceInstance(h.ID)
+	d.heartbeatAt, d.lastSequence, d.signedOff = p.pauses.runSeconds, h.Sequence, false
 	condition := Serving
-	if s.Draining {
+	if h.Draining {
 		condition = Draining
 	}
-	n.change(func(r *meshpb.Record) {
-		r.Station, r.Carrier, r.Zone, r.Berths = s.ID, cmp.Or(s.Service, r.Carrier), cmp.Or(s.Zone, r.Zone), uint32(max(0, s.Slots))
-		r.ColdMs, r.Condition = uint32(max(0, s.WarmUpLeftMs)), condition
+	d.updateOwn(func(record *meshpb.Record) {
+		record.Station, record.Carrier, record.Zone, record.Berths = h.ID, cmp.Or(h.Service, record.Carrier), cmp.Or(h.Zone, record.Zone), uint32(max(0, h.Slots))
+		record.ColdMs, record.Condition = uint32(max(0, h.WarmUpLeftMs)), condition
 	})
-	p.settle()
+	p.runPending()
 }
 
 // formerKept is how many former lives of the host are remembered: beats come seconds late, and a host does not start more often.
-const formerKept = 8
+const maxFormerInstances = 8
 
 // replace notes that the host's present life gives way to another: no late beat of it takes that one's place.
-func (n *discovery) replace(life string) {
-	if before := n.own.Station; before != "" && before != life {
-		n.former = append(n.former, before)
-		n.former = n.former[max(0, len(n.former)-formerKept):]
+func (d *discovery) replaceInstance(instance string) {
+	if before := d.own.Station; before != "" && before != instance {
+		d.formerInstances = append(d.formerInstances, before)
+		d.formerInstances = d.formerInstances[max(0, len(d.formerInstances)-maxFormerInstances):]
 	}
 }
 
 // counts says whether a further beat of the host here is no late one. A host that has signed off stays gone. One that was taken
 // for gone because its beats were missing is back with its next one.
-func (n *discovery) counts(s Heartbeat) bool {
+func (d *discovery) isNewHeartbeat(h Heartbeat) bool {
 	switch {
-	case n.signed, s.Sequence < n.sequence:
+	case d.signedOff, h.Sequence < d.lastSequence:
 		return false
-	case n.own.Condition == Gone:
-		return s.Sequence > n.sequence
-	case n.own.Condition == Draining && !n.ending && !s.Draining:
-		return s.Sequence > n.sequence
+	case d.own.Condition == Gone:
+		return h.Sequence > d.lastSequence
+	case d.own.Condition == Draining && !d.shuttingDown && !h.Draining:
+		return h.Sequence > d.lastSequence
 	}
 	return true
 }
 
 // Probed takes what the host beside this proxy answered: a proxy that has just started need not wait for its next beat.
-func (p *Sidecar) ProbeDone(now float64, station string, well bool) {
-	p.input(now)
-	if n := &p.discovery; station != "" && well && n.own.Station == "" {
-		n.beatRan = p.pauses.ran
-		n.change(func(r *meshpb.Record) { r.Station, r.Condition = station, Serving })
+func (p *Sidecar) ProbeDone(now float64, instance string, well bool) {
+	p.beginInput(now)
+	if d := &p.discovery; instance != "" && well && d.own.Station == "" {
+		d.heartbeatAt = p.pauses.runSeconds
+		d.updateOwn(func(record *meshpb.Record) { record.Station, record.Condition = instance, Serving })
 	}
-	p.settle()
+	p.runPending()
 }
 
 // Leave takes a host's sign-off.
 func (p *Sidecar) HostSignedOff(now float64, id string) {
-	p.input(now)
-	if n := &p.discovery; id == n.own.Station {
-		n.signed = true
-		n.change(func(r *meshpb.Record) { r.Condition = Gone })
+	p.beginInput(now)
+	if d := &p.discovery; id == d.own.Station {
+		d.signedOff = true
+		d.updateOwn(func(record *meshpb.Record) { record.Condition = Gone })
 	}
-	p.settle()
+	p.runPending()
 }
 
 // next is the record of the host here under another version, for others may have this one.
-func (n *discovery) next(version uint64) *meshpb.Record {
-	r := proto.Clone(n.own).(*meshpb.Record)
-	r.Version, r.Leaving = version, n.leaving
-	return r
+func (d *discovery) nextRecord(version uint64) *meshpb.Record {
+	record := proto.Clone(d.own).(*meshpb.Record)
+	record.Version, record.Leaving = version, d.announcedLeaving
+	return record
 }
 
 // change makes a new record of the host here, if anything changed that others have to know.
-func (n *discovery) change(f func(*meshpb.Record)) {
-	old := n.own
-	r := n.next(old.Version + 1)
-	f(r)
-	if r.Station == old.Station && r.Carrier == old.Carrier && r.Zone == old.Zone && r.Berths == old.Berths &&
-		r.Condition == old.Condition && r.Leaving == old.Leaving {
-		old.ColdMs = r.ColdMs
+func (d *discovery) updateOwn(f func(*meshpb.Record)) {
+	old := d.own
+	record := d.nextRecord(old.Version + 1)
+	f(record)
+	if record.Station == old.Station && record.Carrier == old.Carrier && record.Zone == old.Zone && record.Berths == old.Berths &&
+		record.Condition == old.Condition && record.Leaving == old.Leaving {
+		old.ColdMs = record.ColdMs
 		return
 	}
-	if r.Condition != old.Condition {
-		n.leftAt = n.p.now
+	if record.Condition != old.Condition {
+		d.conditionChangedAt = d.sidecar.now
 	}
-	n.p.o.Log("host", "station", r.Station, "carrier", r.Carrier, "condition", r.Condition, "leaving", r.Leaving)
-	n.own = r
-	n.records[r.Source] = r
-	n.list()
-	n.ask(false)
-	n.p.admission.serve()
+	d.sidecar.opts.Log("host", "station", record.Station, "carrier", record.Carrier, "condition", record.Condition, "leaving", record.Leaving)
+	d.own = record
+	d.records[record.Source] = record
+	d.updateBalancers()
+	d.sendPull(false)
+	d.sidecar.admission.fillSlots()
 }
 
 // zone numbers a zone, for the module.
-func (n *discovery) zone(name string) int {
-	at := slices.Index(n.zones, name)
+func (d *discovery) zoneIndex(name string) int {
+	at := slices.Index(d.zones, name)
 	if at < 0 {
-		n.zones = append(n.zones, name)
-		at = len(n.zones) - 1
+		d.zones = append(d.zones, name)
+		at = len(d.zones) - 1
 	}
 	return at
 }
 
-func (n *discovery) sources() []string { return slices.Sorted(maps.Keys(n.records)) }
+func (d *discovery) proxies() []string { return slices.Sorted(maps.Keys(d.records)) }
 
 // list gives the module of each service its hosts anew.
-func (n *discovery) list() {
-	p := n.p
-	by := map[string][]balancer.Host{}
-	was := map[string]*place{}
+func (d *discovery) updateBalancers() {
+	p := d.sidecar
+	hosts := map[string][]balancer.Host{}
+	previous := map[string]*endpoint{}
 	for _, s := range p.services {
-		for _, at := range s.hosts {
-			was[s.name+" "+at.source] = at
+		for _, ep := range s.hosts {
+			previous[s.name+" "+ep.proxy] = ep
 		}
 		clear(s.hosts)
 	}
-	for _, source := range n.sources() {
-		r := n.records[source]
-		s := p.services[r.Carrier]
-		if r.Station == "" || r.Condition == Gone || r.Condition == Unknown || n.silent[source] || s == nil {
+	for _, proxy := range d.proxies() {
+		record := d.records[proxy]
+		s := p.services[record.Carrier]
+		if record.Station == "" || record.Condition == Gone || record.Condition == Unknown || d.silent[proxy] || s == nil {
 			continue
 		}
-		h := balancer.Host{ID: hostID(r.Station), Zone: n.zone(r.Zone), Status: balancer.Ready}
-		if r.Condition == Draining || r.Leaving {
+		h := balancer.Host{ID: hostID(record.Station), Zone: d.zoneIndex(record.Zone), Status: balancer.Ready}
+		if record.Condition == Draining || record.Leaving {
 			h.Status = balancer.Draining
 		}
-		at := was[r.Carrier+" "+source] // a new life on the same machine is taken for as fast as the last
-		if at == nil || s.hosts[h.ID] != nil {
-			at = &place{slow: 1}
+		ep := previous[record.Carrier+" "+proxy] // a new life on the same machine is taken for as fast as the last
+		if ep == nil || s.hosts[h.ID] != nil {
+			ep = &endpoint{slowness: 1}
 		}
-		at.source, at.station, at.told = source, r.Station, at.slow
-		s.hosts[h.ID], h.Weight = at, p.witness.part(p.now, r.Station)/(at.slow*at.slow)
-		h.Condemned = p.witness.condemned(p.now, r.Station)
-		by[r.Carrier] = append(by[r.Carrier], h)
+		ep.proxy, ep.instance, ep.reportedSlowness = proxy, record.Station, ep.slowness
+		s.hosts[h.ID], h.Weight = ep, p.ejections.weightShare(p.now, record.Station)/(ep.slowness*ep.slowness)
+		h.Condemned = p.ejections.ejected(p.now, record.Station)
+		hosts[record.Carrier] = append(hosts[record.Carrier], h)
 	}
 	for _, name := range p.serviceNames() {
-		p.services[name].bal.Members(p.now, balancer.ListFull, by[name])
+		p.services[name].balancer.Members(p.now, balancer.ListFull, hosts[name])
 	}
-	p.budget.Share(len(n.records))
+	p.retryBudget.Share(len(d.records))
 }
 
 // services are the names of the services, in order: a seed replays.
@@ -237,99 +237,99 @@
 // ---- pulling
 
 // ask pulls from a control process what is lacking here. hold says that it may wait until there is something.
-func (n *discovery) ask(hold bool) {
-	servers := n.servers
+func (d *discovery) sendPull(hold bool) {
+	servers := d.servers
 	if len(servers) == 0 {
-		servers = n.p.o.Seeds
+		servers = d.sidecar.opts.Seeds
 	}
-	n.pull, n.pullAt, n.held = n.p.id(), n.p.now, hold
-	to := servers[n.server%len(servers)]
-	n.open(openPull{n.pull, to})
-	n.p.send(to, n.p.question(n.pull, &meshpb.Message{Pull: n.vector(hold)}))
+	d.newestPull, d.pulledAt, d.longPoll = d.sidecar.nextID(), d.sidecar.now, hold
+	to := servers[d.serverIndex%len(servers)]
+	d.addPull(outstandingPull{d.newestPull, to})
+	d.sidecar.send(to, d.sidecar.newRPC(d.newestPull, &meshpb.Message{Pull: d.newPull(hold)}))
 }
 
 // patience is how long the control process that was asked may say nothing.
-func (n *discovery) patience() float64 {
-	if n.held {
-		return pullAgain
+func (d *discovery) pullTimeout() float64 {
+	if d.longPoll {
+		return longPollTimeout
 	}
-	return min(pullAgain, pullAtOnce*float64(int(1)<<min(n.missed, 4))) // if all are slow, asking more often makes them slower
+	return min(longPollTimeout, minPullTimeout*float64(int(1)<<min(d.missedPulls, 4))) // if all are slow, asking more often makes them slower
 }
 
 // vector is what this proxy has, by source.
-func (n *discovery) vector(hold bool) *meshpb.Pull {
-	pull := &meshpb.Pull{Own: n.own, Hold: hold}
-	for _, source := range n.sources() {
-		pull.Seen = append(pull.Seen, &meshpb.Seen{Source: source, Version: n.records[source].Version})
+func (d *discovery) newPull(hold bool) *meshpb.Pull {
+	pull := &meshpb.Pull{Own: d.own, Hold: hold}
+	for _, proxy := range d.proxies() {
+		pull.Seen = append(pull.Seen, &meshpb.Seen{Source: proxy, Version: d.records[proxy].Version})
 	}
-	if n.p.table != nil {
-		pull.Edition = n.p.table.Edition
+	if d.sidecar.table != nil {
+		pull.Edition = d.sidecar.table.Edition
 	}
-	pull.Assignments = n.p.shards.version()
-	if n.p.o.AgreedEjection {
-		w := &n.p.witness
-		pull.Observations, pull.Accused, pull.EjectionLists = w.words(n.p.now), w.accused, w.version
+	pull.Assignments = d.sidecar.shards.version()
+	if d.sidecar.opts.AgreedEjection {
+		e := &d.sidecar.ejections
+		pull.Observations, pull.Accused, pull.EjectionLists = e.observations(d.sidecar.now), e.suspects, e.version
 	}
 	return pull
 }
 
 // came takes what another process knows. A process never goes back: older versions change nothing.
-func (n *discovery) came(from string, m *meshpb.Message) {
-	p, w := n.p, m.Update
-	asked, fromServer := n.asked(m.Id, from)
-	if !p.accepts(from, m, asked) {
+func (d *discovery) receiveUpdate(from string, m *meshpb.Message) {
+	p, update := d.sidecar, m.Update
+	asked, fromServer := d.pullTarget(m.Id, from)
+	if !p.acceptsResponse(from, m, asked) {
 		return
 	}
-	n.close(m.Id, from)
+	d.finishPull(m.Id, from)
 	changed := false
-	for _, r := range w.Records {
-		if r.Source == p.o.Self {
-			if n.isOlder(r) {
-				n.own = n.next(r.Version + 1)
-				n.records[p.o.Self] = n.own
+	for _, record := range update.Records {
+		if record.Source == p.opts.Self {
+			if d.supersedesOwn(record) {
+				d.own = d.nextRecord(record.Version + 1)
+				d.records[p.opts.Self] = d.own
 				changed = true
 			}
 			continue
 		}
-		if n.take(r) {
+		if d.applyRecord(record) {
 			changed = true
 		}
 	}
 	if fromServer {
-		n.missed, n.heardAt = 0, p.now
-		if servers := n.others(w.Servers); len(servers) > 0 && w.Epoch >= n.epoch {
-			n.servers, n.epoch = servers, w.Epoch
+		d.missedPulls, d.serverHeardAt = 0, p.now
+		if servers := d.withoutSelf(update.Servers); len(servers) > 0 && update.Epoch >= d.serversEpoch {
+			d.servers, d.serversEpoch = servers, update.Epoch
 		}
-		n.told = true
-		if !w.Alone && n.judged(w) {
+		d.serverAnswered = true
+		if !update.Alone && d.applyVerdicts(update) {
 			changed = true
 		}
 	}
-	p.shards.learn(w.Assignments)
-	if w.Edition > 0 && (p.table == nil || w.Edition > p.table.Edition) {
-		if t, err := compile(w.Text); err != nil {
-			p.o.Log("configuration not understood", "edition", w.Edition, "error", err)
+	p.shards.learn(update.Assignments)
+	if update.Edition > 0 && (p.table == nil || update.Edition > p.table.Edition) {
+		if table, err := decodeConfig(update.Text); err != nil {
+			p.opts.Log("configuration not understood", "edition", update.Edition, "error", err)
 		} else {
-			p.adopt(t)
-			p.o.Log("in force", "edition", t.Edition, "routes", len(t.Config.Itineraries))
+			p.applyConfig(table)
+			p.opts.Log("in force", "edition", table.Edition, "routes", len(table.Config.Itineraries))
 			changed = false // adopt has listed
 		}
 	}
 	if changed {
-		n.list()
+		d.updateBalancers()
 	}
 	switch {
-	case m.Id != n.pull:
-	case w.Alone: // behind a cut from the others of its kind: what it knows may be old
-		n.server++
-		n.pull, n.again = 0, p.now+aloneAgain
+	case m.Id != d.newestPull:
+	case update.Alone: // behind a cut from the others of its kind: what it knows may be old
+		d.serverIndex++
+		d.newestPull, d.pullNotBefore = 0, p.now+isolatedRetryDelay
 	default:
-		n.ask(true)
+		d.sendPull(true)
 	}
 }
 
 // compile reads a configuration as it is sent.
-func compile(text []byte) (*routeconfig.Table, error) {
+func decodeConfig(text []byte) (*routeconfig.Table, error) {
 	plain, err := packed.Unpack(text)
 	if err != nil {
 		return nil, err
@@ -338,9 +338,9 @@
 }
 
 // others are the addresses that are not this proxy's: it asks itself nothing.
-func (n *discovery) others(addresses []string) (all []string) {
+func (d *discovery) withoutSelf(addresses []string) (all []string) {
 	for _, address := range addresses {
-		if address != n.p.o.Self {
+		if address != d.sidecar.opts.Self {
 			all = append(all, address)
 		}
 	}
@@ -348,107 +348,107 @@
 }
 
 // judged takes what a control server that is in contact says of proxies that are silent and of hosts that are out.
-func (n *discovery) judged(w *meshpb.Update) (changed bool) {
-	p := n.p
+func (d *discovery) applyVerdicts(update *meshpb.Update) (changed bool) {
+	p := d.sidecar
 	silent := map[string]bool{}
-	for _, source := range w.Silent {
-		if source != p.o.Self {
-			silent[source] = true
+	for _, proxy := range update.Silent {
+		if proxy != p.opts.Self {
+			silent[proxy] = true
 		}
 	}
-	changed = !maps.Equal(silent, n.silent)
-	n.silent = silent
-	return p.o.AgreedEjection && p.witness.ruled(p.now, w) || changed
+	changed = !maps.Equal(silent, d.silent)
+	d.silent = silent
+	return p.opts.AgreedEjection && p.ejections.applyLists(p.now, update) || changed
 }
 
 // pulled tells another proxy what it lacks of what is known here: those that watch this one ask while no control process
 // answers them.
-func (n *discovery) pulled(from string, m *meshpb.Message) {
-	p, pull := n.p, m.Pull
-	if pull.Own != nil && n.take(pull.Own) {
-		n.list()
+func (d *discovery) receivePull(from string, m *meshpb.Message) {
+	p, pull := d.sidecar, m.Pull
+	if pull.Own != nil && d.applyRecord(pull.Own) {
+		d.updateBalancers()
 	}
-	w := &meshpb.Update{}
+	update := &meshpb.Update{}
 	has := make(map[string]uint64, len(pull.Seen))
 	for _, s := range pull.Seen {
 		has[s.Source] = s.Version
 	}
-	for _, source := range n.sources() {
-		if r := n.records[source]; has[source] < r.Version {
-			w.Records = append(w.Records, r)
+	for _, proxy := range d.proxies() {
+		if record := d.records[proxy]; has[proxy] < record.Version {
+			update.Records = append(update.Records, record)
 		}
 	}
-	w.Records = append(w.Records, n.forgottenOf(has)...)
+	update.Records = append(update.Records, d.tombstonesFor(has)...)
 	if p.table != nil && p.table.Edition > pull.Edition {
-		w.Edition, w.Text = p.table.Edition, packed.Pack(p.table.Text)
+		update.Edition, update.Text = p.table.Edition, packed.Pack(p.table.Text)
 	}
-	p.answer(from, m, &meshpb.Message{Update: w})
+	p.respond(from, m, &meshpb.Message{Update: update})
 }
 
 // broke goes on to the next control process.
-func (n *discovery) broke(from string) {
-	servers := n.servers
+func (d *discovery) connectionLost(from string) {
+	servers := d.servers
 	if len(servers) == 0 {
-		servers = n.p.o.Seeds
+		servers = d.sidecar.opts.Seeds
 	}
-	if servers[n.server%len(servers)] == from {
-		n.server++
-		n.pull, n.again = 0, n.p.now+retryAfter
+	if servers[d.serverIndex%len(servers)] == from {
+		d.serverIndex++
+		d.newestPull, d.pullNotBefore = 0, d.sidecar.now+unreachableRetryDelay
 	}
 }
 
 // Seeds takes over other seeds: the settings file has changed.
 func (p *Sidecar) SetSeeds(now float64, seeds []string) {
-	p.input(now)
-	p.o.Seeds = seeds
-	p.settle()
+	p.beginInput(now)
+	p.opts.Seeds = seeds
+	p.runPending()
 }
 
-func (n *discovery) tick() {
-	p := n.p
-	n.dropTombstones()
-	if n.ending && !n.leaving && p.now >= n.leaveAt { // the host cannot be reached for a while
-		n.leaving = true
-		n.change(func(*meshpb.Record) {})
-	}
-	if n.pull == 0 && p.now >= n.again {
-		n.ask(false)
-	} else if n.pull != 0 && p.now > n.pullAt+n.patience() {
-		n.server++
-		n.missed++
-		n.ask(false)
-	}
-	if n.own.Station == "" && !n.ending && p.table != nil && p.now >= n.probeAt { // its next beat may be a while
-		if s := p.table.Service(p.o.Service); s != nil && s.HealthPath != "" {
-			n.probeAt = p.now + probeEvery
-			p.out.Commands = append(p.out.Commands, Probe{s.HealthPath})
+func (d *discovery) tick() {
+	p := d.sidecar
+	d.expireTombstones()
+	if d.shuttingDown && !d.announcedLeaving && p.now >= d.announceLeavingAt { // the host cannot be reached for a while
+		d.announcedLeaving = true
+		d.updateOwn(func(*meshpb.Record) {})
+	}
+	if d.newestPull == 0 && p.now >= d.pullNotBefore {
+		d.sendPull(false)
+	} else if d.newestPull != 0 && p.now > d.pulledAt+d.pullTimeout() {
+		d.serverIndex++
+		d.missedPulls++
+		d.sendPull(false)
+	}
+	if d.own.Station == "" && !d.shuttingDown && p.table != nil && p.now >= d.nextProbeAt { // its next beat may be a while
+		if s := p.table.Service(p.opts.Service); s != nil && s.HealthPath != "" {
+			d.nextProbeAt = p.now + probeInterval
+			p.output.Commands = append(p.output.Commands, Probe{s.HealthPath})
 		}
 	}
-	if p.o.AgreedEjection && p.witness.tick(p.now) {
-		n.list()
+	if p.opts.AgreedEjection && p.ejections.tick(p.now) {
+		d.updateBalancers()
 	}
-	if p.now >= n.weighAt {
-		n.weighAt = p.now + weighEvery
+	if p.now >= d.nextWeightsAt {
+		d.nextWeightsAt = p.now + weightInterval
 		for _, s := range p.services {
-			if s.weigh() {
-				n.list()
+			if s.weightsChanged() {
+				d.updateBalancers()
 				break
 			}
 		}
 	}
-	if n.own.Condition == Serving && p.o.HeartbeatInterval > 0 && p.pauses.ran > n.beatRan+beatsMissed*p.o.HeartbeatInterval {
-		n.change(func(r *meshpb.Record) { r.Condition = Gone })
+	if d.own.Condition == Serving && p.opts.HeartbeatInterval > 0 && p.pauses.runSeconds > d.heartbeatAt+missedHeartbeats*p.opts.HeartbeatInterval {
+		d.updateOwn(func(record *meshpb.Record) { record.Condition = Gone })
 	}
-	if p.now > n.heardAt+watchEvery && p.now >= n.watchAt {
-		n.watchAt = p.now + watchEvery
-		for _, source := range n.neighbours() {
-			n.watch[source] = p.id()
-			p.send(source, p.question(n.watch[source], &meshpb.Message{Pull: n.vector(false)}))
+	if p.now > d.serverHeardAt+watchInterval && p.now >= d.nextWatchAt {
+		d.nextWatchAt = p.now + watchInterval
+		for _, proxy := range d.watchedProxies() {
+			d.watchPulls[proxy] = p.nextID()
+			p.send(proxy, p.newRPC(d.watchPulls[proxy], &meshpb.Message{Pull: d.newPull(false)}))
 		}
 	}
 }
 
 // neighbours are the few other proxies that this one knows and watches.
-func (n *discovery) neighbours() []string {
-	return rendezvous.Watched(n.p.o.Self, n.sources(), watched)
+func (d *discovery) watchedProxies() []string {
+	return rendezvous.Watched(d.sidecar.opts.Self, d.proxies(), watchedCount)
 }
--- a/internal/mesh/sidecar/dispatch_test.go
+++ b/internal/mesh/sidecar/dispatch_test.go
@@ -6,7 +6,7 @@
 	"beechwing/internal/mesh/meshpb"
 )
 
-const oneRoute = `{"edition":"r1","itineraries":[{"name":"a","depot":"h.example","lanePrefix":"/x/","routeKind":"safe","tries":2,
+const safeRoute = `{"edition":"r1","itineraries":[{"name":"a","depot":"h.example","lanePrefix":"/x/","routeKind":"safe","tries":2,
 "timeoutMs":5000,"targetMs":3000,"carrier":"shop"}],"carriers":[{"name":"shop","healthPath":"/health"}]}`
 
 // answerPull has the control process "hall" answer what a proxy asks it as it starts.
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	answerPull(p, now, &meshpb.Update{FromServer: true, Edition: 1, Text: []byte(oneRoute), Records: []*meshpb.Record{
+	answerPull(p, now, &meshpb.Update{FromServer: true, Edition: 1, Text: []byte(safeRoute), Records: []*meshpb.Record{
 		{Source: "p1", Version: 1, Station: "i-1", Carrier: "shop", Zone: "a", Berths: 4, Condition: Serving},
 		{Source: "p2", Version: 1, Station: "i-2", Carrier: "shop", Zone: "a", Berths: 4, Condition: Serving}}})
 	pass(0.1, "")
--- a/internal/mesh/sidecar/keylease.go
+++ b/internal/mesh/sidecar/keylease.go
@@ -16,11 +16,11 @@
 // plane is told once that is done; until then, or until all leases have run out, the other one gets nothing.
 
 const (
-	leaseAgain    = 0.3  // seconds without an answer until another control process is asked
-	releaseAgain  = 0.15 // seconds until a release that failed is tried again
-	grantsAtOnce  = 16   // calls in one go
-	msPerSecond   = 1000
-	statusGranted = 200
+	leaseRetryDelay   = 0.3  // seconds without an answer until another control process is asked
+	releaseRetryDelay = 0.15 // seconds until a release that failed is tried again
+	maxGrantBatch     = 16   // calls in one go
+	msPerSecond       = 1000
+	statusOK          = 200
 )
 
 // KeyCalls has calls made at the host beside this proxy, one after the other. The end of each comes back by KeyCalled.
@@ -50,313 +50,313 @@
 
 // keyLease is what the host here holds.
 type keyLease struct {
-	carrier string // its service
-	station string // the life of the host that it was granted to
-
-	table   *sharding.Table            // in force when the question was asked
-	askedAt float64                    // when that was
-	mine    []sharding.Range           // by that table
-	until   map[sharding.Range]float64 // what the host holds, and until when requests may begin on it
-	granted map[sharding.Range]float64 // by the question of which time that was granted last
-	grants  map[uint64]sharding.Range  // calls under way
-	batchAt float64                    // the question that they rest on
-
-	question  leaseQuestion
-	askAt     float64 // when the next is due
-	notBefore float64 // nothing is asked before then: nobody could say
-	server    int     // who is asked, by the order of the service's
-
-	epoch      uint64 // what was lost with it is being released, or has been
-	toRelease  []sharding.Range
-	releaseAll bool                      // one call releases everything
-	releases   map[uint64]sharding.Range // calls under way
-	releaseAt  float64
-	released   uint64 // all that was lost with this epoch, and those before, has been released
-	toldOf     uint64 // of which the control plane knows
-	handovers  []*meshpb.Handover
-
-	replaced leaseQuestion // about a service whose host was here before
+	service      string // its service
+	hostInstance string // the life of the host that it was granted to
+
+	table         *sharding.Table            // in force when the question was asked
+	tableAskedAt  float64                    // when that was
+	ownRanges     []sharding.Range           // by that table
+	heldUntil     map[sharding.Range]float64 // what the host holds, and until when requests may begin on it
+	grantedAt     map[sharding.Range]float64 // by the question of which time that was granted last
+	pendingGrants map[uint64]sharding.Range  // calls under way
+	grantsAskedAt float64                    // the question that they rest on
+
+	request          leaseRPC
+	nextRequestAt    float64 // when the next is due
+	requestNotBefore float64 // nothing is asked before then: nobody could say
+	serverIndex      int     // who is asked, by the order of the service's
+
+	releaseEpoch    uint64 // what was lost with it is being released, or has been
+	toRelease       []sharding.Range
+	releaseAll      bool                      // one call releases everything
+	pendingReleases map[uint64]sharding.Range // calls under way
+	nextReleaseAt   float64
+	releasedEpoch   uint64 // all that was lost with this epoch, and those before, has been released
+	reportedEpoch   uint64 // of which the control plane knows
+	handovers       []*meshpb.Handover
+
+	replacedHost leaseRPC // about a service whose host was here before
 }
 
 // leaseQuestion is a question to a control process; without an id none is open.
-type leaseQuestion struct {
-	id uint64
-	to string
-	at float64
+type leaseRPC struct {
+	id     uint64
+	to     string
+	sentAt float64
 }
 
-func (k *keyLease) init(carrier string) {
-	*k = keyLease{carrier: carrier, until: map[sharding.Range]float64{}, granted: map[sharding.Range]float64{},
-		grants: map[uint64]sharding.Range{}, releases: map[uint64]sharding.Range{}}
+func (lease *keyLease) init(service string) {
+	*lease = keyLease{service: service, heldUntil: map[sharding.Range]float64{}, grantedAt: map[sharding.Range]float64{},
+		pendingGrants: map[uint64]sharding.Range{}, pendingReleases: map[uint64]sharding.Range{}}
 }
 
 // holdsKey says whether the host may begin a request now, by its key. Where keys are not held that is no question.
-func (g *admission) holdsKey(c *meshpb.Forward) bool {
-	p := g.p
-	if !p.sharded(p.discovery.own.Carrier) {
+func (adm *admission) holdsKey(forward *meshpb.Forward) bool {
+	p := adm.sidecar
+	if !p.isSharded(p.discovery.own.Carrier) {
 		return true
 	}
-	key := keyOf(c.Fields)
-	return key != noKey && p.now < p.lease.until[sharding.RangeOf(key)]
+	key := shardKeyOf(forward.Fields)
+	return key != noKey && p.now < p.lease.heldUntil[sharding.RangeOf(key)]
 }
 
 // tickLease asks, releases and grants what is due.
 func (p *Sidecar) tickLease() {
-	k, own := &p.lease, p.discovery.own
-	if own.Carrier != k.carrier {
-		k.init(own.Carrier)
-	}
-	if own.Station != k.station { // another life of the host holds nothing
-		k.station, k.askAt = own.Station, 0
-		clear(k.until)
-		clear(k.granted)
-		clear(k.grants) // what was sent to the one before counts for nothing
-	}
-	p.tellReplaced()
-	if !p.sharded(k.carrier) {
+	lease, own := &p.lease, p.discovery.own
+	if own.Carrier != lease.service {
+		lease.init(own.Carrier)
+	}
+	if own.Station != lease.hostInstance { // another life of the host holds nothing
+		lease.hostInstance, lease.nextRequestAt = own.Station, 0
+		clear(lease.heldUntil)
+		clear(lease.grantedAt)
+		clear(lease.pendingGrants) // what was sent to the one before counts for nothing
+	}
+	p.reportReplacedHost()
+	if !p.isSharded(lease.service) {
 		return
 	}
-	p.giveUpLost()
-	p.askLease()
-	p.release()
-	p.grant()
+	p.dropLostRanges()
+	p.requestLease()
+	p.releaseRanges()
+	p.grantRanges()
 }
 
 // giveUpLost ends the leases of what the newest epoch gives to others.
-func (p *Sidecar) giveUpLost() {
-	k, table := &p.lease, p.shards.tables[p.lease.carrier]
-	if table == nil || table.Epoch <= k.epoch {
+func (p *Sidecar) dropLostRanges() {
+	lease, table := &p.lease, p.shards.tables[p.lease.service]
+	if table == nil || table.Epoch <= lease.releaseEpoch {
 		return
 	}
-	k.epoch = table.Epoch
-	k.toRelease, k.handovers = table.Lost(p.o.Self), nil
-	k.releaseAll = len(table.Held(p.o.Self)) == 0
-	clear(k.releases)
-	for _, r := range k.toRelease {
-		delete(k.until, r)
-		delete(k.granted, r)
+	lease.releaseEpoch = table.Epoch
+	lease.toRelease, lease.handovers = table.Lost(p.opts.Self), nil
+	lease.releaseAll = len(table.Held(p.opts.Self)) == 0
+	clear(lease.pendingReleases)
+	for _, r := range lease.toRelease {
+		delete(lease.heldUntil, r)
+		delete(lease.grantedAt, r)
 	}
-	if len(k.toRelease) == 0 {
-		k.released, k.toldOf = k.epoch, k.epoch
+	if len(lease.toRelease) == 0 {
+		lease.releasedEpoch, lease.reportedEpoch = lease.releaseEpoch, lease.releaseEpoch
 	}
 }
 
 // askLease asks which assignment is in force, where that is due, and tells what has been released.
-func (p *Sidecar) askLease() {
-	k, newest := &p.lease, p.shards.tables[p.lease.carrier]
-	if k.question.id != 0 {
-		if p.now < k.question.at+leaseAgain {
+func (p *Sidecar) requestLease() {
+	lease, newest := &p.lease, p.shards.tables[p.lease.service]
+	if lease.request.id != 0 {
+		if p.now < lease.request.sentAt+leaseRetryDelay {
 			return
 		}
-		k.server++
+		lease.serverIndex++
 	}
-	newer := newest != nil && (k.table == nil || newest.Version > k.table.Version)
-	tells := k.released == k.epoch && k.toldOf < k.released
-	due := p.now >= k.askAt || k.question.id != 0 || newer || tells
-	if !due || p.now < k.notBefore {
+	newer := newest != nil && (lease.table == nil || newest.Version > lease.table.Version)
+	tells := lease.releasedEpoch == lease.releaseEpoch && lease.reportedEpoch < lease.releasedEpoch
+	due := p.now >= lease.nextRequestAt || lease.request.id != 0 || newer || tells
+	if !due || p.now < lease.requestNotBefore {
 		return
 	}
-	ask := &meshpb.LeaseRequest{Carrier: k.carrier}
+	ask := &meshpb.LeaseRequest{Carrier: lease.service}
 	if tells {
-		ask.Released, ask.Handovers = k.released, k.handovers
+		ask.Released, ask.Handovers = lease.releasedEpoch, lease.handovers
 	}
-	k.question = p.askControl(ask, k.server)
+	lease.request = p.sendLeaseRequest(ask, lease.serverIndex)
 }
 
 // askControl puts a question about a service to a control process: the one that changes its assignment, or one of those after it.
-func (p *Sidecar) askControl(ask *meshpb.LeaseRequest, nth int) leaseQuestion {
+func (p *Sidecar) sendLeaseRequest(ask *meshpb.LeaseRequest, nth int) leaseRPC {
 	if len(p.discovery.servers) == 0 {
-		return leaseQuestion{}
+		return leaseRPC{}
 	}
 	order := rendezvous.Order(sharding.RegisterName(ask.Carrier), p.discovery.servers)
-	q := leaseQuestion{p.id(), order[nth%len(order)], p.now}
-	p.send(q.to, p.question(q.id, &meshpb.Message{LeaseRequest: ask}))
-	return q
+	rpc := leaseRPC{p.nextID(), order[nth%len(order)], p.now}
+	p.send(rpc.to, p.newRPC(rpc.id, &meshpb.Message{LeaseRequest: ask}))
+	return rpc
 }
 
 // tellReplaced tells that the host which held keys of another service, on this machine, is no more: another service's host is here.
-func (p *Sidecar) tellReplaced() {
-	k, own := &p.lease, p.discovery.own
-	if own.Station == "" || p.now < k.replaced.at+leaseAgain {
+func (p *Sidecar) reportReplacedHost() {
+	lease, own := &p.lease, p.discovery.own
+	if own.Station == "" || p.now < lease.replacedHost.sentAt+leaseRetryDelay {
 		return
 	}
-	for _, carrier := range slices.Sorted(maps.Keys(p.shards.tables)) {
-		table := p.shards.tables[carrier]
-		held := carrier != own.Carrier && slices.Contains(table.Previous, p.o.Self)
-		if held && slices.Contains(table.Waiting(), p.o.Self) {
-			k.replaced = p.askControl(&meshpb.LeaseRequest{Carrier: carrier, Released: table.Epoch}, 0)
+	for _, service := range slices.Sorted(maps.Keys(p.shards.tables)) {
+		table := p.shards.tables[service]
+		held := service != own.Carrier && slices.Contains(table.Previous, p.opts.Self)
+		if held && slices.Contains(table.Waiting(), p.opts.Self) {
+			lease.replacedHost = p.sendLeaseRequest(&meshpb.LeaseRequest{Carrier: service, Released: table.Epoch}, 0)
 			return
 		}
 	}
 }
 
 // leased takes the answer to a question.
-func (p *Sidecar) leased(from string, m *meshpb.Message) {
-	k := &p.lease
-	q, asked := k.question, ""
-	if m.Id == k.replaced.id {
-		q = k.replaced
+func (p *Sidecar) receiveLease(from string, m *meshpb.Message) {
+	lease := &p.lease
+	rpc, asked := lease.request, ""
+	if m.Id == lease.replacedHost.id {
+		rpc = lease.replacedHost
 	}
-	if q.id != 0 && q.id == m.Id {
-		asked = q.to
+	if rpc.id != 0 && rpc.id == m.Id {
+		asked = rpc.to
 	}
-	if !p.accepts(from, m, asked) {
+	if !p.acceptsResponse(from, m, asked) {
 		return
 	}
 	a := m.Lease.Assignment
 	if a != nil && p.shards.learn([]*meshpb.Assignment{a}) {
-		p.discovery.list()
+		p.discovery.updateBalancers()
 	}
-	if q.id != k.question.id {
+	if rpc.id != lease.request.id {
 		return
 	}
-	k.question = leaseQuestion{}
-	if a == nil || a.Carrier != k.carrier { // it cannot say
-		k.server++
-		k.notBefore = p.now + leaseAgain
+	lease.request = leaseRPC{}
+	if a == nil || a.Carrier != lease.service { // it cannot say
+		lease.serverIndex++
+		lease.requestNotBefore = p.now + leaseRetryDelay
 		return
 	}
-	k.askAt = q.at + sharding.RenewEvery
-	if slices.Contains(a.Cleared, p.o.Self) {
-		k.toldOf = max(k.toldOf, a.Epoch)
+	lease.nextRequestAt = rpc.sentAt + sharding.RenewEvery
+	if slices.Contains(a.Cleared, p.opts.Self) {
+		lease.reportedEpoch = max(lease.reportedEpoch, a.Epoch)
 	}
-	p.confirmed(q.at)
-	p.giveUpLost()
-	p.grant()
+	p.confirmTable(rpc.sentAt)
+	p.dropLostRanges()
+	p.grantRanges()
 }
 
 // confirmed notes that the newest assignment known was in force after a time.
-func (p *Sidecar) confirmed(at float64) {
-	k, table := &p.lease, p.shards.tables[p.lease.carrier]
+func (p *Sidecar) confirmTable(at float64) {
+	lease, table := &p.lease, p.shards.tables[p.lease.service]
 	if table == nil {
 		return
 	}
-	if k.table != table {
-		k.table, k.mine = table, table.Held(p.o.Self)
+	if lease.table != table {
+		lease.table, lease.ownRanges = table, table.Held(p.opts.Self)
 	}
-	k.askedAt = at
+	lease.tableAskedAt = at
 }
 
 // release has the host release what it has lost.
-func (p *Sidecar) release() {
-	k := &p.lease
-	if len(k.toRelease) == 0 || len(k.releases) > 0 || p.now < k.releaseAt {
+func (p *Sidecar) releaseRanges() {
+	lease := &p.lease
+	if len(lease.toRelease) == 0 || len(lease.pendingReleases) > 0 || p.now < lease.nextReleaseAt {
 		return
 	}
-	k.releaseAt = p.now + releaseAgain
-	if k.releaseAll {
-		id := p.id()
-		k.releases[id] = k.toRelease[0]
-		p.out.Commands = append(p.out.Commands, KeyCalls{Calls: []KeyCall{{ID: id, LastKey: sharding.Keys - 1, Fence: k.epoch, Release: true}}})
+	lease.nextReleaseAt = p.now + releaseRetryDelay
+	if lease.releaseAll {
+		id := p.nextID()
+		lease.pendingReleases[id] = lease.toRelease[0]
+		p.output.Commands = append(p.output.Commands, KeyCalls{Calls: []KeyCall{{ID: id, LastKey: sharding.Keys - 1, Fence: lease.releaseEpoch, Release: true}}})
 		return
 	}
-	for _, r := range k.toRelease { // each waits for what runs on its keys
-		id := p.id()
-		k.releases[id] = r
-		p.out.Commands = append(p.out.Commands, KeyCalls{Calls: []KeyCall{{ID: id, FirstKey: r.First(), LastKey: r.Last(), Fence: k.epoch, Release: true}}})
+	for _, r := range lease.toRelease { // each waits for what runs on its keys
+		id := p.nextID()
+		lease.pendingReleases[id] = r
+		p.output.Commands = append(p.output.Commands, KeyCalls{Calls: []KeyCall{{ID: id, FirstKey: r.First(), LastKey: r.Last(), Fence: lease.releaseEpoch, Release: true}}})
 	}
 }
 
 // grant grants the host what is its own by the newest answer, and what it holds anew.
-func (p *Sidecar) grant() {
-	k, own := &p.lease, p.discovery.own
-	before := k.askedAt + sharding.GrantWithin
-	if k.table == nil || len(k.grants) > 0 || p.now >= before || own.Condition != Serving || own.Station == "" ||
-		k.table.Epoch < k.epoch {
+func (p *Sidecar) grantRanges() {
+	lease, own := &p.lease, p.discovery.own
+	before := lease.tableAskedAt + sharding.GrantWithin
+	if lease.table == nil || len(lease.pendingGrants) > 0 || p.now >= before || own.Condition != Serving || own.Station == "" ||
+		lease.table.Epoch < lease.releaseEpoch {
 		return
 	}
 	var calls []KeyCall
-	for _, r := range k.mine {
-		if at, known := k.granted[r]; known && at >= k.askedAt || !k.table.Free(r) {
+	for _, r := range lease.ownRanges {
+		if at, known := lease.grantedAt[r]; known && at >= lease.tableAskedAt || !lease.table.Free(r) {
 			continue
 		}
-		call := KeyCall{ID: p.id(), FirstKey: r.First(), LastKey: r.Last(), Fence: k.table.Epoch,
-			HoldMs: int(sharding.Hold(p.o.MaxKeyHold) * msPerSecond)}
-		if k.table.Before(r) != p.o.Self {
-			call.Handover = k.table.Handover(r)
+		call := KeyCall{ID: p.nextID(), FirstKey: r.First(), LastKey: r.Last(), Fence: lease.table.Epoch,
+			HoldMs: int(sharding.Hold(p.opts.MaxKeyHold) * msPerSecond)}
+		if lease.table.Before(r) != p.opts.Self {
+			call.Handover = lease.table.Handover(r)
 		}
-		k.grants[call.ID] = r
-		if calls = append(calls, call); len(calls) == grantsAtOnce {
+		lease.pendingGrants[call.ID] = r
+		if calls = append(calls, call); len(calls) == maxGrantBatch {
 			break
 		}
 	}
 	if len(calls) > 0 {
-		k.batchAt = k.askedAt
-		p.out.Commands = append(p.out.Commands, KeyCalls{Calls: calls, GrantBefore: before})
+		lease.grantsAskedAt = lease.tableAskedAt
+		p.output.Commands = append(p.output.Commands, KeyCalls{Calls: calls, GrantBefore: before})
 	}
 }
 
 // KeyCalled takes the end of a call at the host.
 func (p *Sidecar) KeyCallDone(now float64, id uint64, result KeyResult) {
-	p.input(now)
-	k := &p.lease
-	if r, granting := k.grants[id]; granting {
-		delete(k.grants, id)
-		p.grantEnded(r, result)
-	}
-	if r, releasing := k.releases[id]; releasing {
-		delete(k.releases, id)
-		p.releaseEnded(r, result)
-	}
-	p.grant()
-	p.settle()
+	p.beginInput(now)
+	lease := &p.lease
+	if r, granting := lease.pendingGrants[id]; granting {
+		delete(lease.pendingGrants, id)
+		p.grantDone(r, result)
+	}
+	if r, releasing := lease.pendingReleases[id]; releasing {
+		delete(lease.pendingReleases, id)
+		p.releaseDone(r, result)
+	}
+	p.grantRanges()
+	p.runPending()
 }
 
 // grantEnded notes that the host holds a range, unless the range was lost meanwhile.
-func (p *Sidecar) grantEnded(r sharding.Range, result KeyResult) {
-	k := &p.lease
-	k.granted[r] = k.batchAt // where it failed, the next answer is granted on
-	p.count.Grants++
-	if result.Status != statusGranted || k.station != p.discovery.own.Station || k.table.Epoch < k.epoch || k.table.Holder(r) != p.o.Self {
-		p.count.GrantsRefused++
+func (p *Sidecar) grantDone(r sharding.Range, result KeyResult) {
+	lease := &p.lease
+	lease.grantedAt[r] = lease.grantsAskedAt // where it failed, the next answer is granted on
+	p.counts.Grants++
+	if result.Status != statusOK || lease.hostInstance != p.discovery.own.Station || lease.table.Epoch < lease.releaseEpoch || lease.table.Holder(r) != p.opts.Self {
+		p.counts.GrantsRefused++
 		if result.Refused {
-			p.hostLost()
+			p.markHostLost()
 		}
 		return
 	}
-	k.until[r] = k.batchAt + sharding.HeldFor(p.o.MaxKeyHold)
+	lease.heldUntil[r] = lease.grantsAskedAt + sharding.HeldFor(p.opts.MaxKeyHold)
 }
 
 // hostLost notes that no process listens at the host's address: its keys are to go to others, who cannot serve them before. A further
 // beat of the same life proves it wrong.
-func (p *Sidecar) hostLost() {
+func (p *Sidecar) markHostLost() {
 	if p.discovery.own.Condition == Serving {
-		p.o.Log("host lost", "station", p.discovery.own.Station, "why", "nobody listens at its address")
-		p.discovery.change(func(r *meshpb.Record) { r.Condition = Gone })
+		p.opts.Log("host lost", "station", p.discovery.own.Station, "why", "nobody listens at its address")
+		p.discovery.updateOwn(func(record *meshpb.Record) { record.Condition = Gone })
 	}
 }
 
 // hostRefused has the host asked for at once, where it holds keys: a request to it found no process, or none in time.
-func (k *keyLease) hostRefused() {
-	if len(k.mine) > 0 {
-		k.askAt = 0
+func (lease *keyLease) recheckHost() {
+	if len(lease.ownRanges) > 0 {
+		lease.nextRequestAt = 0
 	}
 }
 
 // releaseEnded notes that the host has released a range, or everything. No process that listens, with nothing of this proxy's under
 // way, begins nothing.
-func (p *Sidecar) releaseEnded(r sharding.Range, result KeyResult) {
-	k := &p.lease
-	if result.Status != statusGranted && !(result.Refused && p.admission.running == 0) {
+func (p *Sidecar) releaseDone(r sharding.Range, result KeyResult) {
+	lease := &p.lease
+	if result.Status != statusOK && !(result.Refused && p.admission.slotsInUse == 0) {
 		return
 	}
-	if k.releaseAll {
-		for _, lost := range k.toRelease {
-			k.handOver(lost, result.Handover)
+	if lease.releaseAll {
+		for _, lost := range lease.toRelease {
+			lease.addHandover(lost, result.Handover)
 		}
-		k.toRelease = nil
+		lease.toRelease = nil
 	} else {
-		k.handOver(r, result.Handover)
-		k.toRelease = without(k.toRelease, r)
+		lease.addHandover(r, result.Handover)
+		lease.toRelease = without(lease.toRelease, r)
 	}
-	if len(k.toRelease) == 0 {
-		k.released = k.epoch
+	if len(lease.toRelease) == 0 {
+		lease.releasedEpoch = lease.releaseEpoch
 	}
 }
 
-func (k *keyLease) handOver(r sharding.Range, token string) {
+func (lease *keyLease) addHandover(r sharding.Range, token string) {
 	if token != "" {
-		k.handovers = append(k.handovers, &meshpb.Handover{Range: uint32(r), Token: token})
+		lease.handovers = append(lease.handovers, &meshpb.Handover{Range: uint32(r), Token: token})
 	}
 }
 
@@ -381,12 +381,12 @@
 
 // keyState is what is known of the keys here; nil: there are none.
 func (p *Sidecar) keyState() *KeyState {
-	k := &p.lease
-	if k.table == nil {
+	lease := &p.lease
+	if lease.table == nil {
 		return nil
 	}
-	s := &KeyState{Service: k.carrier, Epoch: k.table.Epoch, Ranges: len(k.mine), Releasing: len(k.toRelease)}
-	for _, until := range k.until {
+	s := &KeyState{Service: lease.service, Epoch: lease.table.Epoch, Ranges: len(lease.ownRanges), Releasing: len(lease.toRelease)}
+	for _, until := range lease.heldUntil {
 		left := until - p.now
 		if left <= 0 {
 			continue
--- a/internal/mesh/sidecar/pulls.go
+++ b/internal/mesh/sidecar/pulls.go
@@ -4,32 +4,32 @@
 
 // mostPulls bounds the questions to control processes that are open at once: each goes unanswered for a while
 // first.
-const mostPulls = 8
+const maxPulls = 8
 
 // openPull is a question to a control process that has not been answered.
-type openPull struct {
+type outstandingPull struct {
 	id   uint64
 	peer string
 }
 
 // open notes a question to a control process. Those before it stay open: where all are slow, an answer that
 // comes after the next one was asked is better than none.
-func (n *discovery) open(q openPull) {
-	n.pulls = append(n.pulls, q)
-	if len(n.pulls) > mostPulls {
-		n.pulls = n.pulls[1:]
+func (d *discovery) addPull(pull outstandingPull) {
+	d.outstandingPulls = append(d.outstandingPulls, pull)
+	if len(d.outstandingPulls) > maxPulls {
+		d.outstandingPulls = d.outstandingPulls[1:]
 	}
 }
 
 // asked is the peer that an open question was put to, and whether it was put to a control process; "": none
 // of that id is open.
-func (n *discovery) asked(id uint64, from string) (peer string, server bool) {
-	for _, q := range n.pulls {
-		if q.id == id {
-			return q.peer, true
+func (d *discovery) pullTarget(id uint64, from string) (peer string, server bool) {
+	for _, pull := range d.outstandingPulls {
+		if pull.id == id {
+			return pull.peer, true
 		}
 	}
-	if open, found := n.watch[from]; found && open == id {
+	if open, found := d.watchPulls[from]; found && open == id {
 		return from, false
 	}
 	return "", false
@@ -37,11 +37,11 @@
 
 // close takes a question that was answered off the open ones, and all that were put to control processes
 // before it: they would be answered by what was known earlier.
-func (n *discovery) close(id uint64, from string) {
-	if n.watch[from] == id {
-		delete(n.watch, from)
+func (d *discovery) finishPull(id uint64, from string) {
+	if d.watchPulls[from] == id {
+		delete(d.watchPulls, from)
 		return
 	}
-	at := slices.IndexFunc(n.pulls, func(q openPull) bool { return q.id == id })
-	n.pulls = n.pulls[at+1:]
+	at := slices.IndexFunc(d.outstandingPulls, func(pull outstandingPull) bool { return pull.id == id })
+	d.outstandingPulls = d.outstandingPulls[at+1:]
 }
--- a/internal/mesh/sidecar/shards.go
+++ b/internal/mesh/sidecar/shards.go
@@ -13,13 +13,13 @@
 const HeaderShardKey = "Beechwing-Shard-Key"
 
 const (
-	keyRetry      = 0.04 // seconds after which a request is sent to its key's holder once more, where that did not hold the key yet
-	keyPart       = 0.25 // of a request's aim that it may wait so
-	keyBack       = 0.15 // seconds after which a client whose key nobody holds is to come back
-	noKey         = -1
-	whyNotHeld    = "its key is not held here"
-	notHeldBackMs = 50 // when who sent it may come again
-	whyNoTable    = "nobody holds the keys of this service yet"
+	holderRetryDelay       = 0.04 // seconds after which a request is sent to its key's holder once more, where that did not hold the key yet
+	holderRetryShare       = 0.25 // of a request's aim that it may wait so
+	noHolderRetryAfter     = 0.15 // seconds after which a client whose key nobody holds is to come back
+	noKey                  = -1
+	reasonKeyNotHeld       = "its key is not held here"
+	keyNotHeldRetryAfterMs = 50 // when who sent it may come again
+	reasonNoHolder         = "nobody holds the keys of this service yet"
 )
 
 // shards are the assignments known here, by service.
@@ -46,16 +46,16 @@
 }
 
 // sharded says whether hosts of a service hold keys.
-func (p *Sidecar) sharded(carrier string) bool {
+func (p *Sidecar) isSharded(service string) bool {
 	if p.table == nil {
 		return false
 	}
-	s := p.table.Service(carrier)
+	s := p.table.Service(service)
 	return s != nil && s.Sharded
 }
 
 // keyOf is the key among a request's fields; noKey: it has none that counts.
-func keyOf(fields []*meshpb.Field) int {
+func shardKeyOf(fields []*meshpb.Field) int {
 	for _, f := range fields {
 		if f.Name == HeaderShardKey {
 			if key, ok := sharding.ParseKey(f.Value); ok {
@@ -67,46 +67,46 @@
 }
 
 // holderOf is the host that holds a request's key; 0: nobody is known to.
-func (p *Sidecar) holderOf(o *Request) balancer.HostID {
-	table := p.shards.tables[o.service]
+func (p *Sidecar) holderOf(req *Request) balancer.HostID {
+	table := p.shards.tables[req.service]
 	if table == nil {
 		return 0
 	}
-	r := p.discovery.records[table.Holder(sharding.RangeOf(o.shardKey))]
-	if r == nil || r.Station == "" {
+	record := p.discovery.records[table.Holder(sharding.RangeOf(req.shardKey))]
+	if record == nil || record.Station == "" {
 		return 0
 	}
-	return hostID(r.Station)
+	return hostID(record.Station)
 }
 
 // askHolder sends a request to the host that holds its key.
-func (p *Sidecar) askHolder(o *Request) {
-	o.holder = p.holderOf(o)
-	if o.holder == 0 {
-		p.tell(o, Reply{Status: 503, RetryAfter: keyBack, FromProxy: true, Reason: whyNoTable})
-		p.forget(o)
+func (p *Sidecar) submitToHolder(req *Request) {
+	req.holder = p.holderOf(req)
+	if req.holder == 0 {
+		p.reply(req, Reply{Status: 503, RetryAfter: noHolderRetryAfter, FromProxy: true, Reason: reasonNoHolder})
+		p.forget(req)
 		return
 	}
-	p.request(o)
+	p.submitToBalancer(req)
 }
 
 // waitsForHolder says whether a request that was refused goes to its key's holder once more: the holder may be about to change. It
 // has run nowhere.
-func (p *Sidecar) waitsForHolder(o *Request) bool {
-	if o.holder == 0 || o.arrivals > 0 || o.last != nil || o.claims || p.now+keyRetry > o.taken+keyPart*o.class.aim {
+func (p *Sidecar) retriesAtHolder(req *Request) bool {
+	if req.holder == 0 || req.arrivals > 0 || req.lastResponse != nil || req.mayHoldClaim || p.now+holderRetryDelay > req.receivedAt+holderRetryShare*req.class.target {
 		return false
 	}
-	p.at(p.now+keyRetry, func() { p.askAgain(o) })
+	p.schedule(p.now+holderRetryDelay, func() { p.resubmit(req) })
 	return true
 }
 
 // askAgain puts a request to the module anew: as another one, as that has refused it.
-func (p *Sidecar) askAgain(o *Request) {
-	if o.told || p.orders[o.id] != o {
+func (p *Sidecar) resubmit(req *Request) {
+	if req.answered || p.requests[req.id] != req {
 		return
 	}
-	delete(p.orders, o.id)
-	o.id, o.tries = p.id(), nil
-	p.orders[o.id] = o
-	p.askHolder(o)
+	delete(p.requests, req.id)
+	req.id, req.attempts = p.nextID(), nil
+	p.requests[req.id] = req
+	p.submitToHolder(req)
 }
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -74,32 +74,32 @@
 
 // Sidecar is one proxy. It is single-threaded; every input carries the time in seconds on a clock that never jumps.
 type Sidecar struct {
-	o     Options
-	now   float64
-	rng   random.Source
-	table *routeconfig.Table
-	out   Output
-	local []func() // what actions of the module gave rise to; it may not be called from within one
-	inUse int      // bytes of bodies
-	count Counts
+	opts      Options
+	now       float64
+	rng       random.Source
+	table     *routeconfig.Table
+	output    Output
+	pending   []func() // what actions of the module gave rise to; it may not be called from within one
+	bodyBytes int      // bytes of bodies
+	counts    Counts
 
 	// dispatch.go
-	services map[string]*service
-	orders   map[uint64]*Request
-	tries    map[uint64]*try
-	life     uint64 // of this process; its questions carry it
-	lastID   uint64
-	timers   timers
-	budget   *retrybudget.Budget
-	peers    map[string]*peer
-	pongs    float64 // mean seconds that others take to say that they are there
+	services        map[string]*service
+	requests        map[uint64]*Request
+	attempts        map[uint64]*attempt
+	incarnation     uint64 // of this process; its questions carry it
+	lastID          uint64
+	timers          timers
+	retryBudget     *retrybudget.Budget
+	peers           map[string]*peerState
+	meanPongSeconds float64 // mean seconds that others take to say that they are there
 
 	admission admission
 	shards    shards
 	lease     keyLease
-	pauses    pauses
+	pauses    pauseDetector
 	discovery discovery
-	witness   witness
+	ejections ejections
 }
 
 // New makes a proxy.
@@ -107,32 +107,32 @@
 	if o.Log == nil {
 		o.Log = func(string, ...any) {}
 	}
-	p := &Sidecar{o: o, now: now, rng: random.Source(o.Seed), services: map[string]*service{}, orders: map[uint64]*Request{}, tries: map[uint64]*try{},
-		budget: retrybudget.New(o.RetryRatio, o.RetrySlack), peers: map[string]*peer{},
-		count: Counts{Replies: map[int]uint64{}, Attempts: map[string]uint64{}, Rejected: map[string]uint64{}, Dropped: map[string]uint64{},
+	p := &Sidecar{opts: o, now: now, rng: random.Source(o.Seed), services: map[string]*service{}, requests: map[uint64]*Request{}, attempts: map[uint64]*attempt{},
+		retryBudget: retrybudget.New(o.RetryRatio, o.RetrySlack), peers: map[string]*peerState{},
+		counts: Counts{Replies: map[int]uint64{}, Attempts: map[string]uint64{}, Rejected: map[string]uint64{}, Dropped: map[string]uint64{},
 			ClientsLeft: map[string]uint64{}, Cancelled: map[string]uint64{}}}
 	p.pauses.inputAt = now
-	p.identify()
-	p.admission.begin(p)
+	p.initIDs()
+	p.admission.init(p)
 	p.shards.tables = map[string]*sharding.Table{}
 	p.lease.init(o.Service)
-	p.discovery.begin(p)
+	p.discovery.init(p)
 	return p
 }
 
 // Take gives what is to be done since the last call.
 func (p *Sidecar) TakeOutput() Output {
-	p.settle()
-	out := p.out
-	p.out = Output{}
+	p.runPending()
+	out := p.output
+	p.output = Output{}
 	return out
 }
 
 // settle plays what actions gave rise to, in order.
-func (p *Sidecar) settle() {
-	for len(p.local) > 0 {
-		f := p.local[0]
-		p.local = p.local[1:]
+func (p *Sidecar) runPending() {
+	for len(p.pending) > 0 {
+		f := p.pending[0]
+		p.pending = p.pending[1:]
 		f()
 	}
 }
@@ -141,100 +141,102 @@
 func (p *Sidecar) random() uint64 { return p.rng.Next() }
 
 // draw is a random number in [0, 1).
-func (p *Sidecar) draw() float64 { return float64(p.random()>>11) / (1 << 53) }
+func (p *Sidecar) randomFloat() float64 { return float64(p.random()>>11) / (1 << 53) }
 
 // send has a parcel go out; what is for this process itself comes back at once.
-func (p *Sidecar) send(to string, parcel *meshpb.Message) {
-	if to == p.o.Self {
-		p.local = append(p.local, func() { p.parcel(to, parcel) })
+func (p *Sidecar) send(to string, m *meshpb.Message) {
+	if to == p.opts.Self {
+		p.pending = append(p.pending, func() { p.handleMessage(to, m) })
 		return
 	}
-	p.out.Sends = append(p.out.Sends, transport.Send{To: to, Message: parcel})
+	p.output.Sends = append(p.output.Sends, transport.Send{To: to, Message: m})
 }
 
 // Message takes what another process says.
-func (p *Sidecar) Receive(now float64, from string, parcel *meshpb.Message) {
-	p.input(now)
-	if w := p.peers[from]; w != nil && (!meshpb.IsAnswer(parcel) || p.ofThisLife(from, parcel)) {
-		w.heard, w.life = now, senderLife(parcel)
+func (p *Sidecar) Receive(now float64, from string, m *meshpb.Message) {
+	p.beginInput(now)
+	if peer := p.peers[from]; peer != nil && (!meshpb.IsAnswer(m) || p.forThisIncarnation(from, m)) {
+		peer.heardAt, peer.incarnation = now, senderIncarnation(m)
 		p.sendHeld(from)
 	}
-	p.parcel(from, parcel)
-	p.settle()
+	p.handleMessage(from, m)
+	p.runPending()
 }
 
 // Link takes word of how many seconds a large answer waits for this machine's link, and takes there for each byte; 0: next to nothing.
 func (p *Sidecar) SetLinkBacklog(wait, perByte float64) {
-	p.admission.link, p.admission.perByte = wait, perByte
+	p.admission.linkBacklog, p.admission.linkSecondsPerByte = wait, perByte
 }
 
 // Sign takes word that a large parcel of another process's is on its way: it is not silent.
 func (p *Sidecar) NoteIncoming(now float64, from string) {
-	if w := p.peers[from]; w != nil {
-		w.heard = now
+	if peer := p.peers[from]; peer != nil {
+		peer.heardAt = now
 	}
 }
 
-func (p *Sidecar) parcel(from string, parcel *meshpb.Message) {
+func (p *Sidecar) handleMessage(from string, m *meshpb.Message) {
 	switch {
-	case parcel.Forward != nil:
-		p.admission.carry(from, parcel)
-	case parcel.Cancel != nil:
-		p.admission.cancel(from, parcel)
-	case parcel.Forwarded != nil:
-		p.forwarded(from, parcel)
-	case parcel.Lease != nil:
-		p.leased(from, parcel)
-	case parcel.Claimed != nil:
-		p.admission.claimed(from, parcel)
-	case parcel.Update != nil:
-		p.discovery.came(from, parcel)
-	case parcel.Pull != nil:
-		p.discovery.pulled(from, parcel)
-	case parcel.Ping != nil:
-		p.answer(from, parcel, &meshpb.Message{Pong: parcel.Ping})
-	case parcel.Pong != nil:
-		p.ponged(from, parcel)
+	case m.Forward != nil:
+		p.admission.receiveForward(from, m)
+	case m.Cancel != nil:
+		p.admission.cancel(from, m)
+	case m.Forwarded != nil:
+		p.receiveForwarded(from, m)
+	case m.Lease != nil:
+		p.receiveLease(from, m)
+	case m.Claimed != nil:
+		p.admission.receiveClaimed(from, m)
+	case m.Update != nil:
+		p.discovery.receiveUpdate(from, m)
+	case m.Pull != nil:
+		p.discovery.receivePull(from, m)
+	case m.Ping != nil:
+		p.respond(from, m, &meshpb.Message{Pong: m.Ping})
+	case m.Pong != nil:
+		p.receivePong(from, m)
 	}
 }
 
 // Broke takes word that a connection is no more.
 func (p *Sidecar) ConnectionLost(now float64, b transport.Broke) {
-	p.input(now)
-	p.brokeTries(b)
-	p.admission.broke(b)
-	p.discovery.broke(b.Peer)
-	p.settle()
+	p.beginInput(now)
+	p.failAttempts(b)
+	p.admission.connectionLost(b)
+	p.discovery.connectionLost(b.Peer)
+	p.runPending()
 }
 
 // Tick does what is due. It is to be called every few hundredths of a second, and at Next.
 func (p *Sidecar) Tick(now float64) {
-	p.input(now)
-	p.fire()
+	p.beginInput(now)
+	p.runTimers()
 	p.watchPeers()
 	p.admission.tick()
 	p.discovery.tick()
 	p.tickLease()
-	p.settle()
+	p.runPending()
 }
 
 // Ready says whether clients may come: a configuration is in force here, and the process is not about to end.
-func (p *Sidecar) Ready() bool { return p.table != nil && !p.discovery.ending && p.discovery.told }
+func (p *Sidecar) Ready() bool {
+	return p.table != nil && !p.discovery.shuttingDown && p.discovery.serverAnswered
+}
 
 // Term begins the end: clients hear that they had better go elsewhere, and once they have had time to, after so many seconds,
 // nothing may be under way. The others hear of it shortly before that: until then the host here is of use to them. What comes
 // nevertheless is served.
 func (p *Sidecar) BeginShutdown(now, notice float64) {
-	p.input(now)
-	p.discovery.ending = true
-	p.discovery.leaveAt = now + max(0, notice-leaveAhead)
-	p.settle()
+	p.beginInput(now)
+	p.discovery.shuttingDown = true
+	p.discovery.announceLeavingAt = now + max(0, notice-leaveNotice)
+	p.runPending()
 }
 
 // Idle says whether nothing is under way here. Word on the end of a run is, until it has been taken: lost with this process,
 // it would leave a key that has run without its answer.
 func (p *Sidecar) Idle() bool {
-	return len(p.orders) == 0 && len(p.admission.jobs) == 0 && len(p.admission.keys.settles) == 0
+	return len(p.requests) == 0 && len(p.admission.jobs) == 0 && len(p.admission.keys.settles) == 0
 }
 
 // Limits are those of the configuration in force; nil: none is.
@@ -285,26 +287,26 @@
 
 // State tells what is known here.
 func (p *Sidecar) State(now float64) State {
-	p.input(now)
-	s := State{Ready: p.Ready(), Ending: p.discovery.ending, Servers: p.discovery.servers, Host: p.discovery.own, Requests: len(p.orders),
-		Jobs: len(p.admission.jobs), Queued: len(p.admission.queue), QueuedLate: len(p.admission.late.jobs), AvoidedHosts: map[string]int{},
-		Counts: Counts{Replies: maps.Clone(p.count.Replies), Attempts: maps.Clone(p.count.Attempts), Rejected: maps.Clone(p.count.Rejected),
-			Runs: p.count.Runs, LateRuns: p.count.LateRuns, PeerFailures: p.count.PeerFailures, Dropped: maps.Clone(p.count.Dropped), ClientsLeft: maps.Clone(p.count.ClientsLeft),
-			SentAfterClientLeft: p.count.SentAfterClientLeft, Cancelled: maps.Clone(p.count.Cancelled), Grants: p.count.Grants,
-			GrantsRefused: p.count.GrantsRefused}}
+	p.beginInput(now)
+	s := State{Ready: p.Ready(), Ending: p.discovery.shuttingDown, Servers: p.discovery.servers, Host: p.discovery.own, Requests: len(p.requests),
+		Jobs: len(p.admission.jobs), Queued: len(p.admission.queue), QueuedLate: len(p.admission.lateQueue.jobs), AvoidedHosts: map[string]int{},
+		Counts: Counts{Replies: maps.Clone(p.counts.Replies), Attempts: maps.Clone(p.counts.Attempts), Rejected: maps.Clone(p.counts.Rejected),
+			Runs: p.counts.Runs, LateRuns: p.counts.LateRuns, PeerFailures: p.counts.PeerFailures, Dropped: maps.Clone(p.counts.Dropped), ClientsLeft: maps.Clone(p.counts.ClientsLeft),
+			SentAfterClientLeft: p.counts.SentAfterClientLeft, Cancelled: maps.Clone(p.counts.Cancelled), Grants: p.counts.Grants,
+			GrantsRefused: p.counts.GrantsRefused}}
 	if p.table != nil {
 		s.Edition = p.table.Edition
 	}
-	for _, source := range p.discovery.sources() {
-		s.Records = append(s.Records, p.discovery.records[source])
-		if p.discovery.silent[source] {
-			s.Silent = append(s.Silent, source)
+	for _, proxy := range p.discovery.proxies() {
+		s.Records = append(s.Records, p.discovery.records[proxy])
+		if p.discovery.silent[proxy] {
+			s.Silent = append(s.Silent, proxy)
 		}
 	}
-	s.Ejected, s.Suspects = p.witness.all(now), p.witness.accused
+	s.Ejected, s.Suspects = p.ejections.ejectedInstances(now), p.ejections.suspects
 	s.Keys = p.keyState()
 	for name, service := range p.services {
-		s.AvoidedHosts[name] = service.bal.Avoided(now)
+		s.AvoidedHosts[name] = service.balancer.Avoided(now)
 	}
 	return s
 }
--- a/internal/mesh/sidecar/timers.go
+++ b/internal/mesh/sidecar/timers.go
@@ -8,9 +8,9 @@
 // Timers are inputs that a process gives itself, in order of their times.
 
 type timer struct {
-	at  float64
+	due float64
 	seq uint64
-	do  func()
+	run func()
 }
 
 // timers is a heap, the next one due first.
@@ -18,7 +18,7 @@
 
 func (h timers) Len() int { return len(h) }
 func (h timers) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+	return h[i].due < h[j].due || h[i].due == h[j].due && h[i].seq < h[j].seq
 }
 func (h timers) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *timers) Push(x any)   { *h = append(*h, x.(timer)) }
@@ -30,13 +30,15 @@
 	return t
 }
 
-func (p *Sidecar) at(when float64, do func()) { heap.Push(&p.timers, timer{when, p.id(), do}) }
+func (p *Sidecar) schedule(when float64, run func()) {
+	heap.Push(&p.timers, timer{when, p.nextID(), run})
+}
 
 // fire plays the timers that are due.
-func (p *Sidecar) fire() {
-	for len(p.timers) > 0 && p.timers[0].at <= p.now {
-		heap.Pop(&p.timers).(timer).do()
-		p.settle()
+func (p *Sidecar) runTimers() {
+	for len(p.timers) > 0 && p.timers[0].due <= p.now {
+		heap.Pop(&p.timers).(timer).run()
+		p.runPending()
 	}
 }
 
@@ -45,5 +47,5 @@
 	if len(p.timers) == 0 {
 		return math.Inf(1)
 	}
-	return p.timers[0].at
+	return p.timers[0].due
 }
