--- a/internal/mesh/sidecar/actions.go
+++ b/internal/mesh/sidecar/actions.go
@@ -10,9 +10,9 @@
 	"beechwing/internal/mesh/register"
 )
 
-// What the balancer wants done: its requests sent, refused or failed, and its timers.
+// This file implements balancer.Actions: it sends, refuses and fails requests and sets timers as the balancer orders.
 
-// Send sends a request to the proxy beside the picked host.
+// Send starts the next attempt of a request at the sidecar of the picked host.
 func (s *service) Send(id balancer.RequestID, host balancer.HostID, _ float64) {
 	p := s.sidecar
 	req := p.requests[uint64(id)]
@@ -28,13 +28,13 @@
 		p.runLater(func() { p.endAttempt(a, balancer.Moot, nil, "") })
 		return
 	case ep == nil:
-		p.runLater(func() { p.endAttempt(a, balancer.ConnectFailed, nil, "gone from the roll") })
+		p.runLater(func() { p.endAttempt(a, balancer.ConnectFailed, nil, "the host is no longer in the list") })
 		return
 	case req.arrivals >= max(1, req.route.Tries):
-		p.runLater(func() { p.endAttempt(a, balancer.Moot, nil, "no tries left") })
+		p.runLater(func() { p.endAttempt(a, balancer.Moot, nil, "no attempts left") })
 		return
 	case req.arrivals > 0 && !p.retryBudget.Spend(req.service):
-		p.runLater(func() { p.endAttempt(a, balancer.Moot, nil, "no budget for a further try") })
+		p.runLater(func() { p.endAttempt(a, balancer.Moot, nil, "retry budget exhausted") })
 		return
 	}
 	a.budgetSpent = req.arrivals > 0
@@ -53,7 +53,7 @@
 	p.sendAttempt(a)
 }
 
-// sendTry has a try go to the proxy beside its host.
+// sendAttempt sends an attempt to the sidecar of its host.
 func (p *Sidecar) sendAttempt(a *attempt) {
 	a.peerIncarnation = p.peers[a.peer].incarnation
 	if a.request.clientLeft {
@@ -67,7 +67,7 @@
 	p.output.Sends = append(p.output.Sends, transport.Send{To: a.peer, Message: m, Via: &a.link})
 }
 
-// forward is what a try asks of the proxy beside its host.
+// newForward builds the message that carries an attempt to the sidecar of its host.
 func (p *Sidecar) newForward(a *attempt) *meshpb.Forward {
 	req := a.request
 	target := min(req.deadline, req.receivedAt+req.class.target)
@@ -92,7 +92,7 @@
 	}
 }
 
-// Refuse answers that trying again is harmless.
+// Refuse ends a request that the client may safely repeat.
 func (s *service) Refuse(id balancer.RequestID, coolDown float64) {
 	p := s.sidecar
 	req := p.requests[uint64(id)]
@@ -109,17 +109,17 @@
 	if n := len(req.attempts); n == 0 {
 		reply.Reason = "no room"
 	}
-	if req.lastResponse != nil { // a host has spoken
+	if req.lastResponse != nil { // a host has responded
 		reply = p.hostReply(req, req.lastResponse)
 	}
-	if req.mayHoldClaim && reply.FromProxy { // what is promised not to run gives its key back
+	if req.mayHoldClaim && reply.FromProxy { // the request is promised not to run, so its key is released
 		p.admission.settle(req.IdempotencyKey, &meshpb.Receipt{Token: req.token, State: register.Void})
 	}
 	p.reply(req, reply)
 	p.runLater(func() { p.forget(req) })
 }
 
-// Fail answers that nothing is promised.
+// Fail ends a request that may have run, so that a repeat might run it twice.
 func (s *service) Fail(id balancer.RequestID) {
 	p := s.sidecar
 	req := p.requests[uint64(id)]
@@ -134,10 +134,10 @@
 	p.runLater(func() { p.forget(req) })
 }
 
-// Probe is not asked for.
+// Probe does nothing: the balancer's probes are not enabled here.
 func (s *service) Probe(balancer.HostID) {}
 
-// Timer asks for an event.
+// Timer schedules a timer event of the balancer.
 func (s *service) Timer(after float64, token uint64) {
 	s.sidecar.schedule(s.sidecar.now+max(0, after), func() {
 		if s.sidecar.services[s.name] == s {
@@ -146,14 +146,14 @@
 	})
 }
 
-// Watch and Fetch ask for the list, which comes unasked here.
+// Watch and Fetch do nothing: the balancer gets the list of hosts without asking for it.
 func (s *service) Watch() {}
 func (s *service) Fetch() {}
 
-// Tell would send a message to every peer.
+// Tell does nothing: balancers exchange no messages here.
 func (s *service) Tell([]byte) {}
 
-// Log writes a line of the module's.
+// Log writes a log message of the balancer.
 func (s *service) Log(text string) {
 	if s.sidecar.opts.Debug != nil {
 		s.sidecar.opts.Debug("balancer", "service", s.name, "says", text)
--- a/internal/mesh/sidecar/admission.go
+++ b/internal/mesh/sidecar/admission.go
@@ -10,57 +10,58 @@
 )
 
 const (
-	spareSlots        = 0     // beyond a host's own, so that none of them waits for the next request
-	defaultSlots      = 4     // of a host that has not said
-	maxJobs           = 4096  // here at once
-	meanRunStep       = 0.05  // weight of one request in the mean time that a host takes
-	initialRunSeconds = 0.03  // seconds, until that is known
-	minWait           = 0.01  // seconds that any request may wait here for the host
-	runTimeFactor     = 1.8   // times the mean that its class takes: what a run is expected to take
-	replyTransit      = 0.015 // seconds: its answer's way
-	minRetryWindow    = 0.25  // seconds: with less left a client hardly comes again
-	lastTryWaitShare  = 0.5   // of the time left that such a request may wait
+	spareSlots        = 0     // beyond the host's own; a spare slot would keep the host busy between two requests
+	defaultSlots      = 4     // for a host that has not reported its own number
+	maxJobs           = 4096  // requests in progress or waiting here
+	meanRunStep       = 0.05  // weight of one run in the mean run time
+	initialRunSeconds = 0.03  // seconds; mean run time before any run was measured
+	minWait           = 0.01  // seconds that any request may wait for a slot
+	runTimeFactor     = 1.8   // multiple of the class's mean run time: the expected length of a run, with a margin
+	replyTransit      = 0.015 // seconds reserved for the way of the response
+	minRetryWindow    = 0.25  // seconds; a client with less time left can hardly retry
+	lastTryWaitShare  = 0.5   // share of its time left that such a request may wait
 	maxClasses        = 256
-	largeBody         = 16 << 10 // bytes: such answers wait for the machine's link
-	lateQueueShare    = 0.5      // of the berths: so many may wait that are late, until it is known how many get their turn
-	lateSlotShare     = 0.5      // of the berths that are in use, beyond which those that are late get none
-	firstAttemptWait  = 0.8      // of a mean run, that a first try may wait
-	hostDeadlineGrace = 0.15     // seconds beyond its deadline in which a host still gives its own answer
-	drainGrace        = 1.0      // seconds after word of a drain in which what waited here may still go to the host
+	largeBody         = 16 << 10 // bytes; larger responses wait for the machine's network link
+	lateQueueShare    = 0.5      // share of the slots; so many late requests may wait while their rate of service is unknown
+	lateSlotShare     = 0.5      // share of the slots; while that many are in use, late requests get none
+	firstAttemptWait  = 0.8      // share of the mean run time that a first attempt may wait
+	hostDeadlineGrace = 0.15     // seconds after the deadline in which the host may still send its own response
+	drainGrace        = 1.0      // seconds after the host began to drain in which requests that waited here may still go to it
 )
 
-// admission is the last before the host: all requests to it pass here, so here it is sure which life of a host has the address,
-// that nothing goes to one that leaves, how many requests it has in hand, and what has been sent at all.
+// admission decides which requests reach the host, and when. All requests to the host pass here. So admission knows for
+// certain which host instance has the address, that nothing goes to a draining host, how many requests the host has in
+// progress, and what has been sent to it.
 type admission struct {
 	sidecar            *Sidecar
 	jobs               map[uint64]*job
 	seen               seenRequests
 	keys               keyRPCs
-	queue              []*job    // waiting for a berth, each still in time for its aim
-	lateQueue          lateQueue // the others: they go when nobody else waits
+	queue              []*job    // waiting for a slot and still in time for the soft deadline
+	lateQueue          lateQueue // past their soft deadline; served when no request in time waits
 	slotsInUse         int
 	fillingSlots       bool
-	meanRunSeconds     float64            // mean seconds that the host takes
-	classRunSeconds    map[uint32]float64 // by class
-	classBodyBytes     map[uint32]float64 // mean of an answer's body, by class
-	linkBacklog        float64            // seconds that a large answer waits for this machine's link
-	linkSecondsPerByte float64            // and that it takes, a byte
+	meanRunSeconds     float64            // of all requests
+	classRunSeconds    map[uint32]float64 // mean run time, by class
+	classBodyBytes     map[uint32]float64 // mean size of the response's body, by class
+	linkBacklog        float64            // seconds that a large response waits for this machine's link
+	linkSecondsPerByte float64            // seconds that the link takes for a byte
 	tickedAt           float64
 }
 
-// job is a request of another proxy's, or of this one's, for the host here.
+// job is a request for the host here, from another sidecar or from this one.
 type job struct {
 	id           uint64
 	from         string
-	message      *meshpb.Message // that brought it
+	message      *meshpb.Message // the message with the request
 	forward      *meshpb.Forward
 	arrivedAt    float64
 	deadline     float64
-	softDeadline float64 // by then its answer is worth most
+	softDeadline float64 // the response loses worth after this time
 	claim        claim
-	hasSlot      bool    // it has a berth
-	late         bool    // it can no longer be answered within its aim
-	startedAt    float64 // when it went to the host, by the seconds for which this process has run
+	hasSlot      bool    // it occupies a slot of the host
+	late         bool    // it cannot be answered by its soft deadline any more
+	startedAt    float64 // when it went to the host, on the clock of the seconds that this process has run
 	finished     bool
 }
 
@@ -79,14 +80,16 @@
 	return defaultSlots + spareSlots
 }
 
-// carry takes a request for the host. What has come before, or may have, is dropped before anything is said of it: its
-// sender would take a word that it was turned away for a promise, while the first one runs.
+// receiveForward takes a request for the host. A request that has arrived before, or may have, is dropped without a
+// response: its sender would take a rejection as the promise that the request does not run, while the first copy may be
+// running.
 func (adm *admission) receiveForward(from string, m *meshpb.Message) {
 	if why := adm.seen.admit(adm.sidecar.now, messageID{senderProcess{from, m.Life}, m.Id}); why != "" {
 		adm.sidecar.drop(from, m, why)
 		return
 	}
-	if incarnation := m.Forward.GateLife; incarnation != 0 && incarnation != adm.sidecar.incarnation { // it may have run there
+	if incarnation := m.Forward.GateLife; incarnation != 0 && incarnation != adm.sidecar.incarnation {
+		// The former process may have run it.
 		adm.sidecar.drop(from, m, dropFormerProcess)
 		broken := &meshpb.Forwarded{Verdict: uint32(outcome.Broken), Why: "it was for the process before this one"}
 		adm.sidecar.respond(from, m, &meshpb.Message{Forwarded: broken})
@@ -95,15 +98,15 @@
 	adm.admit(from, m)
 }
 
-// admit takes a request that comes for the first time.
+// admit takes a request that arrives for the first time.
 func (adm *admission) admit(from string, m *meshpb.Message) {
 	p, forward := adm.sidecar, m.Forward
 	sentAt := p.now
 	if from != p.opts.Self {
 		sentAt -= p.pauses.maxAge(p.now)
 	}
-	j := &job{id: p.nextID(), from: from, message: m, forward: forward, arrivedAt: p.now, deadline: sentAt + float64(forward.LeftUs)/1e6,
-		softDeadline: sentAt + float64(forward.AimUs)/1e6}
+	j := &job{id: p.nextID(), from: from, message: m, forward: forward, arrivedAt: p.now,
+		deadline: sentAt + float64(forward.LeftUs)/1e6, softDeadline: sentAt + float64(forward.AimUs)/1e6}
 	switch own := p.discovery.own; {
 	case own.Station == "" || own.Station != forward.Station:
 		adm.reject(j, "another host is here", 0)
@@ -114,7 +117,7 @@
 	case !adm.holdsKey(forward):
 		adm.reject(j, reasonKeyNotHeld, keyNotHeldRetryAfterMs)
 		return
-	case sentAt < p.now && j.deadline <= p.now: // its sender may have given it up; a fresh one may go elsewhere
+	case sentAt < p.now && j.deadline <= p.now: // the sender may have given it up; a request that is sent anew can go elsewhere
 		adm.reject(j, "this process was stopped for longer than its time", 1)
 		return
 	case len(adm.jobs) >= maxJobs || p.bodyBytes+len(forward.Body) > p.opts.MaxBodyBytes:
@@ -122,12 +125,13 @@
 		return
 	}
 	linkWait, maxWait := adm.linkDelay(forward.Class), adm.maxWait(j)
-	if linkWait > maxWait { // what is late in the link keeps all behind it late: no queue for late ones is kept there
+	if linkWait > maxWait {
+		// A response that is late in the link delays all those behind it, so no late requests are queued for a full link.
 		adm.reject(j, "the link is full", uint32(linkWait*1000)+1)
 		return
 	}
 	if adm.slotsInUse >= adm.slots() {
-		if forward.Attempt == 0 { // there may be room elsewhere: one that was turned away once may wait
+		if forward.Attempt == 0 { // another host may have room; a request that was rejected once may wait longer
 			maxWait = min(maxWait, firstAttemptWait*adm.meanRunSeconds)
 		}
 		if wait := linkWait + adm.slotWait(j); wait > maxWait || adm.pastSoftDeadline(j) {
@@ -140,14 +144,14 @@
 	}
 	p.bodyBytes += len(forward.Body)
 	adm.jobs[j.id] = j
-	if forward.Key != "" { // asked for while it waits: no berth is held for that
+	if forward.Key != "" { // the claim is made while the request waits and occupies no slot
 		adm.beginClaim(j)
 		return
 	}
 	adm.enqueue(j)
 }
 
-// enter queues a request that may go to the host.
+// enqueue queues a request that may go to the host.
 func (adm *admission) enqueue(j *job) {
 	if j.late {
 		adm.lateQueue.add(j)
@@ -159,8 +163,9 @@
 	adm.fillSlots()
 }
 
-// patience is how long a request may wait here: so long that it can still be answered before its answer loses worth. What has
-// little time, as a call that a run elsewhere waits for, cannot come again, and waits longer.
+// maxWait returns how long a request may wait here: until its response could just be in time for the soft deadline. A
+// request with little time left, such as a call made by a run at another host, has no time for a retry and may wait
+// longer.
 func (adm *admission) maxWait(j *job) float64 {
 	left := j.deadline - adm.sidecar.now
 	maxWait := max(minWait, j.softDeadline-adm.sidecar.now-runTimeFactor*adm.classRunSeconds[j.forward.Class]-replyTransit)
@@ -170,21 +175,22 @@
 	return maxWait
 }
 
-// order is that of the queue: by whose answer loses worth first. What a run elsewhere waits for, with its berth there, comes
-// before what only a client waits for, as its aim is short.
+// compareJobs orders the queue by soft deadline. Calls made by a run at another host, which occupies a slot there, have
+// short soft deadlines and so come before requests for which only a client waits.
 func compareJobs(a, b *job) int {
-	return cmp.Or(cmp.Compare(a.softDeadline, b.softDeadline), cmp.Compare(a.forward.Precedence, b.forward.Precedence), cmp.Compare(a.id, b.id))
+	return cmp.Or(cmp.Compare(a.softDeadline, b.softDeadline), cmp.Compare(a.forward.Precedence, b.forward.Precedence),
+		cmp.Compare(a.id, b.id))
 }
 
-// wait is how long a request would wait for a berth, from what is before it.
+// slotWait returns how long a request would wait for a slot behind those ahead of it.
 func (adm *admission) slotWait(j *job) float64 {
 	at, _ := slices.BinarySearchFunc(adm.queue, j, compareJobs)
 	return float64(at+1) * adm.meanRunSeconds / float64(adm.slots())
 }
 
-// serve gives free berths to those that wait.
+// fillSlots gives free slots to waiting requests.
 func (adm *admission) fillSlots() {
-	if adm.fillingSlots { // what is turned away in here leads back here
+	if adm.fillingSlots { // a rejection below calls fillSlots again
 		return
 	}
 	adm.fillingSlots = true
@@ -214,7 +220,7 @@
 	}
 }
 
-// next takes the one out of the queues that is to have the next berth.
+// nextJob takes the request that gets the next slot out of its queue.
 func (adm *admission) nextJob() *job {
 	for len(adm.queue) > 0 {
 		j := adm.queue[0]
@@ -223,7 +229,7 @@
 			return j
 		}
 	}
-	if float64(adm.slotsInUse) >= float64(adm.slots())*lateSlotShare { // what comes next may have hurry
+	if float64(adm.slotsInUse) >= float64(adm.slots())*lateSlotShare { // urgent requests may arrive next
 		return nil
 	}
 	j := adm.lateQueue.take()
@@ -233,10 +239,12 @@
 	return j
 }
 
-// demoted lets one that has waited past its aim go on waiting behind all that are in time, or turns it away. What has little time,
-// as a call that a run elsewhere waits for, keeps its place.
+// demoteIfLate moves a request that has waited past its soft deadline behind all that are in time, or rejects it. It
+// reports whether it did. A request with little time left, such as a call made by a run at another host, keeps its
+// place.
 //
-// Where the host has nothing to do one goes in any case: if it was slow, nothing else shows that it no longer is.
+// If the host is idle the request runs in any case: if the host was slow, nothing else would show that it has
+// recovered.
 func (adm *admission) demoteIfLate(j *job) bool {
 	if !adm.pastSoftDeadline(j) || adm.slotsInUse == 0 {
 		return false
@@ -250,23 +258,24 @@
 	return true
 }
 
-// pastAim says that a run which begins now would not end within its aim, and that there is time beyond that.
+// pastSoftDeadline reports whether a run that begins now would end after the soft deadline, and the client has enough
+// time left to retry.
 func (adm *admission) pastSoftDeadline(j *job) bool {
 	return adm.sidecar.now+adm.classRunSeconds[j.forward.Class] >= j.softDeadline && j.deadline-adm.sidecar.now >= minRetryWindow
 }
 
-// canFinish says whether a run that begins now is expected to end before its client's time does.
+// canFinish reports whether a run that begins now is expected to end before the deadline.
 func (adm *admission) canFinish(j *job) bool {
 	return adm.sidecar.now+runTimeFactor*adm.classRunSeconds[j.forward.Class]+replyTransit < j.deadline
 }
 
-// linkWait is how long an answer of a class is expected to wait until this machine's link has carried what was there before.
+// linkDelay returns how long a response of a class is expected to wait for this machine's link.
 func (adm *admission) linkDelay(class uint32) float64 {
 	if adm.classBodyBytes[class] < largeBody {
 		return 0
 	}
 	wait := adm.linkBacklog
-	for _, j := range adm.jobs { // their answers come before it
+	for _, j := range adm.jobs { // their responses go before this one
 		if bytes := adm.classBodyBytes[j.forward.Class]; bytes >= largeBody {
 			wait += bytes * adm.linkSecondsPerByte
 		}
@@ -274,11 +283,14 @@
 	return wait
 }
 
-// admitLate says whether one that is too late for its aim may wait on here: as many may as have lately been served so in the time
-// that this one has, and a few where that is not known.
+// lateQueueHasRoom reports whether a request that is too late for its soft deadline may wait here. As many may wait as
+// would be served, at the recent rate for late requests, in the time that this one has left. While that rate is not
+// known a few may wait.
 func (adm *admission) lateQueueHasRoom(j *job) bool {
-	room := j.deadline - adm.sidecar.now - runTimeFactor*adm.classRunSeconds[j.forward.Class] - replyTransit - adm.linkDelay(j.forward.Class)
-	return room > 0 && float64(len(adm.lateQueue.jobs)) < max(float64(adm.slots())*lateQueueShare, adm.lateQueue.rate(adm.sidecar.now)*room)
+	room := j.deadline - adm.sidecar.now - runTimeFactor*adm.classRunSeconds[j.forward.Class] - replyTransit -
+		adm.linkDelay(j.forward.Class)
+	return room > 0 &&
+		float64(len(adm.lateQueue.jobs)) < max(float64(adm.slots())*lateQueueShare, adm.lateQueue.rate(adm.sidecar.now)*room)
 }
 
 func (adm *admission) start(j *job) {
@@ -289,16 +301,17 @@
 	}
 	forward := j.forward
 	forward.LeftUs = uint32(max(0, j.deadline-adm.sidecar.now) * 1e6)
-	adm.sidecar.output.Commands = append(adm.sidecar.output.Commands, Exchange{Job: j.id, Forward: forward, Deadline: j.deadline + hostDeadlineGrace})
+	adm.sidecar.output.Commands = append(adm.sidecar.output.Commands,
+		Exchange{Job: j.id, Forward: forward, Deadline: j.deadline + hostDeadlineGrace})
 }
 
-// turn gives a request back before a byte of it went to the host. backMs is set where the host is full, and not gone.
+// reject ends a request of which no byte went to the host. backMs is not 0 if the host is full, and 0 if it is gone.
 func (adm *admission) reject(j *job, why string, backMs uint32) {
 	adm.sidecar.counts.Rejected[why]++
 	adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Turned), Why: why, BackMs: backMs})
 }
 
-// end gives the word on a request to the proxy that it came from.
+// finish ends a job and sends its outcome to the sidecar that sent the request.
 func (adm *admission) finish(j *job, forwarded *meshpb.Forwarded) {
 	if j.finished {
 		return
@@ -318,7 +331,7 @@
 	adm.fillSlots()
 }
 
-// Exchanged takes the end of an Exchange.
+// ExchangeDone handles the end of an Exchange.
 func (p *Sidecar) ExchangeDone(now float64, id uint64, forwarded *meshpb.Forwarded) {
 	p.beginInput(now)
 	p.admission.exchangeDone(id, forwarded)
@@ -331,7 +344,7 @@
 		return
 	}
 	verdict := outcome.Outcome(forwarded.Verdict)
-	took := adm.sidecar.pauses.runSeconds - j.startedAt // a stop of this process says nothing of the host
+	took := adm.sidecar.pauses.runSeconds - j.startedAt // a pause of this process must not make the host look slow
 	adm.sidecar.recordOutcome(j.forward.Station, forwarded)
 	if forwarded.Refused {
 		adm.sidecar.lease.recheckHost()
@@ -362,7 +375,7 @@
 	adm.finish(j, forwarded)
 }
 
-// mostKept bounds the body of an answer that a register keeps.
+// maxRecordedBody bounds the body, in bytes, of a response that is recorded with its idempotency key.
 const maxRecordedBody = 128 << 10
 
 func (adm *admission) tick() {
@@ -380,7 +393,8 @@
 		adm.queue = slices.Delete(adm.queue, late, late+1)
 		adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Expired)})
 	}
-	for _, j := range adm.lateQueue.removeIf(func(j *job) bool { return !adm.canFinish(j) }) { // nothing is held for what cannot come
+	// Requests do not wait for a slot that would come too late.
+	for _, j := range adm.lateQueue.removeIf(func(j *job) bool { return !adm.canFinish(j) }) {
 		adm.reject(j, "no berth before its deadline", 1)
 	}
 	adm.fillSlots()
--- a/internal/mesh/sidecar/admission_test.go
+++ b/internal/mesh/sidecar/admission_test.go
@@ -52,7 +52,8 @@
 // carry brings a request that has been turned away elsewhere, with so many seconds to its aim and its end.
 func (d *hostFixture) forward(target, left float64) uint64 {
 	d.lastID++
-	d.sidecar.Receive(d.now, "there", &meshpb.Message{Id: d.lastID, Forward: &meshpb.Forward{Station: "i-1", Token: d.lastID, Attempt: 1,
+	d.sidecar.Receive(d.now, "there", &meshpb.Message{Id: d.lastID, Forward: &meshpb.Forward{Station: "i-1",
+		Token: d.lastID, Attempt: 1,
 		AimUs: uint32(target * 1e6), LeftUs: uint32(left * 1e6), Repeatable: true}})
 	d.collect()
 	return d.lastID
@@ -165,7 +166,8 @@
 	const perByte = 1.0 / (2 << 20) // 100 KB take 49 ms
 	large := func(target float64) uint64 {
 		d.lastID++
-		d.sidecar.Receive(d.now, "there", &meshpb.Message{Id: d.lastID, Forward: &meshpb.Forward{Station: "i-1", Token: d.lastID, Attempt: 1, Class: 9,
+		d.sidecar.Receive(d.now, "there", &meshpb.Message{Id: d.lastID, Forward: &meshpb.Forward{Station: "i-1",
+			Token: d.lastID, Attempt: 1, Class: 9,
 			AimUs: uint32(target * 1e6), LeftUs: 3e6, Repeatable: true}})
 		d.collect()
 		return d.lastID
--- a/internal/mesh/sidecar/attempts.go
+++ b/internal/mesh/sidecar/attempts.go
@@ -13,9 +13,10 @@
 	"beechwing/internal/mesh/register"
 )
 
-// A try ends by the word of the proxy that it went to, by a connection that breaks, or by silence.
+// An attempt ends by the response of the sidecar to which it went, by the loss of the connection, or because that
+// sidecar is silent.
 
-// forwarded takes the end of a try from the proxy that had it.
+// receiveForwarded handles the response to an attempt.
 func (p *Sidecar) receiveForwarded(from string, m *meshpb.Message) {
 	a, asked := p.attempts[m.Id], ""
 	if a != nil {
@@ -26,13 +27,13 @@
 	}
 	if a.peerIncarnation != 0 && m.Responder != a.peerIncarnation {
 		p.drop(from, m, dropOtherResponder)
-		p.peerFailed(a, "another process is at its proxy's address")
+		p.peerFailed(a, "another process has the address of the proxy beside the host")
 		return
 	}
 	p.handleOutcome(a, m.Forwarded)
 }
 
-// carried takes the end of a try.
+// handleOutcome ends an attempt by its outcome.
 func (p *Sidecar) handleOutcome(a *attempt, forwarded *meshpb.Forwarded) {
 	req := a.request
 	verdict := outcome.Outcome(forwarded.Verdict)
@@ -40,7 +41,8 @@
 	if verdict == outcome.Answered && forwarded.Status < 500 {
 		p.services[req.service].recordLatency(a.host, req.class, float64(forwarded.TookUs)/1e6)
 	}
-	if ep := p.services[req.service].hosts[a.host]; ep != nil && a.peer != p.opts.Self { // of the host here its admission speaks
+	// Admission records the outcomes of the host here.
+	if ep := p.services[req.service].hosts[a.host]; ep != nil && a.peer != p.opts.Self {
 		p.recordOutcome(ep.instance, forwarded)
 	}
 	if verdict.Arrived() {
@@ -65,7 +67,7 @@
 			p.endAttempt(a, balancer.OK, forwarded, why)
 		}
 	case outcome.Turned:
-		if forwarded.BackMs > 0 { // it is full
+		if forwarded.BackMs > 0 { // the host is full
 			p.endAttempt(a, balancer.TurnedAway, nil, why)
 		} else {
 			p.endAttempt(a, balancer.ConnectFailed, nil, why)
@@ -73,7 +75,8 @@
 	case outcome.HostTurned:
 		p.endAttempt(a, balancer.TurnedAway, nil, why)
 	case outcome.Unclaimed:
-		if p.now > p.discovery.serverHeardAt+controlSilentAfter || a.number > 0 || forwarded.BackMs > 0 { // another proxy reaches no more of the control plane
+		if p.now > p.discovery.serverHeardAt+controlSilentAfter || a.number > 0 || forwarded.BackMs > 0 {
+			// Another sidecar would reach no more of the control plane than the first one did.
 			p.endAttempt(a, balancer.Moot, nil, why)
 		} else {
 			p.endAttempt(a, balancer.TurnedAway, nil, why)
@@ -85,7 +88,8 @@
 	case outcome.Busy:
 		p.endWithReply(a, Reply{Status: 409, FromProxy: true, RetryAfter: minRetryAfter, Reason: "its key is at work"})
 	case outcome.Kept:
-		p.endWithReply(a, Reply{Status: int(forwarded.Status), Fields: forwarded.Fields, Body: forwarded.Body, Reason: "its key's answer"})
+		p.endWithReply(a, Reply{Status: int(forwarded.Status), Fields: forwarded.Fields, Body: forwarded.Body,
+			Reason: "its key's answer"})
 	case outcome.Lost:
 		p.endWithReply(a, Reply{Status: 502, FromProxy: true, Reason: "its key's run has no known end"})
 	default:
@@ -93,7 +97,7 @@
 	}
 }
 
-// leave takes a try off the books.
+// removeAttempt removes an attempt from those in flight, and reports whether it was one of them.
 func (p *Sidecar) removeAttempt(a *attempt) bool {
 	if !a.inFlight {
 		return false
@@ -113,7 +117,7 @@
 	return true
 }
 
-// final ends a try, and with it the order, by something that says nothing of the host.
+// endWithReply ends an attempt, and the request with it, by a reply that is no evidence about the host.
 func (p *Sidecar) endWithReply(a *attempt, reply Reply) {
 	if !p.removeAttempt(a) {
 		return
@@ -124,7 +128,7 @@
 	p.forget(req)
 }
 
-// ended takes the result of a try to the module, which says what follows.
+// endAttempt reports the result of an attempt to the balancer, which decides what follows.
 func (p *Sidecar) endAttempt(a *attempt, result balancer.Result, forwarded *meshpb.Forwarded, why string) {
 	if !p.removeAttempt(a) {
 		return
@@ -148,34 +152,35 @@
 
 func (p *Sidecar) reportOutcome(a *attempt, result balancer.Result, final bool) {
 	if s := p.services[a.request.service]; s != nil {
-		s.balancer.Outcome(p.now, balancer.Outcome{ID: balancer.RequestID(a.request.id), Attempt: a.number, Host: a.host, Result: result,
-			Took: p.now - a.sentAt, Final: final})
+		s.balancer.Outcome(p.now, balancer.Outcome{ID: balancer.RequestID(a.request.id), Attempt: a.number, Host: a.host,
+			Result: result, Took: p.now - a.sentAt, Final: final})
 	}
 }
 
-// brokeTries ends the tries that went by a connection that is no more. What had not gone out has not run.
-func (p *Sidecar) failAttempts(b transport.Broke) {
-	for _, id := range b.Unsent {
-		if a := p.attempts[id]; a != nil && a.peer == b.Peer {
+// failAttempts ends the attempts that were sent over a lost connection. An attempt of which nothing was sent has not
+// run.
+func (p *Sidecar) failAttempts(lost transport.Broke) {
+	for _, id := range lost.Unsent {
+		if a := p.attempts[id]; a != nil && a.peer == lost.Peer {
 			p.endUnsent(a, "no connection to the proxy beside the host")
 		}
 	}
-	p.failHeld(b.Peer, "no connection to the proxy beside the host")
-	if b.Link == 0 {
+	p.failHeld(lost.Peer, "no connection to the proxy beside the host")
+	if lost.Link == 0 {
 		return
 	}
-	if peer := p.peers[b.Peer]; peer != nil {
-		peer.incarnation = 0 // another process may have the address
+	if peer := p.peers[lost.Peer]; peer != nil {
+		peer.incarnation = 0 // another process may now have the address
 	}
-	for _, a := range p.attemptsAt(b.Peer) {
-		if a.link != b.Link {
+	for _, a := range p.attemptsAt(lost.Peer) {
+		if a.link != lost.Link {
 			continue
 		}
 		p.peerFailed(a, "the connection to the proxy beside the host broke")
 	}
 }
 
-// endUnsent ends a try of which nothing has gone.
+// endUnsent ends an attempt of which nothing was sent.
 func (p *Sidecar) endUnsent(a *attempt, why string) {
 	if a.budgetSpent {
 		p.retryBudget.Back(a.request.service)
@@ -183,8 +188,9 @@
 	p.endAttempt(a, balancer.ConnectFailed, nil, why)
 }
 
-// doubt ends a try of which nothing will be heard. What may be sent again is. What has a key has not run, and never will, if no
-// claim of its token was granted and none will be: the register says so. Of the rest it is not known.
+// peerFailed ends an attempt to which no response is expected any more. A repeatable request is retried. For a request
+// with an idempotency key, the register is asked to void the token. If no claim of the token was granted, the request
+// has not run and never will, and is retried with a new token. Otherwise it is unknown whether the request ran.
 func (p *Sidecar) peerFailed(a *attempt, why string) {
 	req := a.request
 	if !a.voidRequested {
@@ -216,7 +222,7 @@
 	}
 }
 
-// triesAt are the tries that another proxy has in hand, the oldest first.
+// attemptsAt returns the attempts in flight at a peer, the oldest first.
 func (p *Sidecar) attemptsAt(proxy string) (all []*attempt) {
 	for _, a := range p.attempts {
 		if a.peer == proxy {
@@ -227,17 +233,17 @@
 	return all
 }
 
-// watchPeers finds proxies that have gone silent with something of ours in hand: a machine behind a cut says nothing. What may
-// be sent again is; what may not waits for its end.
+// watchPeers detects peers that are silent while they have attempts of this sidecar: a machine that is cut off does not
+// close its connections. A repeatable request is retried; one that is not waits for its end.
 func (p *Sidecar) watchPeers() {
-	for _, proxy := range slices.Sorted(maps.Keys(p.peers)) { // in order: a seed replays
+	for _, proxy := range slices.Sorted(maps.Keys(p.peers)) { // in a fixed order, so that a run can be replayed from its seed
 		peer := p.peers[proxy]
 		if peer.inFlight == 0 || proxy == p.opts.Self {
 			continue
 		}
-		quiet := p.now - max(peer.heardAt, peer.progressAt)
+		silentFor := p.now - max(peer.heardAt, peer.progressAt)
 		switch {
-		case quiet < pingAfter:
+		case silentFor < pingAfter:
 		case peer.pingedAt < peer.heardAt || peer.pingedAt < peer.progressAt:
 			p.ping(proxy)
 		case p.now-peer.pingedAt > min(maxPongTimeout, minPongTimeout+pongTimeoutFactor*p.meanPongSeconds):
--- a/internal/mesh/sidecar/cancellation.go
+++ b/internal/mesh/sidecar/cancellation.go
@@ -9,27 +9,27 @@
 	"beechwing/internal/mesh/register"
 )
 
-// A client that closes its connection waits for no answer any more. Its request is sent nowhere from then on, and taken back from
-// the proxy that has it: what waits there is not begun, and a run that may be repeated is broken off. An operation that a host has
-// begun goes on, as its end has to be recorded.
+// This file cancels the requests of clients that closed their connections. Such a request is not sent anywhere any
+// more, and is cancelled at the sidecar that has it: a waiting request is not begun, and the run of a repeatable one is
+// aborted. An operation that may not be repeated goes on once the host has begun it, as its outcome has to be recorded.
 
-// Where a request was when its client left. They are the labels of a metric.
+// Where a request was when its client left. They are the values of a metric label.
 const (
-	leftWaiting = "waiting" // it was sent nowhere: it waits for a host, or between two tries
-	leftSent    = "sent"    // a proxy beside a host has it
+	leftWaiting = "waiting" // not in flight: waits for a host, or is between two attempts
+	leftSent    = "sent"    // at the sidecar of a host
 )
 
-// What became of a request that was taken back, at the proxy beside the host. They are the labels of a metric.
+// The state of a cancelled request at the sidecar of its host. They are the values of a metric label.
 const (
-	cancelUnknown  = "unknown"  // it has ended, or is still on its way
-	cancelWaiting  = "waiting"  // it waited for its claim or for a slot, and was not begun
-	cancelRunning  = "running"  // the host ran it: broken off
-	cancelFinishes = "finishes" // the host runs it, and it may not be repeated: it goes on
+	cancelUnknown  = "unknown"  // already ended, or not arrived yet
+	cancelWaiting  = "waiting"  // waited for its claim or for a slot, and was not begun
+	cancelRunning  = "running"  // its run at the host was aborted
+	cancelFinishes = "finishes" // its run goes on, as it may not be repeated
 )
 
 const reasonClientLeft = "its client has left"
 
-// ClientLeft takes word that the client of a request closed its connection before the answer.
+// ClientLeft handles a client that closed its connection before the reply.
 func (p *Sidecar) ClientLeft(now float64, req *Request) {
 	p.beginInput(now)
 	if req.answered || p.requests[req.id] != req {
@@ -42,18 +42,19 @@
 	req.clientLeft = true
 	p.counts.ClientsLeft[place]++
 	if p.opts.Debug != nil {
-		p.opts.Debug("client left", "id", req.ID, "place", place, "tries", len(req.attempts), "service", req.service, "after", now-req.receivedAt)
+		p.opts.Debug("client left", "id", req.ID, "place", place, "tries", len(req.attempts), "service", req.service,
+			"after", now-req.receivedAt)
 	}
 	p.reply(req, Reply{FromProxy: true, Reason: reasonClientLeft})
 	if s := p.services[req.service]; s != nil {
-		s.balancer.Gone(now, balancer.RequestID(req.id)) // it has the tries that are out cancelled
+		s.balancer.Gone(now, balancer.RequestID(req.id)) // cancels the attempts in flight
 	}
 	p.forget(req)
 	p.runPending()
 }
 
-// Cancel has an attempt taken back, where its client has left. What else the module calls off is left to its end: a host is at work
-// on it, and its answer is worth recording.
+// Cancel cancels an attempt at its sidecar if the client has left. Other attempts that the balancer cancels run to
+// their end: a host is at work on them, and their responses are worth recording.
 func (s *service) Cancel(id balancer.RequestID, attempt int) {
 	p := s.sidecar
 	req := p.requests[uint64(id)]
@@ -74,8 +75,8 @@
 	}
 }
 
-// endLeft takes the end of a try whose client has left: it says nothing of its host. A key that was claimed for it in vain is given
-// back.
+// endAfterClientLeft ends an attempt of a request whose client has left. The end is no evidence about the host. If the
+// request has run nowhere, a claim of its key is released.
 func (p *Sidecar) endAfterClientLeft(a *attempt, verdict outcome.Outcome) {
 	req := a.request
 	if req.mayHoldClaim && req.arrivals == 0 && verdict.NeverRan() {
@@ -84,12 +85,12 @@
 	p.endAttempt(a, balancer.Cancelled, nil, reasonClientLeft)
 }
 
-// cancel takes a request back whose client has left.
+// cancel handles the cancellation of a request by its sender.
 func (adm *admission) cancel(from string, m *meshpb.Message) {
 	j := adm.findJob(from, m)
 	place := cancelUnknown
 	switch {
-	case j == nil: // a large request may come after its cancellation: it is known then
+	case j == nil: // a large request may arrive after its cancellation; this marks it as a duplicate in advance
 		adm.seen.admit(adm.sidecar.now, messageID{senderProcess{from, m.Life}, m.Cancel.Forward})
 	case !j.hasSlot:
 		place = cancelWaiting
@@ -107,7 +108,7 @@
 	adm.sidecar.counts.Cancelled[place]++
 }
 
-// find is the job of a request that its sender names.
+// findJob returns the job of the request that a cancellation names, nil if there is none.
 func (adm *admission) findJob(from string, m *meshpb.Message) *job {
 	for _, j := range adm.jobs {
 		if j.from == from && j.message.Life == m.Life && j.message.Id == m.Cancel.Forward {
--- a/internal/mesh/sidecar/cancellation_test.go
+++ b/internal/mesh/sidecar/cancellation_test.go
@@ -67,7 +67,8 @@
 	d := newHostFixture(t)
 	d.lastID++
 	n := d.lastID
-	d.sidecar.Receive(d.now, "there", &meshpb.Message{Id: n, Forward: &meshpb.Forward{Station: "i-1", Token: n, AimUs: 1e6, LeftUs: 1e6}})
+	d.sidecar.Receive(d.now, "there", &meshpb.Message{Id: n, Forward: &meshpb.Forward{Station: "i-1", Token: n,
+		AimUs: 1e6, LeftUs: 1e6}})
 	d.collect()
 	d.cancel(n)
 	if d.results[n] != nil || len(d.aborted) > 0 {
@@ -82,7 +83,8 @@
 	d := newHostFixture(t)
 	const life, id = 9, 77
 	d.sidecar.Receive(d.now, "there", &meshpb.Message{Life: life, Cancel: &meshpb.Cancel{Forward: id}})
-	d.sidecar.Receive(d.now, "there", &meshpb.Message{Id: id, Life: life, Forward: &meshpb.Forward{Station: "i-1", Token: id, AimUs: 1e6, LeftUs: 1e6}})
+	d.sidecar.Receive(d.now, "there", &meshpb.Message{Id: id, Life: life, Forward: &meshpb.Forward{Station: "i-1",
+		Token: id, AimUs: 1e6, LeftUs: 1e6}})
 	d.collect()
 	if len(d.runs) > 0 {
 		t.Error("it runs")
--- a/internal/mesh/sidecar/claims.go
+++ b/internal/mesh/sidecar/claims.go
@@ -12,34 +12,35 @@
 	"beechwing/internal/mesh/transport"
 )
 
-// An operation's key is bound to its run here before anything goes to the host, and the end of the run is told. Both go to control
-// processes, which may be slow, cut off or overloaded. What this proxy sends them stays in proportion to what they answer: claims are
-// throttled by the answers of late, a slow answer is waited for while another process is asked only within a budget, and the end
-// of a run is told again after pauses that grow.
+// This file binds idempotency keys to runs. Before a request with a key goes to the host, a claim binds the key to its
+// run here. When the run has ended, a settle message records the outcome. Both go to control servers, which may be
+// slow, unreachable or overloaded. What this sidecar sends them stays in proportion to what they answer: claims are
+// throttled by the recent answers, a slow claim is hedged at another server only within a budget, and a settle message
+// is retried with exponential backoff.
 
 const (
-	deprioritizedFor     = 1.5  // seconds for which a control process that did not answer is asked last
-	minHedgeDelay        = 0.12 // seconds at least until the next control process is asked for a claim beside the first,
-	hedgeDelayFactor     = 2.0  // or so many times what answers of the first usually take,
-	maxHedgeDelay        = 0.24 // and at most
-	meanAnswerStep       = 0.1  // weight of one answer in that
-	claimTimeout         = 0.36 // and until it is given up: nothing has been sent to the host then
-	hedgeBudgetEarn      = 0.1  // further questions for each claim that is answered
-	maxHedgeBudget       = 5.0  // that are saved up
-	overloadRetryAfterMs = 300  // milliseconds until a client is to come back whose claim the control plane has no room for
-	settleRetryDelay     = 0.25 // seconds until the end of a run is told again; twice as long after each time
+	deprioritizedFor     = 1.5  // seconds for which a control server that did not answer is asked last
+	minHedgeDelay        = 0.12 // seconds; lower bound of the delay until a claim is hedged at the next control server
+	hedgeDelayFactor     = 2.0  // that delay, as a multiple of the server's mean answer time
+	maxHedgeDelay        = 0.24 // seconds; upper bound of that delay
+	meanAnswerStep       = 0.1  // weight of one answer in the mean answer time
+	claimTimeout         = 0.36 // seconds until a claim is given up; nothing has been sent to the host then
+	hedgeBudgetEarn      = 0.1  // hedges earned by each answered claim
+	maxHedgeBudget       = 5.0  // hedges that can be saved up
+	overloadRetryAfterMs = 300  // for a client whose claim the control plane has no capacity for
+	settleRetryDelay     = 0.25 // seconds until a settle message is sent again; doubles with each attempt
 	maxSettleAttempts    = 6
 	maxSettles           = 4096
 )
 
-// keys is what this proxy has asked control processes about operations' keys.
+// keyRPCs holds the outstanding RPCs to control servers about idempotency keys.
 type keyRPCs struct {
 	claims             map[uint64]*claimRPC
 	settles            map[uint64]*settleRPC
-	deprioritizedUntil map[string]float64 // control processes that did not answer, until when they are asked last
+	deprioritizedUntil map[string]float64 // by control server that did not answer: the time until which it is asked last
 	throttle           throttle.Throttle  // of claims
-	meanAnswerSeconds  map[string]float64 // mean seconds until a control process answers a claim
-	hedgeBudget        float64            // questions that may go out beside one that is not answered yet
+	meanAnswerSeconds  map[string]float64 // until a control server answers a claim, by server
+	hedgeBudget        float64            // hedges that may be sent now
 }
 
 func (k *keyRPCs) init() {
@@ -47,12 +48,13 @@
 	k.deprioritizedUntil, k.meanAnswerSeconds = map[string]float64{}, map[string]float64{}
 }
 
-// lateAt is when the answer to a question is late: a control process in another region takes longer, and is no worse for that.
+// hedgeAt returns when an unanswered claim is hedged. The delay follows the server's usual answer time, since a control
+// server in another region takes longer without being at fault.
 func (k *keyRPCs) hedgeAt(rpc *claimRPC) float64 {
 	return rpc.sentAt + min(maxHedgeDelay, max(minHedgeDelay, hedgeDelayFactor*k.meanAnswerSeconds[rpc.server]))
 }
 
-// sawAnswer notes how long a control process took to answer a claim.
+// recordAnswerTime records how long a control server took to answer a claim.
 func (k *keyRPCs) recordAnswerTime(now float64, rpc *claimRPC) {
 	seconds := now - rpc.sentAt
 	if was, known := k.meanAnswerSeconds[rpc.server]; known {
@@ -61,45 +63,45 @@
 	k.meanAnswerSeconds[rpc.server] = seconds
 }
 
-// claim is a job's part of that.
+// claim is the state of a job's claim.
 type claim struct {
 	servers     []string // not asked yet
-	outstanding []uint64 // questions that are not answered
-	startedAt   float64  // when the first went out; 0: none has
-	mayBeHeld   bool     // a control process may have bound the key to this job
+	outstanding []uint64 // IDs of the unanswered RPCs
+	startedAt   float64  // when the claim began; 0: not yet
+	mayBeHeld   bool     // a control server may have bound the key to this job
 }
 
-// claimQuestion is a claim on its way.
+// claimRPC is a claim that was sent to one control server.
 type claimRPC struct {
 	job     *job
-	server  string // whom
+	server  string
 	sentAt  float64
-	overdue bool // the next one has been asked, or may not be
+	overdue bool // its hedge was sent, or the budget did not allow one
 }
 
-// settling is word on the end of a run, until a control process has taken it.
+// settleRPC records the outcome of a run, and is retried until a control server acknowledges it.
 type settleRPC struct {
 	key      string
 	receipt  *meshpb.Receipt
 	ifFree   bool
-	done     func(state uint32) // nil: nobody waits for it
+	done     func(state uint32) // called with the answer; may be nil
 	servers  []string
-	server   string // whom
+	server   string // empty: the throttle held this attempt back
 	sentAt   float64
 	attempts int
 }
 
-// urgent says that it is the first word on a run's answer, which repeats of the request wait for.
+// urgent reports whether this is the first message with a run's response, for which repeats of the request wait.
 func (settling *settleRPC) urgent() bool {
 	return settling.attempts == 1 && settling.receipt.State != register.Void
 }
 
-// againAt is when it is to be told again.
+// retryAt returns when the message is sent again.
 func (settling *settleRPC) retryAt() float64 {
 	return settling.sentAt + settleRetryDelay*float64(uint(1)<<(settling.attempts-1))
 }
 
-// close forgets the questions of a job.
+// closeClaim drops the outstanding claims of a job.
 func (k *keyRPCs) closeClaim(j *job) {
 	for _, id := range j.claim.outstanding {
 		delete(k.claims, id)
@@ -107,24 +109,26 @@
 	j.claim.outstanding = nil
 }
 
-// answered takes a question off the books.
+// removeClaim removes one outstanding claim.
 func (k *keyRPCs) removeClaim(id uint64, j *job) {
 	delete(k.claims, id)
 	j.claim.outstanding = slices.DeleteFunc(j.claim.outstanding, func(open uint64) bool { return open == id })
 }
 
-// beginClaim asks that a request's key be bound to its run here. Until that is granted nothing goes to the host.
+// beginClaim claims the key of a request for its run here. Nothing goes to the host until the claim is granted.
 func (adm *admission) beginClaim(j *job) {
 	j.claim.startedAt, j.claim.servers = adm.sidecar.now, adm.serversFor(j.forward.Key)
 	adm.claimAtNextServer(j)
 }
 
-// askNext puts the claim to the next control process. Without one, or where they have no room, the job ends once no answer can come.
+// claimAtNextServer sends the claim to the next control server. If there is none, or the throttle allows no claim, the
+// job ends as soon as no outstanding claim can be granted any more.
 func (adm *admission) claimAtNextServer(j *job) {
 	c := &j.claim
-	allMute := len(c.outstanding) == 0 && c.mayBeHeld && !slices.ContainsFunc(c.servers, func(h string) bool { return adm.sidecar.now >= adm.keys.deprioritizedUntil[h] })
+	allDeprioritized := len(c.outstanding) == 0 && c.mayBeHeld && !slices.ContainsFunc(c.servers,
+		func(server string) bool { return adm.sidecar.now >= adm.keys.deprioritizedUntil[server] })
 	switch {
-	case len(c.servers) == 0 || allMute:
+	case len(c.servers) == 0 || allDeprioritized:
 		if len(c.outstanding) == 0 {
 			adm.failClaim(j, 0)
 		}
@@ -141,26 +145,29 @@
 	id := adm.sidecar.nextID()
 	rpc := &claimRPC{job: j, server: c.servers[0], sentAt: adm.sidecar.now}
 	adm.keys.claims[id], c.outstanding, c.servers = rpc, append(c.outstanding, id), c.servers[1:]
-	m := &meshpb.Claim{Key: j.forward.Key, Token: j.forward.Token, Attempt: j.forward.Attempt, Gate: adm.sidecar.opts.Self, GateLife: adm.sidecar.incarnation}
+	m := &meshpb.Claim{Key: j.forward.Key, Token: j.forward.Token, Attempt: j.forward.Attempt,
+		Gate: adm.sidecar.opts.Self, GateLife: adm.sidecar.incarnation}
 	adm.sidecar.send(rpc.server, adm.sidecar.newRPC(id, &meshpb.Message{Claim: m}))
 }
 
-// claimOver says that a claim has taken so long that nothing may go to the host any more.
+// claimTimedOut reports whether a claim has taken so long that the request may not go to the host any more.
 func (adm *admission) claimTimedOut(j *job) bool {
 	return adm.sidecar.now > j.claim.startedAt+claimTimeout || adm.sidecar.now >= j.deadline
 }
 
-// unclaimed ends a job whose key was not bound. backMs is set where the control plane has no room for it.
+// failClaim ends a job whose key could not be claimed. backMs is not 0 if the control plane has no capacity.
 func (adm *admission) failClaim(j *job, backMs uint32) {
 	j.claim.mayBeHeld = j.claim.mayBeHeld || len(j.claim.outstanding) > 0
 	adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Unclaimed), BackMs: backMs})
 }
 
-// homes are the control processes in the order in which one asks them for a key. Those that did not answer lately come last.
+// serversFor returns the control servers in the order in which they are asked about a key. Servers that did not answer
+// lately come last.
 func (adm *admission) serversFor(key string) []string {
 	all := register.Home(key, adm.sidecar.discovery.servers)
 	slices.SortStableFunc(all, func(a, b string) int {
-		return cmp.Compare(btoi(adm.sidecar.now < adm.keys.deprioritizedUntil[a]), btoi(adm.sidecar.now < adm.keys.deprioritizedUntil[b]))
+		return cmp.Compare(btoi(adm.sidecar.now < adm.keys.deprioritizedUntil[a]),
+			btoi(adm.sidecar.now < adm.keys.deprioritizedUntil[b]))
 	})
 	return all
 }
@@ -172,14 +179,14 @@
 	return 0
 }
 
-// muted notes that a control process did not answer, or could do nothing.
+// deprioritize records that a control server did not answer, or could not decide.
 func (adm *admission) deprioritize(server string) {
 	if slices.Contains(adm.sidecar.discovery.servers, server) {
 		adm.keys.deprioritizedUntil[server] = adm.sidecar.now + deprioritizedFor
 	}
 }
 
-// claimed takes a control process's answer to a claim or to word on the end of a run.
+// receiveClaimed handles a control server's answer to a claim or to a settle message.
 func (adm *admission) receiveClaimed(from string, m *meshpb.Message) {
 	settling, rpc := adm.keys.settles[m.Id], adm.keys.claims[m.Id]
 	asked, token := "", m.Claimed.Token
@@ -201,7 +208,7 @@
 	}
 }
 
-// granted takes what became of a claim.
+// handleClaimed continues a job by the answer to its claim.
 func (adm *admission) handleClaimed(rpc *claimRPC, claimed *meshpb.Claimed) {
 	j := rpc.job
 	if claimed.State == register.Unsure {
@@ -212,14 +219,15 @@
 	adm.keys.recordAnswerTime(adm.sidecar.now, rpc)
 	adm.keys.throttle.Accepted(adm.sidecar.now)
 	adm.keys.hedgeBudget = min(maxHedgeBudget, adm.keys.hedgeBudget+hedgeBudgetEarn)
-	adm.keys.closeClaim(j) // what else was asked asks for the same
+	adm.keys.closeClaim(j) // the other outstanding claims ask for the same
 	switch claimed.State {
 	case register.Claimed:
 		if adm.sidecar.now >= j.deadline {
 			adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Expired)})
 			return
 		}
-		if own := adm.sidecar.discovery.own; own.Station != j.forward.Station || own.Condition == Gone { // meanwhile
+		// The host may have changed during the claim.
+		if own := adm.sidecar.discovery.own; own.Station != j.forward.Station || own.Condition == Gone {
 			adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Unclaimed), Why: "the host has gone"})
 			return
 		}
@@ -227,8 +235,8 @@
 	case register.Busy:
 		adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Busy)})
 	case register.Done:
-		adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Kept), Status: claimed.Receipt.GetStatus(), Fields: claimed.Receipt.GetFields(),
-			Body: claimed.Receipt.GetBody()})
+		adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Kept), Status: claimed.Receipt.GetStatus(),
+			Fields: claimed.Receipt.GetFields(), Body: claimed.Receipt.GetBody()})
 	case register.Lost:
 		adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Lost)})
 	default:
@@ -236,11 +244,11 @@
 	}
 }
 
-// notGranted goes on after a control process that could not say.
+// claimUndecided handles the answer of a control server that could not decide a claim.
 func (adm *admission) claimUndecided(rpc *claimRPC, claimed *meshpb.Claimed) {
 	j := rpc.job
 	j.claim.mayBeHeld = j.claim.mayBeHeld || !claimed.Untouched
-	if !rpc.overdue { // it has been counted else
+	if !rpc.overdue { // an overdue claim was counted before
 		adm.keys.throttle.Failed(adm.sidecar.now)
 	}
 	if claimed.Overloaded {
@@ -256,7 +264,7 @@
 	}
 }
 
-// mayAskFurther takes a question beyond a claim's first off the budget, if there is one.
+// spendHedgeBudget reports whether the budget allows a further claim of a job, and if so takes it off the budget.
 func (adm *admission) spendHedgeBudget() bool {
 	if adm.keys.hedgeBudget < 1 {
 		return false
@@ -265,22 +273,22 @@
 	return true
 }
 
-// settle tells how a run ended, until a control process has taken it.
+// settle records how a run ended, with retries until a control server acknowledges it.
 func (adm *admission) settle(key string, receipt *meshpb.Receipt) {
 	if len(adm.keys.settles) >= maxSettles {
-		return // its key stays claimed, and ends as lost
+		return // the key stays claimed, and its run ends as lost
 	}
 	adm.sendSettle(&settleRPC{key: key, receipt: receipt})
 }
 
-// voidIfFree keeps claims of a token out, and tells whether that was in time.
-func (adm *admission) voidIfFree(key string, token uint64, told func(state uint32)) {
+// voidIfFree voids a token unless its claim was granted, and passes the resulting state of the key to done.
+func (adm *admission) voidIfFree(key string, token uint64, done func(state uint32)) {
 	if len(adm.keys.settles) < maxSettles {
-		adm.sendSettle(&settleRPC{key: key, receipt: &meshpb.Receipt{Token: token, State: register.Void}, ifFree: true, done: told})
+		adm.sendSettle(&settleRPC{key: key, receipt: &meshpb.Receipt{Token: token, State: register.Void}, ifFree: true, done: done})
 	}
 }
 
-// tellEnd sends word on the end of a run to the next control process.
+// sendSettle sends a settle message to the next control server, up to maxSettleAttempts times.
 func (adm *admission) sendSettle(settling *settleRPC) {
 	if len(settling.servers) == 0 {
 		settling.servers = adm.serversFor(settling.key)
@@ -295,7 +303,7 @@
 	settling.sentAt = adm.sidecar.now
 	adm.keys.settles[id] = settling
 	allowed := adm.keys.throttle.Allow(adm.sidecar.now, adm.sidecar.randomFloat())
-	if settling.server = ""; !allowed && !settling.urgent() { // it has its turn after the next pause
+	if settling.server = ""; !allowed && !settling.urgent() { // throttled: sent after the next backoff
 		return
 	}
 	settling.server = settling.servers[0]
@@ -304,7 +312,7 @@
 	adm.sidecar.send(settling.server, adm.sidecar.newRPC(id, &meshpb.Message{Settle: settle}))
 }
 
-// settled ends the telling of how a run ended. Of what no majority was found for it goes on.
+// settleAnswered ends a settle message by its answer. If no majority was found, the retries go on.
 func (adm *admission) settleAnswered(id uint64, settling *settleRPC, state uint32) {
 	if state == register.Unsure {
 		return
@@ -316,29 +324,29 @@
 	}
 }
 
-// broke goes on to the next control process with what the one that is gone had in hand.
-func (adm *admission) connectionLost(b transport.Broke) {
-	for _, id := range b.Unsent {
-		if rpc := adm.keys.claims[id]; rpc != nil && rpc.server == b.Peer {
+// connectionLost moves the messages that were not sent to a lost control server on to the next one.
+func (adm *admission) connectionLost(lost transport.Broke) {
+	for _, id := range lost.Unsent {
+		if rpc := adm.keys.claims[id]; rpc != nil && rpc.server == lost.Peer {
 			adm.keys.removeClaim(id, rpc.job)
 			adm.deprioritize(rpc.server)
 			if len(rpc.job.claim.outstanding) == 0 {
 				adm.claimAtNextServer(rpc.job)
 			}
 		}
-		if settling := adm.keys.settles[id]; settling != nil && settling.server == b.Peer {
+		if settling := adm.keys.settles[id]; settling != nil && settling.server == lost.Peer {
 			delete(adm.keys.settles, id)
 			adm.sendSettle(settling)
 		}
 	}
 }
 
-// tickKeys asks others where answers are late, and gives up what has waited for long enough.
+// tickKeys hedges overdue claims, gives up those that took too long, and retries settle messages.
 func (adm *admission) tickKeys() {
 	for _, id := range slices.Sorted(maps.Keys(adm.keys.claims)) {
 		rpc := adm.keys.claims[id]
 		switch {
-		case rpc == nil: // its job has ended in here
+		case rpc == nil: // its job ended earlier in this loop
 		case adm.claimTimedOut(rpc.job):
 			adm.failClaim(rpc.job, 0)
 		case !rpc.overdue && adm.sidecar.now > adm.keys.hedgeAt(rpc):
--- a/internal/mesh/sidecar/claims_test.go
+++ b/internal/mesh/sidecar/claims_test.go
@@ -36,8 +36,9 @@
 		}
 		for due += rate * tick; due >= 1; due-- {
 			c.lastID++
-			c.sidecar.Receive(c.now, "there", &meshpb.Message{Id: c.lastID, Life: 9, Forward: &meshpb.Forward{Station: "i-1", Token: c.lastID,
-				Key: fmt.Sprint("k", c.lastID), AimUs: 4e5, LeftUs: 1e6}})
+			c.sidecar.Receive(c.now, "there", &meshpb.Message{Id: c.lastID, Life: 9, Forward: &meshpb.Forward{Station: "i-1",
+				Token: c.lastID,
+				Key:   fmt.Sprint("k", c.lastID), AimUs: 4e5, LeftUs: 1e6}})
 		}
 		c.sidecar.Tick(c.now)
 		c.settleAll()
@@ -140,7 +141,8 @@
 	c := newClaimFixture(t)
 	var first *meshpb.Message
 	c.lastID++
-	c.sidecar.Receive(c.now, "there", &meshpb.Message{Id: c.lastID, Life: 9, Forward: &meshpb.Forward{Station: "i-1", Token: 1, Key: "k",
+	c.sidecar.Receive(c.now, "there", &meshpb.Message{Id: c.lastID, Life: 9, Forward: &meshpb.Forward{Station: "i-1",
+		Token: 1, Key: "k",
 		AimUs: 4e5, LeftUs: 1e6}})
 	claims := 0
 	asked := ""
@@ -158,7 +160,8 @@
 	if claims != 2 {
 		t.Fatalf("%d control processes are asked within 0.2 s", claims)
 	}
-	c.sidecar.Receive(c.now, asked, &meshpb.Message{Id: first.Id, Life: first.Life, Claimed: &meshpb.Claimed{State: register.Claimed, Token: 1}})
+	c.sidecar.Receive(c.now, asked, &meshpb.Message{Id: first.Id, Life: first.Life,
+		Claimed: &meshpb.Claimed{State: register.Claimed, Token: 1}})
 	if len(c.sidecar.TakeOutput().Commands) != 1 {
 		t.Error("the request does not go to the host")
 	}
--- a/internal/mesh/sidecar/discovery.go
+++ b/internal/mesh/sidecar/discovery.go
@@ -15,7 +15,7 @@
 	"beechwing/internal/mesh/routeconfig"
 )
 
-// The conditions of a host, as records tell them.
+// The conditions of a host in records. The operators' API calls a serving host at_dock and a draining one unloading.
 const (
 	Unknown  = meshpb.Unknown
 	Serving  = meshpb.AtDock
@@ -24,46 +24,47 @@
 )
 
 const (
-	longPollTimeout       = 1.3 // seconds without an answer until another control process is asked, where it may wait for something new
-	minPullTimeout        = 0.2 // the same where it has to answer at once: its machine may have no power
-	missedHeartbeats      = 3.5 // beats after which a host that said nothing while this process ran is gone
-	watchedCount          = 3   // other proxies that this one knows and watches
-	watchInterval         = 1.0 // seconds between questions to them, while no control process answers
-	isolatedRetryDelay    = 0.05
-	leaveNotice           = 0.5  // seconds before its end in which the others send a proxy nothing
-	probeInterval         = 0.3  // seconds between questions to a host that has not said anything yet
-	unreachableRetryDelay = 0.04 // seconds after a control process that could not be reached
+	longPollTimeout       = 1.3  // seconds without an answer to a long poll until another control server is asked
+	minPullTimeout        = 0.2  // the same for a pull that is answered at once; short, as the server's machine may be down
+	missedHeartbeats      = 3.5  // intervals without a heartbeat, while this process ran, until the host counts as gone
+	watchedCount          = 3    // number of other proxies that this one watches
+	watchInterval         = 1.0  // seconds between two pulls from them, while no control server answers
+	isolatedRetryDelay    = 0.05 // seconds until the next pull after an answer of a control server without contact to the others
+	leaveNotice           = 0.5  // seconds before the end of the shutdown notice in which other proxies send nothing here any more
+	probeInterval         = 0.3  // seconds between two probes of a host that has not sent a heartbeat yet
+	unreachableRetryDelay = 0.04 // seconds until the next pull after the connection to a control server was lost
 )
 
-// discovery is what this proxy knows: the host beside it, which it alone tells the others of; who else there is; and which
-// configuration is in force. It pulls what it lacks by a vector of versions, one for each source.
+// discovery holds the host beside this sidecar, whose record only this sidecar publishes, the records of all other
+// hosts, and the configuration in force. It pulls what it lacks from control servers by a version vector with one
+// version for each proxy.
 type discovery struct {
 	sidecar            *Sidecar
-	own                *meshpb.Record
-	lastSequence       uint64   // of the host's last beat
-	formerInstances    []string // ids of the lives before the host's present one, the newest last
-	heartbeatAt        float64  // for how long this process had run then
-	signedOff          bool     // the host has signed off
-	conditionChangedAt float64  // when it said that it leaves
+	own                *meshpb.Record // of the host here
+	lastSequence       uint64         // of the host's last heartbeat
+	formerInstances    []string       // IDs of earlier host instances, the latest last
+	heartbeatAt        float64        // of the last heartbeat, in seconds that this process has run
+	signedOff          bool           // the host has signed off
+	conditionChangedAt float64
 	shuttingDown       bool
-	announceLeavingAt  float64 // when the others hear of that
-	announcedLeaving   bool    // they have
+	announceLeavingAt  float64 // when other processes are told of the shutdown
+	announcedLeaving   bool    // they have been told
 
 	records          map[string]*meshpb.Record
-	tombstones       map[string]tombstone // by source
+	tombstones       map[string]tombstone // by proxy
 	silent           map[string]bool
 	servers          []string
-	serversEpoch     uint64            // of the view that named them
-	serverIndex      int               // whom it pulls from
-	newestPull       uint64            // the newest question to one
-	outstandingPulls []outstandingPull // the questions to them that are open, in order
-	watchPulls       map[string]uint64 // those to other proxies
+	serversEpoch     uint64            // of the membership view that named the control servers
+	serverIndex      int               // of the server to pull from
+	newestPull       uint64            // ID of the newest pull from a control server
+	outstandingPulls []outstandingPull // from control servers, in the order sent
+	watchPulls       map[string]uint64 // IDs of the pulls from other proxies
 	pulledAt         float64
-	longPoll         bool    // it may be held until there is something
-	missedPulls      int     // control processes in a row that did not answer
-	pullNotBefore    float64 // not before then
-	serverHeardAt    float64 // of a control process
-	serverAnswered   bool    // one has answered in this life
+	longPoll         bool    // the server may delay the answer to the newest pull until there is news
+	missedPulls      int     // control servers in a row that did not answer
+	pullNotBefore    float64 // no new pull begins before this time
+	serverHeardAt    float64 // when a control server last answered
+	serverAnswered   bool    // a control server has answered since this process started
 	nextWatchAt      float64
 	nextWeightsAt    float64
 	nextProbeAt      float64
@@ -81,7 +82,7 @@
 	d.serverHeardAt = p.now
 }
 
-// Station is what a host says of itself in a beat.
+// Heartbeat is what a host reports about itself.
 type Heartbeat struct {
 	ID, Service, Address, Zone string
 	Slots                      int
@@ -90,12 +91,13 @@
 	Sequence                   uint64
 }
 
-// Beat takes a host's word. From here on nothing new goes to one that leaves: it may be acknowledged. A late beat is too.
+// Heartbeat handles a heartbeat of the host. When it returns, no new requests go to a host that is draining, so the
+// heartbeat may be acknowledged. An outdated heartbeat is acknowledged too and has no effect.
 func (p *Sidecar) Heartbeat(now float64, h Heartbeat) {
 	p.beginInput(now)
 	d := &p.discovery
 	if slices.Contains(d.formerInstances, h.ID) || h.ID == d.own.Station && !d.isNewHeartbeat(h) {
-		return // a late one
+		return // outdated
 	}
 	d.replaceInstance(h.ID)
 	d.heartbeatAt, d.lastSequence, d.signedOff = p.pauses.runSeconds, h.Sequence, false
@@ -104,16 +106,19 @@
 		condition = Draining
 	}
 	d.updateOwn(func(record *meshpb.Record) {
-		record.Station, record.Carrier, record.Zone, record.Berths = h.ID, cmp.Or(h.Service, record.Carrier), cmp.Or(h.Zone, record.Zone), uint32(max(0, h.Slots))
+		record.Station, record.Carrier, record.Zone, record.Berths = h.ID, cmp.Or(h.Service, record.Carrier),
+			cmp.Or(h.Zone, record.Zone), uint32(max(0, h.Slots))
 		record.ColdMs, record.Condition = uint32(max(0, h.WarmUpLeftMs)), condition
 	})
 	p.runPending()
 }
 
-// formerKept is how many former lives of the host are remembered: beats come seconds late, and a host does not start more often.
+// maxFormerInstances is how many former host instances are remembered. Heartbeats arrive seconds late at most, and a
+// host does not restart more often in that time.
 const maxFormerInstances = 8
 
-// replace notes that the host's present life gives way to another: no late beat of it takes that one's place.
+// replaceInstance records that another instance replaces the present one, so that no late heartbeat of the former
+// instance brings it back.
 func (d *discovery) replaceInstance(instance string) {
 	if before := d.own.Station; before != "" && before != instance {
 		d.formerInstances = append(d.formerInstances, before)
@@ -121,8 +126,8 @@
 	}
 }
 
-// counts says whether a further beat of the host here is no late one. A host that has signed off stays gone. One that was taken
-// for gone because its beats were missing is back with its next one.
+// isNewHeartbeat reports whether a heartbeat of the present host instance is not outdated. A host that has signed off
+// stays gone. A host that counted as gone because its heartbeats were missing returns with its next one.
 func (d *discovery) isNewHeartbeat(h Heartbeat) bool {
 	switch {
 	case d.signedOff, h.Sequence < d.lastSequence:
@@ -135,17 +140,18 @@
 	return true
 }
 
-// Probed takes what the host beside this proxy answered: a proxy that has just started need not wait for its next beat.
-func (p *Sidecar) ProbeDone(now float64, instance string, well bool) {
+// ProbeDone handles the host's answer to a probe. It saves a sidecar that has just started the wait for the next
+// heartbeat.
+func (p *Sidecar) ProbeDone(now float64, instance string, healthy bool) {
 	p.beginInput(now)
-	if d := &p.discovery; instance != "" && well && d.own.Station == "" {
+	if d := &p.discovery; instance != "" && healthy && d.own.Station == "" {
 		d.heartbeatAt = p.pauses.runSeconds
 		d.updateOwn(func(record *meshpb.Record) { record.Station, record.Condition = instance, Serving })
 	}
 	p.runPending()
 }
 
-// Leave takes a host's sign-off.
+// HostSignedOff handles the sign-off of a host.
 func (p *Sidecar) HostSignedOff(now float64, id string) {
 	p.beginInput(now)
 	if d := &p.discovery; id == d.own.Station {
@@ -155,14 +161,14 @@
 	p.runPending()
 }
 
-// next is the record of the host here under another version, for others may have this one.
+// nextRecord returns the record of the host here under another version, as other processes may hold the present one.
 func (d *discovery) nextRecord(version uint64) *meshpb.Record {
 	record := proto.Clone(d.own).(*meshpb.Record)
 	record.Version, record.Leaving = version, d.announcedLeaving
 	return record
 }
 
-// change makes a new record of the host here, if anything changed that others have to know.
+// updateOwn makes a new record of the host here if anything changes that other processes need to know.
 func (d *discovery) updateOwn(f func(*meshpb.Record)) {
 	old := d.own
 	record := d.nextRecord(old.Version + 1)
@@ -175,7 +181,8 @@
 	if record.Condition != old.Condition {
 		d.conditionChangedAt = d.sidecar.now
 	}
-	d.sidecar.opts.Log("host", "station", record.Station, "carrier", record.Carrier, "condition", record.Condition, "leaving", record.Leaving)
+	d.sidecar.opts.Log("host", "station", record.Station, "carrier", record.Carrier, "condition", record.Condition,
+		"leaving", record.Leaving)
 	d.own = record
 	d.records[record.Source] = record
 	d.updateBalancers()
@@ -183,7 +190,7 @@
 	d.sidecar.admission.fillSlots()
 }
 
-// zone numbers a zone, for the module.
+// zoneIndex returns the balancer's number of a zone.
 func (d *discovery) zoneIndex(name string) int {
 	at := slices.Index(d.zones, name)
 	if at < 0 {
@@ -195,7 +202,7 @@
 
 func (d *discovery) proxies() []string { return slices.Sorted(maps.Keys(d.records)) }
 
-// list gives the module of each service its hosts anew.
+// updateBalancers gives the balancer of each service its present hosts.
 func (d *discovery) updateBalancers() {
 	p := d.sidecar
 	hosts := map[string][]balancer.Host{}
@@ -216,7 +223,7 @@
 		if record.Condition == Draining || record.Leaving {
 			h.Status = balancer.Draining
 		}
-		ep := previous[record.Carrier+" "+proxy] // a new life on the same machine is taken for as fast as the last
+		ep := previous[record.Carrier+" "+proxy] // a new instance on the same machine starts with the slowness of the former one
 		if ep == nil || s.hosts[h.ID] != nil {
 			ep = &endpoint{slowness: 1}
 		}
@@ -231,12 +238,13 @@
 	p.retryBudget.Share(len(d.records))
 }
 
-// services are the names of the services, in order: a seed replays.
+// serviceNames returns the names of the services in order, so that a run can be replayed from its seed.
 func (p *Sidecar) serviceNames() []string { return slices.Sorted(maps.Keys(p.services)) }
 
-// ---- pulling
+// The functions below pull records and the configuration.
 
-// ask pulls from a control process what is lacking here. hold says that it may wait until there is something.
+// sendPull pulls what is lacking here from a control server. hold allows the server to delay the answer until there is
+// news.
 func (d *discovery) sendPull(hold bool) {
 	servers := d.servers
 	if len(servers) == 0 {
@@ -248,15 +256,16 @@
 	d.sidecar.send(to, d.sidecar.newRPC(d.newestPull, &meshpb.Message{Pull: d.newPull(hold)}))
 }
 
-// patience is how long the control process that was asked may say nothing.
+// pullTimeout returns the time in seconds until the newest pull counts as unanswered.
 func (d *discovery) pullTimeout() float64 {
 	if d.longPoll {
 		return longPollTimeout
 	}
-	return min(longPollTimeout, minPullTimeout*float64(int(1)<<min(d.missedPulls, 4))) // if all are slow, asking more often makes them slower
+	// If all servers are slow, asking more often makes them slower.
+	return min(longPollTimeout, minPullTimeout*float64(int(1)<<min(d.missedPulls, 4)))
 }
 
-// vector is what this proxy has, by source.
+// newPull builds a pull, which lists the versions that are known here.
 func (d *discovery) newPull(hold bool) *meshpb.Pull {
 	pull := &meshpb.Pull{Own: d.own, Hold: hold}
 	for _, proxy := range d.proxies() {
@@ -273,7 +282,7 @@
 	return pull
 }
 
-// came takes what another process knows. A process never goes back: older versions change nothing.
+// receiveUpdate applies what another process knows. Older versions than the known ones have no effect.
 func (d *discovery) receiveUpdate(from string, m *meshpb.Message) {
 	p, update := d.sidecar, m.Update
 	asked, fromServer := d.pullTarget(m.Id, from)
@@ -312,7 +321,7 @@
 		} else {
 			p.applyConfig(table)
 			p.opts.Log("in force", "edition", table.Edition, "routes", len(table.Config.Itineraries))
-			changed = false // adopt has listed
+			changed = false // applyConfig has updated the balancers
 		}
 	}
 	if changed {
@@ -320,7 +329,7 @@
 	}
 	switch {
 	case m.Id != d.newestPull:
-	case update.Alone: // behind a cut from the others of its kind: what it knows may be old
+	case update.Alone: // the server is cut off from the other control servers, so its knowledge may be old
 		d.serverIndex++
 		d.newestPull, d.pullNotBefore = 0, p.now+isolatedRetryDelay
 	default:
@@ -328,7 +337,7 @@
 	}
 }
 
-// compile reads a configuration as it is sent.
+// decodeConfig decodes a configuration as received.
 func decodeConfig(text []byte) (*routeconfig.Table, error) {
 	plain, err := packed.Unpack(text)
 	if err != nil {
@@ -337,7 +346,7 @@
 	return routeconfig.Compile(plain)
 }
 
-// others are the addresses that are not this proxy's: it asks itself nothing.
+// withoutSelf returns the addresses other than this sidecar's own, so that it does not pull from itself.
 func (d *discovery) withoutSelf(addresses []string) (all []string) {
 	for _, address := range addresses {
 		if address != d.sidecar.opts.Self {
@@ -347,7 +356,7 @@
 	return all
 }
 
-// judged takes what a control server that is in contact says of proxies that are silent and of hosts that are out.
+// applyVerdicts applies what a control server in contact with the others says about silent proxies and ejected hosts.
 func (d *discovery) applyVerdicts(update *meshpb.Update) (changed bool) {
 	p := d.sidecar
 	silent := map[string]bool{}
@@ -361,31 +370,31 @@
 	return p.opts.AgreedEjection && p.ejections.applyLists(p.now, update) || changed
 }
 
-// pulled tells another proxy what it lacks of what is known here: those that watch this one ask while no control process
-// answers them.
+// receivePull answers another proxy's pull with the records that the proxy lacks. The proxies that watch this one pull
+// while no control server answers them.
 func (d *discovery) receivePull(from string, m *meshpb.Message) {
 	p, pull := d.sidecar, m.Pull
 	if pull.Own != nil && d.applyRecord(pull.Own) {
 		d.updateBalancers()
 	}
 	update := &meshpb.Update{}
-	has := make(map[string]uint64, len(pull.Seen))
+	versions := make(map[string]uint64, len(pull.Seen))
 	for _, s := range pull.Seen {
-		has[s.Source] = s.Version
+		versions[s.Source] = s.Version
 	}
 	for _, proxy := range d.proxies() {
-		if record := d.records[proxy]; has[proxy] < record.Version {
+		if record := d.records[proxy]; versions[proxy] < record.Version {
 			update.Records = append(update.Records, record)
 		}
 	}
-	update.Records = append(update.Records, d.tombstonesFor(has)...)
+	update.Records = append(update.Records, d.tombstonesFor(versions)...)
 	if p.table != nil && p.table.Edition > pull.Edition {
 		update.Edition, update.Text = p.table.Edition, packed.Pack(p.table.Text)
 	}
 	p.respond(from, m, &meshpb.Message{Update: update})
 }
 
-// broke goes on to the next control process.
+// connectionLost moves on to the next control server.
 func (d *discovery) connectionLost(from string) {
 	servers := d.servers
 	if len(servers) == 0 {
@@ -397,7 +406,7 @@
 	}
 }
 
-// Seeds takes over other seeds: the settings file has changed.
+// SetSeeds replaces the seeds after a change of the settings file.
 func (p *Sidecar) SetSeeds(now float64, seeds []string) {
 	p.beginInput(now)
 	p.opts.Seeds = seeds
@@ -407,7 +416,7 @@
 func (d *discovery) tick() {
 	p := d.sidecar
 	d.expireTombstones()
-	if d.shuttingDown && !d.announcedLeaving && p.now >= d.announceLeavingAt { // the host cannot be reached for a while
+	if d.shuttingDown && !d.announcedLeaving && p.now >= d.announceLeavingAt { // the host will be out of reach for a while
 		d.announcedLeaving = true
 		d.updateOwn(func(*meshpb.Record) {})
 	}
@@ -418,7 +427,7 @@
 		d.missedPulls++
 		d.sendPull(false)
 	}
-	if d.own.Station == "" && !d.shuttingDown && p.table != nil && p.now >= d.nextProbeAt { // its next beat may be a while
+	if d.own.Station == "" && !d.shuttingDown && p.table != nil && p.now >= d.nextProbeAt { // its next heartbeat may be a while away
 		if s := p.table.Service(p.opts.Service); s != nil && s.HealthPath != "" {
 			d.nextProbeAt = p.now + probeInterval
 			p.output.Commands = append(p.output.Commands, Probe{s.HealthPath})
@@ -436,7 +445,8 @@
 			}
 		}
 	}
-	if d.own.Condition == Serving && p.opts.HeartbeatInterval > 0 && p.pauses.runSeconds > d.heartbeatAt+missedHeartbeats*p.opts.HeartbeatInterval {
+	if d.own.Condition == Serving && p.opts.HeartbeatInterval > 0 &&
+		p.pauses.runSeconds > d.heartbeatAt+missedHeartbeats*p.opts.HeartbeatInterval {
 		d.updateOwn(func(record *meshpb.Record) { record.Condition = Gone })
 	}
 	if p.now > d.serverHeardAt+watchInterval && p.now >= d.nextWatchAt {
@@ -448,7 +458,7 @@
 	}
 }
 
-// neighbours are the few other proxies that this one knows and watches.
+// watchedProxies returns the few other proxies that this one watches.
 func (d *discovery) watchedProxies() []string {
 	return rendezvous.Watched(d.sidecar.opts.Self, d.proxies(), watchedCount)
 }
--- a/internal/mesh/sidecar/dispatch.go
+++ b/internal/mesh/sidecar/dispatch.go
@@ -12,7 +12,7 @@
 	"beechwing/internal/mesh/routeconfig"
 )
 
-// The headers of the operators' protocol.
+// The HTTP headers of the operators' protocol.
 const (
 	HeaderID             = "Beechwing-Consignment-Id"
 	HeaderDeadline       = "Beechwing-Deadline-Ms"
@@ -25,38 +25,38 @@
 )
 
 const (
-	defaultTimeout      = 30.0 // seconds, for a client that does not say how long it waits
+	defaultTimeout      = 30.0 // seconds, for a client that states no timeout
 	maxTimeout          = 600.0
-	minRetryAfter       = 0.05 // seconds: the least time after which to come back
+	minRetryAfter       = 0.05 // seconds; lower bound of the delay after which a client is told to retry
 	maxRetryAfter       = 0.3
-	crossZonePrice      = 0.051  // price of going to another zone, for the module: 0.15 of the weight
-	crossZonePriceLarge = 0.0588 // where answers are large: a fiftieth
-	classMeanStep       = 0.02   // weight of one answer in the mean time of its class
-	slownessStep        = 0.06   // and in that of its host
-	maxSlownessSample   = 4.0    // times the mean: one answer counts for no more
-	slownessChange      = 0.1    // the module is told of a change of so much
+	crossZonePrice      = 0.051  // price of crossing zones for the balancer; corresponds to 0.15 of the weight
+	crossZonePriceLarge = 0.0588 // the same for services with large responses; corresponds to a fiftieth
+	classMeanStep       = 0.02   // weight of one response in the mean time of its class
+	slownessStep        = 0.06   // weight of one response in the slowness of its host
+	maxSlownessSample   = 4.0    // bound of one sample, as a multiple of the class's mean time
+	slownessChange      = 0.1    // relative change of the slowness from which on the balancer gets new weights
 	weightInterval      = 0.5    // seconds
-	lateWorth           = 0.3
-	pingAfter           = 0.06 // seconds without a word from a proxy that has something of ours in hand: it is asked
-	minPongTimeout      = 0.15 // and without a word since: it counts as gone, where answers to that come at once
-	pongTimeoutFactor   = 3.0  // times what such answers take lately, on top
+	lateWorth           = 0.3    // worth of a response after its soft deadline, relative to one before
+	pingAfter           = 0.06   // seconds of silence after which a peer with attempts in flight is pinged
+	minPongTimeout      = 0.15   // seconds after the ping until a silent peer counts as lost, where pongs normally come at once
+	pongTimeoutFactor   = 3.0    // multiple of the mean pong time that is added to that
 	maxPongTimeout      = 0.6
-	meanPongStep        = 0.05 // weight of one in that
-	strayTimeout        = 3.0  // after its deadline a try that nobody ended is forgotten
+	meanPongStep        = 0.05 // weight of one pong in the mean pong time
+	strayTimeout        = 3.0  // seconds after the deadline until an attempt without an end is forgotten
 	noHostsRetryAfter   = 0.15
-	controlSilentAfter  = 1.0   // seconds without a word from any control process
-	deadlineGrace       = 0.004 // the other end is given the word first
+	controlSilentAfter  = 1.0   // seconds without an answer of any control server until the control plane counts as unreachable
+	deadlineGrace       = 0.004 // seconds after the deadline in which the sidecar of the host may report the expiry first
 )
 
-// Order is one request of a client's.
+// Request is one request of a client.
 type Request struct {
 	Method, Target, Host string
 	Fields               []*meshpb.Field
 	Body                 []byte
-	Framed               bool // it came with a body, of whatever length
+	Framed               bool // it came with a body, possibly an empty one
 	ID, IdempotencyKey   string
-	Timeout              float64 // seconds that the client waits; 0: it did not say
-	ReplyTo              any     // the program's
+	Timeout              float64 // seconds that the client waits; 0: not stated
+	ReplyTo              any     // the program's own value, by which it routes the reply
 
 	id           uint64
 	receivedAt   float64
@@ -65,27 +65,27 @@
 	class        class
 	service      string
 	token        uint64
-	shardKey     int             // in a sharded service; noKey: the service is none
-	holder       balancer.HostID // of that; 0: any host will do
+	shardKey     int             // in a sharded service; noKey: the service is not sharded
+	holder       balancer.HostID // the host that holds shardKey; 0: any host can serve the request
 	attempts     []*attempt
-	arrivals     int
-	mayHoldClaim bool // a claim of its key may stand
+	arrivals     int  // attempts that reached a host, or may have
+	mayHoldClaim bool // a claim of its idempotency key may have been granted
 	answered     bool
 	clientLeft   bool              // its client has closed the connection
-	lastResponse *meshpb.Forwarded // a host's answer that is no success
+	lastResponse *meshpb.Forwarded // the last response of a host that was not a success
 }
 
-// Reply is the answer to a client. It has no status where the client has left: nothing is to be written then.
+// Reply is the reply to a client. Its Status is 0 if the client has left; then nothing has to be written.
 type Reply struct {
 	Status     int
 	Fields     []*meshpb.Field
 	Body       []byte
-	RetryAfter float64 // seconds until the client may come again; 0: not told
-	FromProxy  bool    // not a host's
+	RetryAfter float64 // seconds until the client may retry; 0: not told
+	FromProxy  bool    // made by this sidecar, not by a host
 	Reason     string
 }
 
-// try is one sending of an order.
+// attempt is one sending of a request to a host.
 type attempt struct {
 	request         *Request
 	id              uint64
@@ -93,44 +93,44 @@
 	host            balancer.HostID
 	peer            string
 	sentAt          float64
-	hostInstance    string // the life of the host that it is for
-	peerIncarnation uint64 // and the process beside that; 0: any
-	held            bool   // it has not gone: it waits until that process is known
-	link            uint64 // the connection that it went by
-	budgetSpent     bool   // taken off the budget
-	voidRequested   bool   // the register was asked whether it may still run
+	hostInstance    string // the host instance that the attempt is for
+	peerIncarnation uint64 // the sidecar process that the attempt is for; 0: any
+	held            bool   // not sent yet: waits until the peer's incarnation is known
+	link            uint64 // the connection over which it was sent
+	budgetSpent     bool   // it was taken off the retry budget
+	voidRequested   bool   // the register was asked to void its token
 	inFlight        bool
 }
 
-// peer is what is known of another proxy that has something of ours in hand.
+// peerState is the state of another sidecar that has attempts of this one in flight.
 type peerState struct {
 	inFlight          int
-	held              int    // of those, how many have not gone
-	incarnation       uint64 // of its process, by what came from it last; 0: not known
+	held              int    // of those in flight, the number not sent yet
+	incarnation       uint64 // of its process, by its last message; 0: unknown
 	heardAt, pingedAt float64
-	pingID            uint64 // the question that it was asked then; 0: it has answered
-	progressAt        float64
+	pingID            uint64  // ID of the last ping; 0: it was answered
+	progressAt        float64 // when its oldest chain of attempts began, or an attempt last ended
 }
 
-// service is a service as this proxy picks among its hosts: the decision module, and who they are.
+// service is a destination service: its balancer and its hosts.
 type service struct {
-	sidecar      *Sidecar
-	name         string
-	balancer     *balancer.Balancer
-	classes      []class
-	hosts        map[balancer.HostID]*endpoint
-	classSeconds []float64 // mean seconds that a request of each class takes at a host
-	largeAnswers bool      // large answers come from here: near hosts are preferred more
+	sidecar        *Sidecar
+	name           string
+	balancer       *balancer.Balancer
+	classes        []class
+	hosts          map[balancer.HostID]*endpoint
+	classSeconds   []float64 // mean seconds of a request at a host, by class
+	largeResponses bool      // some routes serve downloads, so hosts in the same zone are preferred more
 }
 
-// place is a host of a service: the proxy beside it, and how long requests take there beside the mean of all.
+// endpoint is a host of a service: the sidecar beside it, and its request time relative to the mean of all hosts.
 type endpoint struct {
 	proxy, instance  string
 	slowness         float64
-	reportedSlowness float64 // what the module was told of that
+	reportedSlowness float64 // the value of slowness on which the balancer's weights are based
 }
 
-// class is what the module tells requests apart by.
+// class is a request class: the requests that the balancer treats alike.
 type class struct {
 	effect          balancer.Effect
 	target, timeout float64
@@ -148,7 +148,7 @@
 	return c
 }
 
-// number is the same for a class at all proxies.
+// wireID returns a number for the class that is the same at all sidecars.
 func (c class) wireID() uint32 {
 	h := uint64(c.effect)
 	for _, x := range [...]uint64{math.Float64bits(c.target), math.Float64bits(c.timeout), uint64(c.precedence)} {
@@ -157,7 +157,7 @@
 	return uint32(h)
 }
 
-// Ask takes a request. It is answered exactly once, by a Tell.
+// Submit takes a client's request. The request gets exactly one Respond.
 func (p *Sidecar) Submit(now float64, req *Request) {
 	p.beginInput(now)
 	req.receivedAt = now
@@ -186,7 +186,8 @@
 		return
 	}
 	if req.route.RouteKind == routeconfig.Tracked && req.IdempotencyKey != "" {
-		req.IdempotencyKey = req.Host + "\x00" + req.IdempotencyKey // one of the same tenant's, whom the host name tells apart
+		// The host name tells tenants apart, so their keys do not collide.
+		req.IdempotencyKey = req.Host + "\x00" + req.IdempotencyKey
 	} else {
 		req.IdempotencyKey = ""
 	}
@@ -221,17 +222,17 @@
 	p.submitToBalancer(req)
 }
 
-// request puts an order to the module of its service.
+// submitToBalancer passes a request to the balancer of its service.
 func (p *Sidecar) submitToBalancer(req *Request) {
 	s := p.services[req.service]
 	if s == nil {
-		return // its service is gone: it ends with its time
+		return // the service was removed; the request ends at its deadline
 	}
-	s.balancer.Request(p.now, balancer.Request{ID: balancer.RequestID(req.id), Class: s.classIndex(req.class), Key: p.random() | 1, Only: req.holder,
-		Budget: max(0, req.deadline-p.now)})
+	s.balancer.Request(p.now, balancer.Request{ID: balancer.RequestID(req.id), Class: s.classIndex(req.class),
+		Key: p.random() | 1, Only: req.holder, Budget: max(0, req.deadline-p.now)})
 }
 
-// over ends an order whose time is over.
+// deadlinePassed replies to a request whose deadline has passed.
 func (p *Sidecar) deadlinePassed(req *Request) {
 	if !req.answered {
 		reply := Reply{Status: 504, FromProxy: true, Reason: "its time was over"}
@@ -249,7 +250,8 @@
 	}
 }
 
-// endStrays ends the tries of an order that nobody has ended, and will not: their answer was lost, or belonged to nothing.
+// endStrayAttempts ends the attempts of a request that will get no response any more. Their responses were lost, or
+// were dropped because they matched no RPC.
 func (p *Sidecar) endStrayAttempts(req *Request) {
 	for _, a := range req.attempts {
 		if p.removeAttempt(a) {
@@ -259,7 +261,7 @@
 	p.forget(req)
 }
 
-// tell gives an order its answer.
+// reply gives a request its reply, unless the request has one.
 func (p *Sidecar) reply(req *Request, reply Reply) {
 	if req.answered {
 		return
@@ -270,12 +272,12 @@
 	}
 	p.output.Commands = append(p.output.Commands, Respond{req, reply})
 	if p.opts.Debug != nil {
-		p.opts.Debug("answered", "id", req.ID, "status", reply.Status, "ours", reply.FromProxy, "why", reply.Reason, "tries", len(req.attempts),
-			"service", req.service, "took", p.now-req.receivedAt)
+		p.opts.Debug("answered", "id", req.ID, "status", reply.Status, "ours", reply.FromProxy, "why", reply.Reason,
+			"tries", len(req.attempts), "service", req.service, "took", p.now-req.receivedAt)
 	}
 }
 
-// forget lets go of an order that is answered and has nothing out.
+// forget removes a request that has its reply and no attempts in flight.
 func (p *Sidecar) forget(req *Request) {
 	if !req.answered || p.requests[req.id] == nil || slices.ContainsFunc(req.attempts, func(a *attempt) bool { return a.inFlight }) {
 		return
@@ -284,12 +286,15 @@
 	p.bodyBytes -= len(req.Body)
 }
 
-// hosts words a host's answer for the client.
+// hostReply converts a host's response to the reply for the client.
 func (p *Sidecar) hostReply(req *Request, forwarded *meshpb.Forwarded) Reply {
 	reply := Reply{Status: int(forwarded.Status), Fields: forwarded.Fields, Body: forwarded.Body}
-	switch reply.Status { // a promise that only the host's own word can make, which it did not
+	// These statuses promise the client that the request did not run. Only the host can make that promise, by an explicit
+	// header, and it did not.
+	switch reply.Status {
 	case 503, 429, 408, 421:
-		reply = Reply{Status: 502, FromProxy: true, Reason: "the host's " + strconv.Itoa(reply.Status) + " without its word that it has not run"}
+		reply = Reply{Status: 502, FromProxy: true,
+			Reason: "the host's " + strconv.Itoa(reply.Status) + " without its word that it has not run"}
 	}
 	return reply
 }
--- a/internal/mesh/sidecar/dispatch_test.go
+++ b/internal/mesh/sidecar/dispatch_test.go
@@ -23,7 +23,8 @@
 // proxy lives: asking elsewhere would fill the links with the same answers again.
 func TestWhatComesIsNotSilent(t *testing.T) {
 	now := 1.0
-	p := New(now, Options{Self: "here", Zone: "a", Service: "till", Seeds: []string{"hall"}, HeartbeatInterval: 1.5, MaxBodyBytes: 1 << 20, RetryRatio: 0.2, RetrySlack: 60})
+	p := New(now, Options{Self: "here", Zone: "a", Service: "till", Seeds: []string{"hall"}, HeartbeatInterval: 1.5,
+		MaxBodyBytes: 1 << 20, RetryRatio: 0.2, RetrySlack: 60})
 	carried := map[string]int{}
 	pass := func(s float64, sign string) {
 		for end := now + s; now < end; {
--- a/internal/mesh/sidecar/duplicates.go
+++ b/internal/mesh/sidecar/duplicates.go
@@ -3,27 +3,27 @@
 import "math"
 
 const (
-	seenFor       = 60.0    // seconds for which each request that came here is known by its id
-	maxSeen       = 1 << 16 // so many at once; what is older is known by its sender's floor
-	watermarkFor  = 900.0   // seconds without a request until the floor of a process is forgotten
+	seenFor       = 60.0    // seconds for which each request is remembered by its ID
+	maxSeen       = 1 << 16 // requests remembered at once; older ones are covered by their senders' watermarks
+	watermarkFor  = 900.0   // seconds without a request until the watermark of a process is dropped
 	maxWatermarks = 4096
 )
 
-// asker is one process that sends requests here.
+// senderProcess is one process that sends requests here.
 type senderProcess struct {
 	address     string
 	incarnation uint64
 }
 
-// arrival is a request as its sender names it.
+// messageID identifies a request by its sender and the sender's ID for it.
 type messageID struct {
 	sender senderProcess
 	id     uint64
 }
 
-// arrivals knows which requests have come here, so that one that comes again is not run again. Ids grow
-// within a process: of the requests that are no longer known one by one, the highest id tells that those up
-// to it may have come.
+// seenRequests detects requests that arrive more than once, so that no request runs twice. The IDs of one process grow.
+// For requests that are no longer remembered one by one, a watermark per process keeps the highest ID: a request with
+// that ID or a lower one may have arrived before.
 type seenRequests struct {
 	seen       map[messageID]bool
 	byAge      []seenEntry // the oldest first
@@ -37,15 +37,16 @@
 
 type watermark struct {
 	id     uint64
-	seenAt float64 // when the newest of those up to it came
+	seenAt float64 // when the latest request that it covers arrived
 }
 
 func newSeenRequests() seenRequests {
 	return seenRequests{seen: map[messageID]bool{}, watermarks: map[senderProcess]watermark{}}
 }
 
-// admit notes a request, and says why it may have come before; "": it has not. Older proxies have no life,
-// and the same ids in each: theirs are not told apart.
+// admit remembers a request. It returns the reason why the request may have arrived before, or the empty string if it
+// has not. Processes of an older version send no incarnation and reuse their IDs after a restart, so their requests
+// cannot be checked.
 func (s *seenRequests) admit(now float64, message messageID) string {
 	s.prune(now)
 	switch {
@@ -61,7 +62,7 @@
 	return ""
 }
 
-// prune leaves the oldest requests to their senders' floors.
+// prune drops the oldest requests and raises their senders' watermarks instead.
 func (s *seenRequests) prune(now float64) {
 	for len(s.byAge) > 0 && (len(s.byAge) >= maxSeen || now > s.byAge[0].seenAt+seenFor) {
 		oldest := s.byAge[0]
@@ -71,7 +72,7 @@
 	}
 }
 
-// raise lets a process's floor include a request.
+// raiseWatermark raises the watermark of a process to a request.
 func (s *seenRequests) raiseWatermark(now float64, entry seenEntry) {
 	sender := entry.message.sender
 	if _, has := s.watermarks[sender]; !has && len(s.watermarks) >= maxWatermarks {
@@ -80,7 +81,8 @@
 	s.watermarks[sender] = watermark{max(s.watermarks[sender].id, entry.message.id), entry.seenAt}
 }
 
-// forget drops the floors of processes that have long said nothing, and the oldest one in any case.
+// evictWatermarks drops the watermarks of processes that have sent nothing for long, and at least the oldest one where
+// there are too many.
 func (s *seenRequests) evictWatermarks(now float64) {
 	var oldest senderProcess
 	oldestAt := math.Inf(1)
--- a/internal/mesh/sidecar/ejections.go
+++ b/internal/mesh/sidecar/ejections.go
@@ -9,26 +9,27 @@
 	"beechwing/internal/mesh/outcome"
 )
 
-// witness is this proxy's part in agreeing that a host fails: what it saw of hosts, and what is in force for all. It is empty where
-// proxies decide alone.
+// ejections is this sidecar's part in the agreed ejection of failing hosts: its own observations, and the ejection
+// lists in force. It is unused where each proxy decides alone.
 type ejections struct {
 	tally        ejection.Tally
-	suspects     []string           // hosts of which it was asked
-	version      uint64             // of what is in force
-	ejectedUntil map[string]float64 // by host, until when
-	manual       map[string]bool    // by host, out until called back
-	returnedAt   map[string]float64 // when a host came back: it gets its part in steps
+	suspects     []string           // instances on which the control servers want observations
+	version      uint64             // of the lists in force
+	ejectedUntil map[string]float64 // by instance
+	manual       map[string]bool    // instances that an operator ejected, until called back
+	returnedAt   map[string]float64 // when each instance returned; its traffic is restored in steps
 	nextCheckAt  float64
 }
 
-// A host that comes back gets a quarter of its part for a second and half of it for another.
+// returnStepSeconds is the length of the two steps in which an instance that returns gets its traffic back: a quarter
+// of its weight in the first step and half in the second.
 const returnStepSeconds = 1.0
 
 func (e *ejections) ejected(now float64, instance string) bool {
 	return e.manual[instance] || now < e.ejectedUntil[instance]
 }
 
-// part is the share of its weight that a host gets.
+// weightShare returns the share of its weight that an instance gets.
 func (e *ejections) weightShare(now float64, instance string) float64 {
 	switch ago := now - e.returnedAt[instance]; {
 	case e.returnedAt[instance] == 0 || ago >= 2*returnStepSeconds:
@@ -39,14 +40,15 @@
 	return 0.25
 }
 
-// saw notes how a run ended, or that the proxy beside a host is gone. Time that ran out says nothing: that is load.
+// recordResult records the outcome of a run, or that the sidecar of the host is lost. Time-outs are not recorded, as
+// they show load and not a failing host.
 func (p *Sidecar) recordResult(instance string, bad bool) {
 	if p.opts.AgreedEjection && instance != "" && p.ejections.tally.Record(p.now, instance, bad) {
-		p.discovery.sendPull(false) // a complaint is told at once
+		p.discovery.sendPull(false) // a host that begins to fail is reported at once
 	}
 }
 
-// sawEnd notes what the end of a run says of its host.
+// recordOutcome records what the end of a run shows about its host.
 func (p *Sidecar) recordOutcome(instance string, forwarded *meshpb.Forwarded) {
 	switch verdict := outcome.Outcome(forwarded.Verdict); {
 	case verdict == outcome.Answered:
@@ -56,29 +58,29 @@
 	}
 }
 
-// ruled takes what is in force.
+// applyLists applies the ejection lists in force.
 func (e *ejections) applyLists(now float64, update *meshpb.Update) (changed bool) {
 	e.suspects = update.Accused
 	if update.EjectionsVersion <= e.version {
 		return false
 	}
 	e.version = update.EjectionsVersion
-	was := e.ejectedUntil
+	previous := e.ejectedUntil
 	e.ejectedUntil, e.manual = map[string]float64{}, map[string]bool{}
 	if e.returnedAt == nil {
 		e.returnedAt = map[string]float64{}
 	}
-	for _, b := range update.EjectionLists {
-		for _, r := range b.Ejections {
+	for _, list := range update.EjectionLists {
+		for _, entry := range list.Ejections {
 			switch {
-			case r.Hand:
-				e.manual[r.Station] = true
-			case r.LeftMs > 0:
-				e.ejectedUntil[r.Station] = ejection.Until(now, r.LeftMs)
+			case entry.Hand:
+				e.manual[entry.Station] = true
+			case entry.LeftMs > 0:
+				e.ejectedUntil[entry.Station] = ejection.Until(now, entry.LeftMs)
 			}
 		}
 	}
-	for instance := range was {
+	for instance := range previous {
 		if !e.ejected(now, instance) {
 			e.returnedAt[instance] = now
 		}
@@ -86,7 +88,7 @@
 	return true
 }
 
-// tick ends terms, and says whether anything has changed for a host.
+// tick ends expired ejections, and reports whether the standing of any host has changed.
 func (e *ejections) tick(now float64) (changed bool) {
 	if now < e.nextCheckAt {
 		return false
@@ -109,15 +111,16 @@
 	return changed
 }
 
-// words is what this proxy has to say, for a pull.
+// observations returns the observations that this sidecar reports in a pull.
 func (e *ejections) observations(now float64) (observations []*meshpb.Observation) {
 	for _, observation := range e.tally.Observations(now, e.suspects) {
-		observations = append(observations, &meshpb.Observation{Station: observation.Station, Good: uint32(observation.Good), Bad: uint32(observation.Bad)})
+		observations = append(observations, &meshpb.Observation{Station: observation.Station,
+			Good: uint32(observation.Good), Bad: uint32(observation.Bad)})
 	}
 	return observations
 }
 
-// all are the hosts that are out by what is in force.
+// ejectedInstances returns the ejected instances by the lists in force, in order.
 func (e *ejections) ejectedInstances(now float64) (instances []string) {
 	for instance := range e.manual {
 		instances = append(instances, instance)
--- a/internal/mesh/sidecar/heldattempts.go
+++ b/internal/mesh/sidecar/heldattempts.go
@@ -5,10 +5,10 @@
 	"beechwing/internal/mesh/meshpb"
 )
 
-// This file sees to it that a request which may not be repeated names the process that it is for. Should it
-// come again, to the next process at that address, that one knows nothing of the first and would run it. The
-// first request to a proxy waits until that has said which process it is: one way there and back, once a
-// connection.
+// An attempt that may not be repeated names the sidecar process it is for. Without that, a copy of the attempt could
+// reach the next process at the same address, which knows nothing of the first copy and would run the request again. So
+// the first such attempt to a peer is held until a message of the peer, normally the answer to a ping, tells the peer's
+// incarnation. This costs one round trip for each connection.
 
 // ping asks a peer for a sign of life.
 func (p *Sidecar) ping(to string) {
@@ -17,7 +17,7 @@
 	p.send(to, p.newRPC(peer.pingID, &meshpb.Message{Ping: &meshpb.Ping{}}))
 }
 
-// ponged takes a peer's word that it is there.
+// receivePong handles a peer's answer to a ping.
 func (p *Sidecar) receivePong(from string, m *meshpb.Message) {
 	peer, asked := p.peers[from], ""
 	if peer != nil && peer.pingID == m.Id {
@@ -30,7 +30,7 @@
 	p.meanPongSeconds += meanPongStep * (min(maxPongTimeout, p.now-peer.pingedAt) - p.meanPongSeconds)
 }
 
-// hold keeps a try until it is known which process is at its proxy's address.
+// holdAttempt keeps an attempt back until the incarnation of its peer is known.
 func (p *Sidecar) holdAttempt(a *attempt) {
 	peer := p.peers[a.peer]
 	a.held = true
@@ -40,7 +40,7 @@
 	}
 }
 
-// sendHeld has what was held for a peer go once its process is known.
+// sendHeld sends the attempts held for a peer once the peer's incarnation is known.
 func (p *Sidecar) sendHeld(to string) {
 	peer := p.peers[to]
 	if peer.held == 0 || peer.incarnation == 0 {
@@ -51,7 +51,7 @@
 			continue
 		}
 		if a.request.answered || p.now >= a.request.deadline {
-			p.endAttempt(a, balancer.Moot, nil, "its time was over before it went")
+			p.endAttempt(a, balancer.Moot, nil, "deadline passed before the attempt was sent")
 			continue
 		}
 		a.held = false
@@ -60,7 +60,7 @@
 	}
 }
 
-// endHeld ends what was held for a peer that cannot be reached: nothing of it has gone.
+// failHeld ends the attempts held for a peer that cannot be reached. Nothing of them was sent.
 func (p *Sidecar) failHeld(to, why string) {
 	peer := p.peers[to]
 	if peer == nil || peer.held == 0 {
--- a/internal/mesh/sidecar/keylease.go
+++ b/internal/mesh/sidecar/keylease.go
@@ -10,75 +10,77 @@
 	"beechwing/internal/mesh/sharding"
 )
 
-// The host beside this proxy holds keys of its service, which this proxy grants it. All requests to the host pass here, so what is
-// sure here is sure for the host: it begins nothing on a key without a lease. A lease rests on an answer of the control plane to
-// which assignment is in force, and counts from the question. What the host loses to another is released at once, and the control
-// plane is told once that is done; until then, or until all leases have run out, the other one gets nothing.
+// A sharded service assigns each shard key to one host. This file grants the host here the key ranges that it is
+// assigned. All requests to the host pass this sidecar, so the sidecar can guarantee that the host begins nothing on a
+// key without a lease. A lease rests on the control plane's answer to which assignment is in force, and its time counts
+// from when the request for it was sent. Ranges that the host loses are released at once, and the control plane is told
+// when that is done. Until then, or until all leases have expired, the new holder gets nothing.
 
 const (
-	leaseRetryDelay   = 0.3  // seconds without an answer until another control process is asked
-	releaseRetryDelay = 0.15 // seconds until a release that failed is tried again
-	maxGrantBatch     = 16   // calls in one go
+	leaseRetryDelay   = 0.3  // seconds without an answer until another control server is asked
+	releaseRetryDelay = 0.15 // seconds until a failed release is tried again
+	maxGrantBatch     = 16   // grant calls at once
 	msPerSecond       = 1000
 	statusOK          = 200
 )
 
-// KeyCalls has calls made at the host beside this proxy, one after the other. The end of each comes back by KeyCalled.
+// KeyCalls orders the program to make calls to the host, one after the other. The end of each is reported by
+// KeyCallDone.
 type KeyCalls struct {
 	Calls       []KeyCall
-	GrantBefore float64 // a grant is not sent later
+	GrantBefore float64 // grants are not sent after this time
 }
 
 func (KeyCalls) command() {}
 
-// KeyCall grants keys to the host, or releases them.
+// KeyCall grants a range of shard keys to the host, or releases one.
 type KeyCall struct {
 	ID                uint64
-	FirstKey, LastKey int // keys
+	FirstKey, LastKey int // bounds of the range, both included
 	Fence             uint64
 	Release           bool
 	HoldMs            int    // of a grant
-	Handover          string // of a grant, what the former holder told; empty: nothing
+	Handover          string // of a grant: the token with which the former holder released the range; may be empty
 }
 
-// KeyResult is the end of a KeyCall.
+// KeyResult is the result of a KeyCall.
 type KeyResult struct {
-	Status   int    // 0: it was not sent, or nothing is known of its end
+	Status   int    // HTTP status; 0: the call was not sent, or its outcome is unknown
 	Refused  bool   // no process listens at the host's address
-	Handover string // of a release
+	Handover string // of a release: the token for the next holder
 }
 
-// keyLease is what the host here holds.
+// keyLease is the state of the host's leases of shard keys.
 type keyLease struct {
-	service      string // its service
-	hostInstance string // the life of the host that it was granted to
+	service      string // the service of the host
+	hostInstance string // the host instance to which the ranges were granted
 
-	table         *sharding.Table            // in force when the question was asked
-	tableAskedAt  float64                    // when that was
-	ownRanges     []sharding.Range           // by that table
-	heldUntil     map[sharding.Range]float64 // what the host holds, and until when requests may begin on it
-	grantedAt     map[sharding.Range]float64 // by the question of which time that was granted last
-	pendingGrants map[uint64]sharding.Range  // calls under way
-	grantsAskedAt float64                    // the question that they rest on
+	table         *sharding.Table            // the newest assignment that was confirmed to be in force
+	tableAskedAt  float64                    // when the request was sent whose answer confirmed it
+	ownRanges     []sharding.Range           // assigned to the host by that table
+	heldUntil     map[sharding.Range]float64 // until when requests may begin on each range that the host holds
+	grantedAt     map[sharding.Range]float64 // by range: the tableAskedAt on which its last grant was based
+	pendingGrants map[uint64]sharding.Range  // calls in progress, by ID
+	grantsAskedAt float64                    // the tableAskedAt on which these calls are based
 
 	request          leaseRPC
-	nextRequestAt    float64 // when the next is due
-	requestNotBefore float64 // nothing is asked before then: nobody could say
-	serverIndex      int     // who is asked, by the order of the service's
+	nextRequestAt    float64 // when the next request is due
+	requestNotBefore float64 // no request is sent before this time, as no server could answer
+	serverIndex      int     // of the next control server, in the service's order of servers
 
-	releaseEpoch    uint64 // what was lost with it is being released, or has been
+	releaseEpoch    uint64 // the epoch whose lost ranges are being released, or have been
 	toRelease       []sharding.Range
 	releaseAll      bool                      // one call releases everything
-	pendingReleases map[uint64]sharding.Range // calls under way
+	pendingReleases map[uint64]sharding.Range // calls in progress, by ID
 	nextReleaseAt   float64
-	releasedEpoch   uint64 // all that was lost with this epoch, and those before, has been released
-	reportedEpoch   uint64 // of which the control plane knows
+	releasedEpoch   uint64 // all ranges lost in this epoch and the ones before have been released
+	reportedEpoch   uint64 // the newest releasedEpoch that the control plane has acknowledged
 	handovers       []*meshpb.Handover
 
-	replacedHost leaseRPC // about a service whose host was here before
+	replacedHost leaseRPC // reports the end of a former host of another service on this machine
 }
 
-// leaseQuestion is a question to a control process; without an id none is open.
+// leaseRPC is a lease request to a control server. Its id is 0 if none is outstanding.
 type leaseRPC struct {
 	id     uint64
 	to     string
@@ -90,7 +92,8 @@
 		pendingGrants: map[uint64]sharding.Range{}, pendingReleases: map[uint64]sharding.Range{}}
 }
 
-// holdsKey says whether the host may begin a request now, by its key. Where keys are not held that is no question.
+// holdsKey reports whether the host may begin a request now by the request's shard key. For a service that is not
+// sharded it is always true.
 func (adm *admission) holdsKey(forward *meshpb.Forward) bool {
 	p := adm.sidecar
 	if !p.isSharded(p.discovery.own.Carrier) {
@@ -100,17 +103,17 @@
 	return key != noKey && p.now < p.lease.heldUntil[sharding.RangeOf(key)]
 }
 
-// tickLease asks, releases and grants what is due.
+// tickLease sends the lease requests, releases and grants that are due.
 func (p *Sidecar) tickLease() {
 	lease, own := &p.lease, p.discovery.own
 	if own.Carrier != lease.service {
 		lease.init(own.Carrier)
 	}
-	if own.Station != lease.hostInstance { // another life of the host holds nothing
+	if own.Station != lease.hostInstance { // a new host instance holds nothing
 		lease.hostInstance, lease.nextRequestAt = own.Station, 0
 		clear(lease.heldUntil)
 		clear(lease.grantedAt)
-		clear(lease.pendingGrants) // what was sent to the one before counts for nothing
+		clear(lease.pendingGrants) // calls to the former instance do not count
 	}
 	p.reportReplacedHost()
 	if !p.isSharded(lease.service) {
@@ -122,7 +125,7 @@
 	p.grantRanges()
 }
 
-// giveUpLost ends the leases of what the newest epoch gives to others.
+// dropLostRanges ends the leases of the ranges that the newest epoch gives to other hosts.
 func (p *Sidecar) dropLostRanges() {
 	lease, table := &p.lease, p.shards.tables[p.lease.service]
 	if table == nil || table.Epoch <= lease.releaseEpoch {
@@ -141,7 +144,7 @@
 	}
 }
 
-// askLease asks which assignment is in force, where that is due, and tells what has been released.
+// requestLease asks which assignment is in force when that is due, and reports finished releases.
 func (p *Sidecar) requestLease() {
 	lease, newest := &p.lease, p.shards.tables[p.lease.service]
 	if lease.request.id != 0 {
@@ -151,30 +154,32 @@
 		lease.serverIndex++
 	}
 	newer := newest != nil && (lease.table == nil || newest.Version > lease.table.Version)
-	tells := lease.releasedEpoch == lease.releaseEpoch && lease.reportedEpoch < lease.releasedEpoch
-	due := p.now >= lease.nextRequestAt || lease.request.id != 0 || newer || tells
+	reports := lease.releasedEpoch == lease.releaseEpoch && lease.reportedEpoch < lease.releasedEpoch
+	due := p.now >= lease.nextRequestAt || lease.request.id != 0 || newer || reports
 	if !due || p.now < lease.requestNotBefore {
 		return
 	}
-	ask := &meshpb.LeaseRequest{Carrier: lease.service}
-	if tells {
-		ask.Released, ask.Handovers = lease.releasedEpoch, lease.handovers
+	request := &meshpb.LeaseRequest{Carrier: lease.service}
+	if reports {
+		request.Released, request.Handovers = lease.releasedEpoch, lease.handovers
 	}
-	lease.request = p.sendLeaseRequest(ask, lease.serverIndex)
+	lease.request = p.sendLeaseRequest(request, lease.serverIndex)
 }
 
-// askControl puts a question about a service to a control process: the one that changes its assignment, or one of those after it.
-func (p *Sidecar) sendLeaseRequest(ask *meshpb.LeaseRequest, nth int) leaseRPC {
+// sendLeaseRequest sends a lease request to the nth control server in the service's order. The first one is the
+// coordinator of the service's assignment.
+func (p *Sidecar) sendLeaseRequest(request *meshpb.LeaseRequest, nth int) leaseRPC {
 	if len(p.discovery.servers) == 0 {
 		return leaseRPC{}
 	}
-	order := rendezvous.Order(sharding.RegisterName(ask.Carrier), p.discovery.servers)
+	order := rendezvous.Order(sharding.RegisterName(request.Carrier), p.discovery.servers)
 	rpc := leaseRPC{p.nextID(), order[nth%len(order)], p.now}
-	p.send(rpc.to, p.newRPC(rpc.id, &meshpb.Message{LeaseRequest: ask}))
+	p.send(rpc.to, p.newRPC(rpc.id, &meshpb.Message{LeaseRequest: request}))
 	return rpc
 }
 
-// tellReplaced tells that the host which held keys of another service, on this machine, is no more: another service's host is here.
+// reportReplacedHost tells the control plane that a host of another service, which held keys on this machine, is gone
+// because the present host has taken its place.
 func (p *Sidecar) reportReplacedHost() {
 	lease, own := &p.lease, p.discovery.own
 	if own.Station == "" || p.now < lease.replacedHost.sentAt+leaseRetryDelay {
@@ -190,7 +195,7 @@
 	}
 }
 
-// leased takes the answer to a question.
+// receiveLease handles the answer to a lease request.
 func (p *Sidecar) receiveLease(from string, m *meshpb.Message) {
 	lease := &p.lease
 	rpc, asked := lease.request, ""
@@ -211,7 +216,7 @@
 		return
 	}
 	lease.request = leaseRPC{}
-	if a == nil || a.Carrier != lease.service { // it cannot say
+	if a == nil || a.Carrier != lease.service { // the server does not know the assignment
 		lease.serverIndex++
 		lease.requestNotBefore = p.now + leaseRetryDelay
 		return
@@ -225,7 +230,8 @@
 	p.grantRanges()
 }
 
-// confirmed notes that the newest assignment known was in force after a time.
+// confirmTable records that the newest known assignment was in force at some moment after the given time, at which the
+// lease request was sent.
 func (p *Sidecar) confirmTable(at float64) {
 	lease, table := &p.lease, p.shards.tables[p.lease.service]
 	if table == nil {
@@ -237,7 +243,7 @@
 	lease.tableAskedAt = at
 }
 
-// release has the host release what it has lost.
+// releaseRanges has the host release the ranges that it has lost.
 func (p *Sidecar) releaseRanges() {
 	lease := &p.lease
 	if len(lease.toRelease) == 0 || len(lease.pendingReleases) > 0 || p.now < lease.nextReleaseAt {
@@ -247,17 +253,19 @@
 	if lease.releaseAll {
 		id := p.nextID()
 		lease.pendingReleases[id] = lease.toRelease[0]
-		p.output.Commands = append(p.output.Commands, KeyCalls{Calls: []KeyCall{{ID: id, LastKey: sharding.Keys - 1, Fence: lease.releaseEpoch, Release: true}}})
+		p.output.Commands = append(p.output.Commands,
+			KeyCalls{Calls: []KeyCall{{ID: id, LastKey: sharding.Keys - 1, Fence: lease.releaseEpoch, Release: true}}})
 		return
 	}
-	for _, r := range lease.toRelease { // each waits for what runs on its keys
+	for _, r := range lease.toRelease { // one call each, as each waits for the requests that run on its keys
 		id := p.nextID()
 		lease.pendingReleases[id] = r
-		p.output.Commands = append(p.output.Commands, KeyCalls{Calls: []KeyCall{{ID: id, FirstKey: r.First(), LastKey: r.Last(), Fence: lease.releaseEpoch, Release: true}}})
+		p.output.Commands = append(p.output.Commands,
+			KeyCalls{Calls: []KeyCall{{ID: id, FirstKey: r.First(), LastKey: r.Last(), Fence: lease.releaseEpoch, Release: true}}})
 	}
 }
 
-// grant grants the host what is its own by the newest answer, and what it holds anew.
+// grantRanges grants the host its ranges by the newest answer, and renews those that it holds.
 func (p *Sidecar) grantRanges() {
 	lease, own := &p.lease, p.discovery.own
 	before := lease.tableAskedAt + sharding.GrantWithin
@@ -286,7 +294,7 @@
 	}
 }
 
-// KeyCalled takes the end of a call at the host.
+// KeyCallDone handles the end of a call to the host.
 func (p *Sidecar) KeyCallDone(now float64, id uint64, result KeyResult) {
 	p.beginInput(now)
 	lease := &p.lease
@@ -302,12 +310,13 @@
 	p.runPending()
 }
 
-// grantEnded notes that the host holds a range, unless the range was lost meanwhile.
+// grantDone records that the host holds a range, unless the range was lost meanwhile.
 func (p *Sidecar) grantDone(r sharding.Range, result KeyResult) {
 	lease := &p.lease
-	lease.grantedAt[r] = lease.grantsAskedAt // where it failed, the next answer is granted on
+	lease.grantedAt[r] = lease.grantsAskedAt // after a failure, the next answer leads to a new grant
 	p.counts.Grants++
-	if result.Status != statusOK || lease.hostInstance != p.discovery.own.Station || lease.table.Epoch < lease.releaseEpoch || lease.table.Holder(r) != p.opts.Self {
+	if result.Status != statusOK || lease.hostInstance != p.discovery.own.Station ||
+		lease.table.Epoch < lease.releaseEpoch || lease.table.Holder(r) != p.opts.Self {
 		p.counts.GrantsRefused++
 		if result.Refused {
 			p.markHostLost()
@@ -317,8 +326,8 @@
 	lease.heldUntil[r] = lease.grantsAskedAt + sharding.HeldFor(p.opts.MaxKeyHold)
 }
 
-// hostLost notes that no process listens at the host's address: its keys are to go to others, who cannot serve them before. A further
-// beat of the same life proves it wrong.
+// markHostLost records that no process listens at the host's address. The host's keys have to go to other hosts, which
+// cannot serve them before. A further heartbeat of the same host instance reverses it.
 func (p *Sidecar) markHostLost() {
 	if p.discovery.own.Condition == Serving {
 		p.opts.Log("host lost", "station", p.discovery.own.Station, "why", "nobody listens at its address")
@@ -326,15 +335,16 @@
 	}
 }
 
-// hostRefused has the host asked for at once, where it holds keys: a request to it found no process, or none in time.
+// recheckHost makes the next lease request, and so the next grant call to the host, due at once if the host holds keys.
+// It is called when a request found no process at the host's address, or got no connection in time.
 func (lease *keyLease) recheckHost() {
 	if len(lease.ownRanges) > 0 {
 		lease.nextRequestAt = 0
 	}
 }
 
-// releaseEnded notes that the host has released a range, or everything. No process that listens, with nothing of this proxy's under
-// way, begins nothing.
+// releaseDone records that the host has released a range, or everything. If no process listens and this sidecar has
+// nothing in progress at the host, the host begins nothing, which counts as a release.
 func (p *Sidecar) releaseDone(r sharding.Range, result KeyResult) {
 	lease := &p.lease
 	if result.Status != statusOK && !(result.Refused && p.admission.slotsInUse == 0) {
@@ -369,17 +379,17 @@
 	return left
 }
 
-// KeyState is what an operator sees of the keys that the host here holds.
+// KeyState is the state of the host's shard keys as the operators' API shows it.
 type KeyState struct {
 	Service          string  `json:"carrier"`
-	Epoch            uint64  `json:"epoch"`     // the fence
-	Ranges           int     `json:"ranges"`    // that are its own
-	Held             int     `json:"held"`      // of these, on how many requests may begin now
-	LeaseLeftSeconds float64 `json:"leftS"`     // seconds until the first of them runs out, if nothing is renewed
-	Releasing        int     `json:"releasing"` // that it has lost and not released yet
+	Epoch            uint64  `json:"epoch"`     // the fencing token
+	Ranges           int     `json:"ranges"`    // assigned to the host
+	Held             int     `json:"held"`      // of these, on which requests may begin now
+	LeaseLeftSeconds float64 `json:"leftS"`     // until the first lease expires, if none is renewed
+	Releasing        int     `json:"releasing"` // lost and not released yet
 }
 
-// keyState is what is known of the keys here; nil: there are none.
+// keyState returns the state of the shard keys here, nil if there are none.
 func (p *Sidecar) keyState() *KeyState {
 	lease := &p.lease
 	if lease.table == nil {
--- a/internal/mesh/sidecar/latequeue.go
+++ b/internal/mesh/sidecar/latequeue.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// lateQueue is a queue of what gets its turn only when nothing better waits, the first to lose all worth first. It knows how often
-// that came about lately. (The field's term: best-effort class.)
+// lateQueue is the best-effort queue: its requests are served only when no others wait, the earliest deadline first. It
+// measures the rate at which they are served.
 type lateQueue struct {
 	jobs       []*job
-	servedRate float64 // turns a second, as of at
+	servedRate float64 // requests served a second, as of rateAt
 	rateAt     float64
 }
 
-const rateDecay = 0.5 // seconds: what came before counts for little
+const rateDecay = 0.5 // seconds; time constant of the decay of the measured rate
 
 func (q *lateQueue) add(j *job) {
 	at, _ := slices.BinarySearchFunc(q.jobs, j, func(a, b *job) int {
@@ -32,7 +32,7 @@
 	return j
 }
 
-// drop takes out those of which f says so.
+// removeIf removes and returns the jobs for which f is true.
 func (q *lateQueue) removeIf(f func(*job) bool) (out []*job) {
 	q.jobs = slices.DeleteFunc(q.jobs, func(j *job) bool {
 		if f(j) {
@@ -44,12 +44,12 @@
 	return out
 }
 
-// served notes that one got its turn.
+// noteServed records that a late request is served.
 func (q *lateQueue) noteServed(now float64) {
 	q.servedRate, q.rateAt = q.rate(now)+1/rateDecay, now
 }
 
-// rate is how many a second get their turn.
+// rate returns the recent number of late requests served a second.
 func (q *lateQueue) rate(now float64) float64 {
 	return q.servedRate * math.Exp(-(now-q.rateAt)/rateDecay)
 }
--- a/internal/mesh/sidecar/pause.go
+++ b/internal/mesh/sidecar/pause.go
@@ -1,30 +1,34 @@
 package sidecar
 
 const (
-	// pauseAfter is how many seconds without any input show that this process did not run: ticks come every few
+	// minPause is the time in seconds without any input that shows that this process did not run: ticks come every few
 	// hundredths of a second.
 	minPause = 0.3
-	// stoppedAfter is how long a pause has to be for what came meanwhile to count as old. Who sent it has long gone
-	// elsewhere then. After a shorter one, as a crowded machine has many, a fresh request would lose more by that.
+	// minLongPause is the length in seconds of a pause from which on messages received during it count as old. By then
+	// their senders have long gone elsewhere. After shorter pauses, which are frequent on a crowded machine, fresh
+	// requests would suffer more from being treated as old.
 	minLongPause = 5.0
-	// bufferedFor is for how many seconds after a pause what comes may have lain in a buffer since before it.
+	// bufferedFor is the time in seconds after a long pause during which an arriving message may have waited in a
+	// buffer since before its end.
 	bufferedFor = 1.0
 )
 
-// pauses knows when this process did not run: it was stopped, or its machine was suspended. Nothing can be said
-// of others by that time, and what was sent to this process meanwhile is found in its buffers afterwards.
+// pauseDetector detects when this process did not run, because it was stopped or its machine was suspended. Such a time
+// shows nothing about other processes. Messages that were sent to this process meanwhile are found in its buffers
+// afterwards.
 type pauseDetector struct {
-	inputAt    float64 // of the newest input
-	runSeconds float64 // seconds for which this process has run
+	inputAt    float64 // time of the newest input
+	runSeconds float64 // seconds for which this process has run, without pauses
 	pauseBegan float64 // the newest input before the last long pause
-	pauseEnded float64 // the first input after it; 0: there was none
+	pauseEnded float64 // the first input after that pause; 0: there was none
 }
 
-// input takes the time of an input.
+// observe takes the time of an input.
 func (pd *pauseDetector) observe(now float64) {
 	gap := now - pd.inputAt
 	switch {
-	case gap > minPause && pd.mayBeBuffered(pd.inputAt): // what was sent before the long one may still be in a buffer
+	case gap > minPause && pd.mayBeBuffered(pd.inputAt):
+		// Messages sent before the long pause may still be in a buffer, so this shorter pause extends it.
 		pd.pauseEnded = now
 	case gap > minLongPause:
 		pd.pauseBegan, pd.pauseEnded = pd.inputAt, now
@@ -33,12 +37,13 @@
 	pd.inputAt = now
 }
 
-// buffered reports whether what comes now may have been sent before a pause.
+// mayBeBuffered reports whether a message that arrives now may have been sent before or during a pause.
 func (pd *pauseDetector) mayBeBuffered(now float64) bool {
 	return pd.pauseEnded > 0 && now < pd.pauseEnded+bufferedFor
 }
 
-// age is how many seconds ago a message that comes now may have been sent, beyond its way.
+// maxAge returns how many seconds ago a message that arrives now may have been sent, apart from its time on the
+// network.
 func (pd *pauseDetector) maxAge(now float64) float64 {
 	if !pd.mayBeBuffered(now) {
 		return 0
@@ -46,7 +51,7 @@
 	return now - pd.pauseBegan
 }
 
-// input begins an input to this process at a time.
+// beginInput records the time of an input and makes it the current time.
 func (p *Sidecar) beginInput(now float64) {
 	p.now = now
 	p.pauses.observe(now)
--- a/internal/mesh/sidecar/pause_test.go
+++ b/internal/mesh/sidecar/pause_test.go
@@ -84,7 +84,8 @@
 	d.advance(0.1)
 	d.freeze(6)
 	old, long := d.forward(1, 1.5), d.forward(1, 10)
-	if forwarded := d.results[old]; forwarded == nil || outcome.Outcome(forwarded.Verdict) != outcome.Turned || forwarded.BackMs == 0 {
+	if forwarded := d.results[old]; forwarded == nil || outcome.Outcome(forwarded.Verdict) != outcome.Turned ||
+		forwarded.BackMs == 0 {
 		t.Errorf("1.5 s left, 6 s frozen: told %v", forwarded)
 	}
 	if len(d.runs) != 1 || d.runs[0] != long {
--- a/internal/mesh/sidecar/pulls.go
+++ b/internal/mesh/sidecar/pulls.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// mostPulls bounds the questions to control processes that are open at once: each goes unanswered for a while
-// first.
+// maxPulls bounds the number of pulls from control servers that are outstanding at once. A further pull is sent only
+// after the one before it went unanswered for a while.
 const maxPulls = 8
 
-// openPull is a question to a control process that has not been answered.
+// outstandingPull is an unanswered pull from a control server.
 type outstandingPull struct {
 	id   uint64
 	peer string
 }
 
-// open notes a question to a control process. Those before it stay open: where all are slow, an answer that
-// comes after the next one was asked is better than none.
+// addPull adds a pull from a control server. Earlier pulls stay outstanding: where all servers are slow, an answer that
+// comes after the next pull was sent is better than none.
 func (d *discovery) addPull(pull outstandingPull) {
 	d.outstandingPulls = append(d.outstandingPulls, pull)
 	if len(d.outstandingPulls) > maxPulls {
@@ -21,8 +21,8 @@
 	}
 }
 
-// asked is the peer that an open question was put to, and whether it was put to a control process; "": none
-// of that id is open.
+// pullTarget returns the peer to which an outstanding pull was sent, and whether that is a control server. The peer is
+// empty if no pull with that ID is outstanding.
 func (d *discovery) pullTarget(id uint64, from string) (peer string, server bool) {
 	for _, pull := range d.outstandingPulls {
 		if pull.id == id {
@@ -35,8 +35,8 @@
 	return "", false
 }
 
-// close takes a question that was answered off the open ones, and all that were put to control processes
-// before it: they would be answered by what was known earlier.
+// finishPull removes an answered pull. It also removes all earlier pulls from control servers, whose answers would rest
+// on older knowledge.
 func (d *discovery) finishPull(id uint64, from string) {
 	if d.watchPulls[from] == id {
 		delete(d.watchPulls, from)
--- a/internal/mesh/sidecar/rpc.go
+++ b/internal/mesh/sidecar/rpc.go
@@ -7,51 +7,54 @@
 	"beechwing/internal/mesh/random"
 )
 
-// Why a message was dropped. They are the labels of a metric.
+// The reasons for which a message is dropped. They are the values of a metric label.
 const (
-	dropNotOutstanding   = "not open"        // no question of that id is open: an answer that comes late or twice
-	dropOtherIncarnation = "another life"    // an answer to a question of this address's former process
-	dropOtherPeer        = "another peer"    // an answer from a process that was not asked
-	dropOtherToken       = "another token"   // the answer to a claim that is not the one that was asked for
-	dropDuplicate        = "repeated"        // a request that has come before
-	dropTooOld           = "too late"        // a request so old that it may have come before
-	dropOtherResponder   = "another process" // an answer of a process at the address that is not the one that was asked
-	dropFormerProcess    = "former process"  // a request for the process that had this address before
+	dropNotOutstanding   = "not open"        // a response to no outstanding RPC: late or duplicated
+	dropOtherIncarnation = "another life"    // a response to an RPC of a former process at this address
+	dropOtherPeer        = "another peer"    // a response from a process to which the RPC was not sent
+	dropOtherToken       = "another token"   // a response about a different claim than the requested one
+	dropDuplicate        = "repeated"        // a request that has arrived before
+	dropTooOld           = "too late"        // a request so old that it may have arrived before
+	dropOtherResponder   = "another process" // a response from a different process at the peer's address than the RPC was for
+	dropFormerProcess    = "former process"  // a request for the former process at this address
 )
 
-// Drawn from the same seed as all else, and different from it.
+// The salts derive the incarnation and the first ID from the seed, different from each other and from the numbers that
+// the generator draws.
 const (
 	incarnationSalt = 0x6c6966656c696665
 	firstIDSalt     = 0x6964737069647370
 )
 
-// identify draws this process's life and where its ids begin, so that neither is a former process's of the
-// same address. The upper half of all ids stays free: they do not wrap.
+// initIDs draws the incarnation of this process and its first ID, so that both differ from those of former processes at
+// this address. The highest bit of the first ID is zero, so IDs do not wrap.
 func (p *Sidecar) initIDs() {
 	p.incarnation = random.Mix(p.opts.Seed^incarnationSalt) | 1
 	p.lastID = random.Mix(p.opts.Seed^firstIDSalt) >> 1
 }
 
-// id numbers a message, or something else of which an end comes back.
+// nextID returns a new ID for an RPC or for another operation whose end is reported by ID.
 func (p *Sidecar) nextID() uint64 {
 	p.lastID++
 	return p.lastID
 }
 
-// question makes a message that is answered: the answer has to carry its id and this process's life.
+// newRPC makes a message a request that expects a response. The response has to carry the same ID and the incarnation
+// of this process.
 func (p *Sidecar) newRPC(id uint64, m *meshpb.Message) *meshpb.Message {
 	m.Id = id
 	m.Life = p.incarnation
 	return m
 }
 
-// answer sends the answer to a message.
-func (p *Sidecar) respond(to string, question, m *meshpb.Message) {
+// respond sends the response to a message.
+func (p *Sidecar) respond(to string, request, m *meshpb.Message) {
 	m.Responder = p.incarnation
-	p.send(to, meshpb.Answer(question, m))
+	p.send(to, meshpb.Answer(request, m))
 }
 
-// senderLife is the life of the process that sends a message; 0: it is an older one's.
+// senderIncarnation returns the incarnation of a message's sender, 0 if the sender is of an older version that sends
+// none.
 func senderIncarnation(m *meshpb.Message) uint64 {
 	if meshpb.IsAnswer(m) {
 		return m.Responder
@@ -59,8 +62,9 @@
 	return m.Life
 }
 
-// accepts says whether a message is the answer to an open question that was put to a peer; "" as the peer:
-// none is open under the message's id. What is not is counted, and changes nothing.
+// acceptsResponse reports whether a message is the response to an outstanding RPC. The parameter asked is the peer to
+// which the RPC with the message's ID was sent, or empty if none is outstanding. A message that is not accepted is
+// counted and has no effect.
 func (p *Sidecar) acceptsResponse(from string, m *meshpb.Message, asked string) bool {
 	why := p.dropReason(from, m, asked)
 	if why != "" {
@@ -69,7 +73,7 @@
 	return why == ""
 }
 
-// misdirected is why an answer does not count; "": it does.
+// dropReason returns why a response is not accepted, or the empty string if it is.
 func (p *Sidecar) dropReason(from string, m *meshpb.Message, asked string) string {
 	switch {
 	case !p.forThisIncarnation(from, m):
@@ -82,9 +86,9 @@
 	return ""
 }
 
-// ofThisLife says whether an answer is to a question of this process, and not of one that had the address
-// before. Older control processes do not return the life; ids begin at random, so theirs are told apart by
-// those alone.
+// forThisIncarnation reports whether a response is to an RPC of this process, and not of a former one at this address.
+// Older control servers do not return the incarnation. Their responses are told apart by ID alone, as IDs start at
+// random.
 func (p *Sidecar) forThisIncarnation(from string, m *meshpb.Message) bool {
 	return m.Life == p.incarnation || m.Life == 0 && p.isControlServer(from)
 }
@@ -93,7 +97,7 @@
 	return slices.Contains(p.discovery.servers, address) || slices.Contains(p.opts.Seeds, address)
 }
 
-// drop counts a message that changes nothing.
+// drop counts a message that has no effect.
 func (p *Sidecar) drop(from string, m *meshpb.Message, why string) {
 	p.counts.Dropped[why]++
 	if p.opts.Debug != nil {
--- a/internal/mesh/sidecar/services.go
+++ b/internal/mesh/sidecar/services.go
@@ -11,12 +11,12 @@
 	"beechwing/internal/mesh/routeconfig"
 )
 
-// A service is the balancer of a service with its hosts, as configuration and discovery have them.
+// This file keeps the balancer of each service in line with the configuration and with discovery.
 
-// adopt makes services of what a configuration says.
+// applyConfig puts a configuration in force and creates or updates the services that it names.
 func (p *Sidecar) applyConfig(table *routeconfig.Table) {
 	p.table = table
-	classes, largeAnswers := map[string][]class{}, map[string]bool{}
+	classes, largeResponses := map[string][]class{}, map[string]bool{}
 	for i := range table.Config.Itineraries {
 		r := &table.Config.Itineraries[i]
 		c := classOf(r)
@@ -25,7 +25,7 @@
 			names = append(names, a.Carrier)
 		}
 		for _, name := range names {
-			largeAnswers[name] = largeAnswers[name] || r.RouteKind == routeconfig.Download
+			largeResponses[name] = largeResponses[name] || r.RouteKind == routeconfig.Download
 			if name != "" && !slices.Contains(classes[name], c) {
 				classes[name] = append(classes[name], c)
 			}
@@ -36,11 +36,11 @@
 		if s == nil {
 			s = &service{sidecar: p, name: name, classes: classes[name], hosts: map[balancer.HostID]*endpoint{}}
 			p.services[name] = s
-			s.classSeconds, s.largeAnswers = make([]float64, len(s.classes)), largeAnswers[name]
+			s.classSeconds, s.largeResponses = make([]float64, len(s.classes)), largeResponses[name]
 			s.balancer = balancer.New(p.now, s.balancerConfig(), s)
 			continue
 		}
-		if slices.Equal(s.classes, classes[name]) && s.largeAnswers == largeAnswers[name] {
+		if slices.Equal(s.classes, classes[name]) && s.largeResponses == largeResponses[name] {
 			continue
 		}
 		kept := make([]int, len(classes[name]))
@@ -53,14 +53,15 @@
 				took[i] = s.classSeconds[from]
 			}
 		}
-		s.classes, s.classSeconds, s.largeAnswers = classes[name], took, largeAnswers[name]
+		s.classes, s.classSeconds, s.largeResponses = classes[name], took, largeResponses[name]
 		s.balancer.Configure(p.now, s.balancerConfig(), kept)
 	}
 	p.discovery.updateBalancers()
 }
 
-// timed takes how long a host had a request. Hosts of a service have different speeds, and the proxy beside each lets only as
-// many requests in as it works on at once, so this is its speed and not the crowd before it.
+// recordLatency records how long a host took for a request. Hosts of one service differ in speed. The sidecar beside
+// each host admits only as many requests as the host processes at once, so the time shows the host's speed and not its
+// queue.
 func (s *service) recordLatency(id balancer.HostID, c class, took float64) {
 	ep, n := s.hosts[id], slices.Index(s.classes, c)
 	if ep == nil || n < 0 || took <= 0 {
@@ -73,7 +74,7 @@
 	ep.slowness += slownessStep * (min(maxSlownessSample, took/s.classSeconds[n]) - ep.slowness)
 }
 
-// weigh tells the module of speeds that have changed.
+// weightsChanged reports whether the speed of a host has changed so much that the balancer needs new weights.
 func (s *service) weightsChanged() bool {
 	for _, ep := range s.hosts {
 		if r := ep.slowness / ep.reportedSlowness; r > 1+slownessChange || r < 1/(1+slownessChange) {
@@ -88,8 +89,9 @@
 func (s *service) balancerConfig() balancer.Config {
 	p := s.sidecar
 	cfg := balancer.Config{Seed: p.random(), Zone: p.discovery.zoneIndex(p.opts.Zone), Balancers: max(1, len(p.discovery.records)),
-		Prices: balancer.Prices{CrossZone: crossZonePrice}, Weighted: true, Gated: true, Cancelling: true, Agreed: p.opts.AgreedEjection, MaxCoolDown: maxRetryAfter, ConnectTimeout: 1}
-	if s.largeAnswers {
+		Prices: balancer.Prices{CrossZone: crossZonePrice}, Weighted: true, Gated: true, Cancelling: true,
+		Agreed: p.opts.AgreedEjection, MaxCoolDown: maxRetryAfter, ConnectTimeout: 1}
+	if s.largeResponses {
 		cfg.Prices.CrossZone = crossZonePriceLarge
 	}
 	for _, c := range s.classes {
@@ -99,7 +101,7 @@
 	return cfg
 }
 
-// hostID is the module's number for a life of a host.
+// hostID returns the balancer's ID of a host instance.
 func hostID(instance string) balancer.HostID {
 	h := fnv.New64a()
 	fmt.Fprint(h, instance)
--- a/internal/mesh/sidecar/shards.go
+++ b/internal/mesh/sidecar/shards.go
@@ -6,26 +6,26 @@
 	"beechwing/internal/mesh/sharding"
 )
 
-// A request to a sharded service goes to the host that holds its key: the pick is among one. Which that is follows from the newest
-// assignment known here; the proxy beside the host has the last word.
+// A request to a sharded service goes to the one host that holds its shard key. The sender derives the holder from the
+// newest assignment that it knows. The sidecar of that host decides whether the host really holds the key.
 
-// HeaderShardKey is the header with a request's key.
+// HeaderShardKey is the header with the shard key of a request.
 const HeaderShardKey = "Beechwing-Shard-Key"
 
 const (
-	holderRetryDelay       = 0.04 // seconds after which a request is sent to its key's holder once more, where that did not hold the key yet
-	holderRetryShare       = 0.25 // of a request's aim that it may wait so
-	noHolderRetryAfter     = 0.15 // seconds after which a client whose key nobody holds is to come back
+	holderRetryDelay       = 0.04 // seconds after which a request is sent to the holder again if the host did not hold the key yet
+	holderRetryShare       = 0.25 // share of a request's target time that it may spend on such retries
+	noHolderRetryAfter     = 0.15 // seconds after which a client is told to retry if nobody holds the key
 	noKey                  = -1
 	reasonKeyNotHeld       = "its key is not held here"
-	keyNotHeldRetryAfterMs = 50 // when who sent it may come again
+	keyNotHeldRetryAfterMs = 50 // when the sender may try again
 	reasonNoHolder         = "nobody holds the keys of this service yet"
 )
 
-// shards are the assignments known here, by service.
+// shards holds the newest known assignment of each service.
 type shards struct{ tables map[string]*sharding.Table }
 
-// learn takes assignments, and says whether any is newer than what is known.
+// learn takes assignments and reports whether any is newer than the known one.
 func (s *shards) learn(all []*meshpb.Assignment) (newer bool) {
 	for _, a := range all {
 		if known := s.tables[a.Carrier]; known != nil && known.Version >= a.Version {
@@ -37,7 +37,7 @@
 	return newer
 }
 
-// version grows with each assignment's.
+// version returns a number that grows with the version of each assignment.
 func (s *shards) version() (sum uint64) {
 	for _, t := range s.tables {
 		sum += t.Version
@@ -45,7 +45,7 @@
 	return sum
 }
 
-// sharded says whether hosts of a service hold keys.
+// isSharded reports whether the hosts of a service hold shard keys.
 func (p *Sidecar) isSharded(service string) bool {
 	if p.table == nil {
 		return false
@@ -54,7 +54,7 @@
 	return s != nil && s.Sharded
 }
 
-// keyOf is the key among a request's fields; noKey: it has none that counts.
+// shardKeyOf returns the shard key in a request's header fields, or noKey if there is no valid one.
 func shardKeyOf(fields []*meshpb.Field) int {
 	for _, f := range fields {
 		if f.Name == HeaderShardKey {
@@ -66,7 +66,7 @@
 	return noKey
 }
 
-// holderOf is the host that holds a request's key; 0: nobody is known to.
+// holderOf returns the host that holds a request's key, 0 if none is known.
 func (p *Sidecar) holderOf(req *Request) balancer.HostID {
 	table := p.shards.tables[req.service]
 	if table == nil {
@@ -79,7 +79,7 @@
 	return hostID(record.Station)
 }
 
-// askHolder sends a request to the host that holds its key.
+// submitToHolder passes a request to the balancer with the holder of its key as the only choice.
 func (p *Sidecar) submitToHolder(req *Request) {
 	req.holder = p.holderOf(req)
 	if req.holder == 0 {
@@ -90,17 +90,18 @@
 	p.submitToBalancer(req)
 }
 
-// waitsForHolder says whether a request that was refused goes to its key's holder once more: the holder may be about to change. It
-// has run nowhere.
+// retriesAtHolder reports whether a refused request is passed to the holder of its key again, and schedules that. The
+// holder may be about to change, and the request has run nowhere.
 func (p *Sidecar) retriesAtHolder(req *Request) bool {
-	if req.holder == 0 || req.arrivals > 0 || req.lastResponse != nil || req.mayHoldClaim || p.now+holderRetryDelay > req.receivedAt+holderRetryShare*req.class.target {
+	if req.holder == 0 || req.arrivals > 0 || req.lastResponse != nil || req.mayHoldClaim ||
+		p.now+holderRetryDelay > req.receivedAt+holderRetryShare*req.class.target {
 		return false
 	}
 	p.schedule(p.now+holderRetryDelay, func() { p.resubmit(req) })
 	return true
 }
 
-// askAgain puts a request to the module anew: as another one, as that has refused it.
+// resubmit passes a request to the balancer again. It uses a new ID, as the balancer has refused the old one.
 func (p *Sidecar) resubmit(req *Request) {
 	if req.answered || p.requests[req.id] != req {
 		return
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -1,11 +1,20 @@
-// Package sidecar is the data plane's state machine: one proxy beside one host. (The field's term: sidecar.) It takes what
-// clients ask, what the host beside it says, what other processes send and the time, and returns what to send and what to do.
-// Sockets and the clock are the program's.
+// Package sidecar is the decision logic of the data plane's proxy. One proxy, the sidecar, runs beside each host, which
+// is one process of an application service. The sidecar sends its host's outgoing requests to other hosts through their
+// sidecars, and it admits the requests that other sidecars send to its own host.
 //
-// Its files: this one joins the parts. dispatch.go follows a request from a client here to the proxy beside the picked host, with
-// actions.go (what the balancer wants done), tries.go (how tries end) and departure.go (clients that leave). admission.go is that other
-// end, the last before the host, with claims.go (operations' keys) and keylease.go (keys that the host holds). discovery.go knows who
-// there is and what is in force; shards.go which host holds which keys.
+// The main type is Sidecar, a state machine that does no I/O. The program that embeds it owns the sockets and the
+// clock. The program passes in client requests, messages of other processes, heartbeats of the host and the time, and
+// after each input it carries out what TakeOutput returns.
+//
+// Two kinds of identity recur. A host instance is one run of a host process; messages call its ID the station. A
+// process incarnation is one run of a sidecar process at an address; messages call it the life.
+//
+// sidecar.go joins the parts. dispatch.go follows a client request to the sidecar of the picked host, with actions.go
+// (what the balancer orders), attempts.go (how attempts end), heldattempts.go (attempts that wait for a peer's
+// incarnation) and cancellation.go (clients that leave). admission.go is the receiving side in front of the host, with
+// duplicates.go, latequeue.go, claims.go (idempotency keys) and keylease.go (shard keys that the host holds).
+// discovery.go tracks the known hosts and the configuration in force, shards.go which host holds which shard keys, and
+// ejections.go which hosts fail.
 package sidecar
 
 import (
@@ -21,44 +30,46 @@
 	"beechwing/internal/mesh/sharding"
 )
 
-// Options is what a proxy is told at its start.
+// Options configure a Sidecar at its start.
 type Options struct {
-	Self              string // its address for the others
+	Self              string // address at which other processes reach this one
 	Zone              string
-	Service           string // the service of the host on this machine
+	Service           string // service of the host beside this sidecar
 	Seeds             []string
-	HeartbeatInterval float64 // seconds between a host's beats
-	RetryRatio        float64 // of the rule on further tries
+	HeartbeatInterval float64 // seconds between two heartbeats of the host
+	RetryRatio        float64 // of the retry budget
 	RetrySlack        float64
-	RecordVersion     uint64 // of its record to begin with: later starts have higher ones, as a rule
+	RecordVersion     uint64 // of the first record of the host; a later start normally has a higher one
 	Seed              uint64
-	AgreedEjection    bool    // a host is left out for what must not run twice only where most that met it agree
-	MaxKeyHold        float64 // seconds for which hosts let themselves be granted keys at most; 0: not told
-	MaxBodyBytes      int     // bytes that bodies under way may take
+	AgreedEjection    bool    // the proxies eject a host for requests that must not run twice only by majority vote
+	MaxKeyHold        float64 // seconds for which hosts accept a grant of shard keys at most; 0: not configured
+	MaxBodyBytes      int     // bound on the bodies of requests in progress
 	Log               func(event string, args ...any)
-	Debug             func(event string, args ...any) // nil: nobody listens
+	Debug             func(event string, args ...any) // nil: debug messages are not logged
 }
 
-// Do is something for the program to carry out: Exchange, Abort, KeyCalls, Tell or Probe.
+// Command is an action that the program carries out: Exchange, Abort, KeyCalls, Respond or Probe.
 type Command interface{ command() }
 
-// Exchange has a request run by the host beside this proxy. The end of it comes back by Exchanged.
+// Exchange orders the program to run a request at the host. Its end is reported by ExchangeDone.
 type Exchange struct {
 	Job      uint64
 	Forward  *meshpb.Forward
-	Deadline float64 // the host has to have answered by then
+	Deadline float64 // by which the host must have responded
 }
 
-// Abort breaks off an Exchange: nobody waits for its end, which may come back all the same.
+// Abort orders the program to cancel an Exchange. Nobody waits for the end of the Exchange, but ExchangeDone may still
+// report it.
 type Abort struct{ Job uint64 }
 
-// Tell gives a client's request its answer.
+// Respond orders the program to send the reply to a client's request.
 type Respond struct {
 	Request *Request
 	Reply   Reply
 }
 
-// Probe asks the host beside this proxy which life of it is there and whether it is well. The answer comes back by Probed.
+// Probe orders the program to ask the host which instance it is and whether it is healthy. The result is reported by
+// ProbeDone.
 type Probe struct{ Path string }
 
 func (Probe) command()    {}
@@ -66,33 +77,34 @@
 func (Abort) command()    {}
 func (Respond) command()  {}
 
-// Effects are what a machine wants done, in order.
+// Output is what the program has to send and carry out, in order.
 type Output struct {
 	Sends    []transport.Send
 	Commands []Command
 }
 
-// Sidecar is one proxy. It is single-threaded; every input carries the time in seconds on a clock that never jumps.
+// Sidecar is the state machine of one proxy. It is single-threaded. Every input carries the time in seconds on a
+// monotonic clock.
 type Sidecar struct {
 	opts      Options
 	now       float64
 	rng       random.Source
 	table     *routeconfig.Table
 	output    Output
-	pending   []func() // what actions of the module gave rise to; it may not be called from within one
-	bodyBytes int      // bytes of bodies
+	pending   []func() // run after a callback of the balancer has returned, as a callback must not call the balancer
+	bodyBytes int      // total size of the request bodies in progress
 	counts    Counts
 
-	// dispatch.go
+	// State of client requests and their attempts (dispatch.go, attempts.go).
 	services        map[string]*service
 	requests        map[uint64]*Request
 	attempts        map[uint64]*attempt
-	incarnation     uint64 // of this process; its questions carry it
+	incarnation     uint64 // identifies this process; its RPCs carry it
 	lastID          uint64
 	timers          timers
 	retryBudget     *retrybudget.Budget
 	peers           map[string]*peerState
-	meanPongSeconds float64 // mean seconds that others take to say that they are there
+	meanPongSeconds float64 // mean seconds that peers take to answer a ping
 
 	admission admission
 	shards    shards
@@ -102,25 +114,26 @@
 	ejections ejections
 }
 
-// New makes a proxy.
-func New(now float64, o Options) *Sidecar {
-	if o.Log == nil {
-		o.Log = func(string, ...any) {}
+// New returns a sidecar that has no configuration yet.
+func New(now float64, opts Options) *Sidecar {
+	if opts.Log == nil {
+		opts.Log = func(string, ...any) {}
 	}
-	p := &Sidecar{opts: o, now: now, rng: random.Source(o.Seed), services: map[string]*service{}, requests: map[uint64]*Request{}, attempts: map[uint64]*attempt{},
-		retryBudget: retrybudget.New(o.RetryRatio, o.RetrySlack), peers: map[string]*peerState{},
-		counts: Counts{Replies: map[int]uint64{}, Attempts: map[string]uint64{}, Rejected: map[string]uint64{}, Dropped: map[string]uint64{},
-			ClientsLeft: map[string]uint64{}, Cancelled: map[string]uint64{}}}
+	p := &Sidecar{opts: opts, now: now, rng: random.Source(opts.Seed), services: map[string]*service{},
+		requests: map[uint64]*Request{}, attempts: map[uint64]*attempt{},
+		retryBudget: retrybudget.New(opts.RetryRatio, opts.RetrySlack), peers: map[string]*peerState{},
+		counts: Counts{Replies: map[int]uint64{}, Attempts: map[string]uint64{}, Rejected: map[string]uint64{},
+			Dropped: map[string]uint64{}, ClientsLeft: map[string]uint64{}, Cancelled: map[string]uint64{}}}
 	p.pauses.inputAt = now
 	p.initIDs()
 	p.admission.init(p)
 	p.shards.tables = map[string]*sharding.Table{}
-	p.lease.init(o.Service)
+	p.lease.init(opts.Service)
 	p.discovery.init(p)
 	return p
 }
 
-// Take gives what is to be done since the last call.
+// TakeOutput returns what has to be sent and carried out since the last call.
 func (p *Sidecar) TakeOutput() Output {
 	p.runPending()
 	out := p.output
@@ -128,7 +141,7 @@
 	return out
 }
 
-// settle plays what actions gave rise to, in order.
+// runPending runs the deferred functions in order, also those that they add.
 func (p *Sidecar) runPending() {
 	for len(p.pending) > 0 {
 		f := p.pending[0]
@@ -137,13 +150,13 @@
 	}
 }
 
-// random gives the next of the numbers that the seed begins.
+// random returns the next number of the seeded generator.
 func (p *Sidecar) random() uint64 { return p.rng.Next() }
 
-// draw is a random number in [0, 1).
+// randomFloat returns a random number in [0, 1).
 func (p *Sidecar) randomFloat() float64 { return float64(p.random()>>11) / (1 << 53) }
 
-// send has a parcel go out; what is for this process itself comes back at once.
+// send queues a message for sending. A message to this process itself is handled without the network.
 func (p *Sidecar) send(to string, m *meshpb.Message) {
 	if to == p.opts.Self {
 		p.pending = append(p.pending, func() { p.handleMessage(to, m) })
@@ -152,7 +165,7 @@
 	p.output.Sends = append(p.output.Sends, transport.Send{To: to, Message: m})
 }
 
-// Message takes what another process says.
+// Receive handles a message of another process.
 func (p *Sidecar) Receive(now float64, from string, m *meshpb.Message) {
 	p.beginInput(now)
 	if peer := p.peers[from]; peer != nil && (!meshpb.IsAnswer(m) || p.forThisIncarnation(from, m)) {
@@ -163,12 +176,14 @@
 	p.runPending()
 }
 
-// Link takes word of how many seconds a large answer waits for this machine's link, and takes there for each byte; 0: next to nothing.
+// SetLinkBacklog sets how many seconds a large response waits for this machine's network link, and how many seconds the
+// link takes for each byte. 0 means that the delay is negligible.
 func (p *Sidecar) SetLinkBacklog(wait, perByte float64) {
 	p.admission.linkBacklog, p.admission.linkSecondsPerByte = wait, perByte
 }
 
-// Sign takes word that a large parcel of another process's is on its way: it is not silent.
+// NoteIncoming records that a part of a large message has arrived from a process, so that the process does not count as
+// silent.
 func (p *Sidecar) NoteIncoming(now float64, from string) {
 	if peer := p.peers[from]; peer != nil {
 		peer.heardAt = now
@@ -198,16 +213,17 @@
 	}
 }
 
-// Broke takes word that a connection is no more.
-func (p *Sidecar) ConnectionLost(now float64, b transport.Broke) {
+// ConnectionLost handles the loss of a connection.
+func (p *Sidecar) ConnectionLost(now float64, lost transport.Broke) {
 	p.beginInput(now)
-	p.failAttempts(b)
-	p.admission.connectionLost(b)
-	p.discovery.connectionLost(b.Peer)
+	p.failAttempts(lost)
+	p.admission.connectionLost(lost)
+	p.discovery.connectionLost(lost.Peer)
 	p.runPending()
 }
 
-// Tick does what is due. It is to be called every few hundredths of a second, and at Next.
+// Tick does the periodic work. It has to be called every few hundredths of a second, and at the time that NextTimer
+// returns.
 func (p *Sidecar) Tick(now float64) {
 	p.beginInput(now)
 	p.runTimers()
@@ -218,14 +234,15 @@
 	p.runPending()
 }
 
-// Ready says whether clients may come: a configuration is in force here, and the process is not about to end.
+// Ready reports whether clients may send requests here: a configuration is in force and the process is not shutting
+// down.
 func (p *Sidecar) Ready() bool {
 	return p.table != nil && !p.discovery.shuttingDown && p.discovery.serverAnswered
 }
 
-// Term begins the end: clients hear that they had better go elsewhere, and once they have had time to, after so many seconds,
-// nothing may be under way. The others hear of it shortly before that: until then the host here is of use to them. What comes
-// nevertheless is served.
+// BeginShutdown begins the graceful shutdown. Ready turns false at once, so that clients go elsewhere, and notice is
+// the number of seconds after which they have done so. Other processes learn of the shutdown only shortly before that
+// time, because until then they can still use the host. Requests that arrive nevertheless are served.
 func (p *Sidecar) BeginShutdown(now, notice float64) {
 	p.beginInput(now)
 	p.discovery.shuttingDown = true
@@ -233,13 +250,13 @@
 	p.runPending()
 }
 
-// Idle says whether nothing is under way here. Word on the end of a run is, until it has been taken: lost with this process,
-// it would leave a key that has run without its answer.
+// Idle reports whether nothing is in progress. A run's outcome that no control server has acknowledged yet is in
+// progress too: if it were lost with this process, the run's idempotency key would stay without its recorded answer.
 func (p *Sidecar) Idle() bool {
 	return len(p.requests) == 0 && len(p.admission.jobs) == 0 && len(p.admission.keys.settles) == 0
 }
 
-// Limits are those of the configuration in force; nil: none is.
+// Limits returns the request limits of the configuration in force, nil if there is no configuration.
 func (p *Sidecar) Limits() *routeconfig.Limits {
 	if p.table == nil {
 		return nil
@@ -247,25 +264,25 @@
 	return &p.table.Config.SizeLimits
 }
 
-// Counts add up since the process started.
+// Counts are counters since the start of the process.
 type Counts struct {
-	Replies             map[int]uint64    `json:"answers"` // to clients, by status
-	Attempts            map[string]uint64 `json:"tries"`   // sent to proxies beside hosts, by verdict
-	Rejected            map[string]uint64 `json:"turned"`  // away before the host here, by reason
-	Runs                uint64            `json:"runs"`    // given to the host here
-	LateRuns            uint64            `json:"late"`    // of those past their aim before they began
-	PeerFailures        uint64            `json:"doubts"`  // tries given up as the proxy that had them is silent or gone
-	Dropped             map[string]uint64 `json:"dropped"` // messages that changed nothing, by reason
-	ClientsLeft         map[string]uint64 `json:"left"`    // requests whose clients left before the answer, by where they were
-	SentAfterClientLeft uint64            `json:"unasked"` // tries sent for clients that had left: none is ever due
-
-	Grants        uint64 `json:"grants"`     // of keys to the host here
-	GrantsRefused uint64 `json:"notGranted"` // of these, how many it did not take
-
-	Cancelled map[string]uint64 `json:"cancelled"` // requests taken back by others, by where they were here
+	Replies             map[int]uint64    `json:"answers"` // sent to clients, by status
+	Attempts            map[string]uint64 `json:"tries"`   // sent to sidecars, by outcome
+	Rejected            map[string]uint64 `json:"turned"`  // requests rejected before they reached the host here, by reason
+	Runs                uint64            `json:"runs"`    // requests passed to the host here
+	LateRuns            uint64            `json:"late"`    // of these, past their soft deadline when they began
+	PeerFailures        uint64            `json:"doubts"`  // attempts given up because the peer is silent or lost
+	Dropped             map[string]uint64 `json:"dropped"` // messages without effect, by reason
+	ClientsLeft         map[string]uint64 `json:"left"`    // requests whose clients left before the reply, by where the request was
+	SentAfterClientLeft uint64            `json:"unasked"` // attempts sent although the client had left: expected to stay 0
+
+	Grants        uint64 `json:"grants"`     // of shard key ranges to the host here
+	GrantsRefused uint64 `json:"notGranted"` // of these, not accepted by the host
+
+	Cancelled map[string]uint64 `json:"cancelled"` // requests cancelled by other sidecars, by their state here
 }
 
-// State is what an operator sees of a proxy.
+// State is the status of a sidecar as the operators' API shows it.
 type State struct {
 	Edition      uint64           `json:"edition"`
 	Ready        bool             `json:"ready"`
@@ -282,18 +299,20 @@
 	AvoidedHosts map[string]int   `json:"avoided"`
 	Ejected      []string         `json:"condemned"`
 	Suspects     []string         `json:"accused"`
-	Keys         *KeyState        `json:"keys,omitempty"` // nil: the host here holds none, nor is to
+	Keys         *KeyState        `json:"keys,omitempty"` // nil: the host holds no shard keys and is not assigned any
 }
 
-// State tells what is known here.
+// State returns the current status.
 func (p *Sidecar) State(now float64) State {
 	p.beginInput(now)
-	s := State{Ready: p.Ready(), Ending: p.discovery.shuttingDown, Servers: p.discovery.servers, Host: p.discovery.own, Requests: len(p.requests),
-		Jobs: len(p.admission.jobs), Queued: len(p.admission.queue), QueuedLate: len(p.admission.lateQueue.jobs), AvoidedHosts: map[string]int{},
-		Counts: Counts{Replies: maps.Clone(p.counts.Replies), Attempts: maps.Clone(p.counts.Attempts), Rejected: maps.Clone(p.counts.Rejected),
-			Runs: p.counts.Runs, LateRuns: p.counts.LateRuns, PeerFailures: p.counts.PeerFailures, Dropped: maps.Clone(p.counts.Dropped), ClientsLeft: maps.Clone(p.counts.ClientsLeft),
-			SentAfterClientLeft: p.counts.SentAfterClientLeft, Cancelled: maps.Clone(p.counts.Cancelled), Grants: p.counts.Grants,
-			GrantsRefused: p.counts.GrantsRefused}}
+	s := State{Ready: p.Ready(), Ending: p.discovery.shuttingDown, Servers: p.discovery.servers, Host: p.discovery.own,
+		Requests: len(p.requests), Jobs: len(p.admission.jobs), Queued: len(p.admission.queue),
+		QueuedLate: len(p.admission.lateQueue.jobs), AvoidedHosts: map[string]int{},
+		Counts: Counts{Replies: maps.Clone(p.counts.Replies), Attempts: maps.Clone(p.counts.Attempts),
+			Rejected: maps.Clone(p.counts.Rejected), Runs: p.counts.Runs, LateRuns: p.counts.LateRuns,
+			PeerFailures: p.counts.PeerFailures, Dropped: maps.Clone(p.counts.Dropped),
+			ClientsLeft: maps.Clone(p.counts.ClientsLeft), SentAfterClientLeft: p.counts.SentAfterClientLeft,
+			Cancelled: maps.Clone(p.counts.Cancelled), Grants: p.counts.Grants, GrantsRefused: p.counts.GrantsRefused}}
 	if p.table != nil {
 		s.Edition = p.table.Edition
 	}
@@ -313,7 +332,7 @@
 
 var _ balancer.Actions = (*service)(nil)
 
-// Edition is the version of the configuration in force here; 0: none is.
+// Edition returns the version of the configuration in force, 0 if there is none.
 func (p *Sidecar) Edition() uint64 {
 	if p.table == nil {
 		return 0
@@ -321,7 +340,7 @@
 	return p.table.Edition
 }
 
-// Configuration is the text and the version in force here; nil: none is.
+// Configuration returns the text and the version of the configuration in force, nil and 0 if there is none.
 func (p *Sidecar) Configuration() (text []byte, version uint64) {
 	if p.table == nil {
 		return nil, 0
--- a/internal/mesh/sidecar/timers.go
+++ b/internal/mesh/sidecar/timers.go
@@ -5,15 +5,14 @@
 	"math"
 )
 
-// Timers are inputs that a process gives itself, in order of their times.
-
+// timer is a function that runs at a set time.
 type timer struct {
 	due float64
 	seq uint64
 	run func()
 }
 
-// timers is a heap, the next one due first.
+// timers is a heap ordered by time, the next one first.
 type timers []timer
 
 func (h timers) Len() int { return len(h) }
@@ -34,7 +33,7 @@
 	heap.Push(&p.timers, timer{when, p.nextID(), run})
 }
 
-// fire plays the timers that are due.
+// runTimers runs the timers that are due.
 func (p *Sidecar) runTimers() {
 	for len(p.timers) > 0 && p.timers[0].due <= p.now {
 		heap.Pop(&p.timers).(timer).run()
@@ -42,7 +41,7 @@
 	}
 }
 
-// Next is when the next timer is due; infinite: none is set.
+// NextTimer returns when the next timer is due, or infinity if none is set.
 func (p *Sidecar) NextTimer() float64 {
 	if len(p.timers) == 0 {
 		return math.Inf(1)
--- a/internal/mesh/sidecar/tombstones.go
+++ b/internal/mesh/sidecar/tombstones.go
@@ -7,14 +7,15 @@
 	"beechwing/internal/mesh/meshpb"
 )
 
-// tombstone is what stays of a source that the control servers have forgotten, so that no older record of it
-// is taken from another proxy.
+// tombstone replaces the record of a proxy that the control servers have forgotten, so that no older record of it is
+// accepted from another proxy.
 type tombstone struct {
 	record      *meshpb.Record
-	forgottenAt float64 // when the source was forgotten
+	forgottenAt float64 // when the proxy was forgotten
 }
 
-// take takes another source's record if it is newer than what is known, and says whether the list may change.
+// applyRecord stores another proxy's record if it is newer than the known one, and reports whether the list of hosts
+// may have changed.
 func (d *discovery) applyRecord(record *meshpb.Record) bool {
 	known := d.records[record.Source]
 	if known == nil {
@@ -34,8 +35,8 @@
 	return listed
 }
 
-// isOlder says of a record of the host here whether it is an earlier life's, or a tombstone: a newer one has
-// to be told.
+// supersedesOwn reports whether a received record of the host here supersedes the own one: it is of a former process,
+// or a tombstone. Then a record with a higher version has to be published.
 func (d *discovery) supersedesOwn(record *meshpb.Record) bool {
 	if record.Version != d.own.Version {
 		return record.Version > d.own.Version
@@ -43,20 +44,20 @@
 	return record.IsTombstone() || record.Station != d.own.Station
 }
 
-// forgottenOf are the tombstones of sources of which another proxy has older versions.
-func (d *discovery) tombstonesFor(has map[string]uint64) (all []*meshpb.Record) {
+// tombstonesFor returns the tombstones of the proxies of which another process has older records.
+func (d *discovery) tombstonesFor(versions map[string]uint64) (all []*meshpb.Record) {
 	for _, proxy := range slices.Sorted(maps.Keys(d.tombstones)) {
-		gone := d.tombstones[proxy]
-		if version, named := has[proxy]; named && version < gone.record.Version {
-			all = append(all, gone.record.Aged(d.sidecar.now-gone.forgottenAt))
+		entry := d.tombstones[proxy]
+		if version, named := versions[proxy]; named && version < entry.record.Version {
+			all = append(all, entry.record.Aged(d.sidecar.now-entry.forgottenAt))
 		}
 	}
 	return all
 }
 
-// dropTombstones drops those that are too old.
+// expireTombstones drops the tombstones that are too old.
 func (d *discovery) expireTombstones() {
-	maps.DeleteFunc(d.tombstones, func(_ string, gone tombstone) bool {
-		return d.sidecar.now > gone.forgottenAt+meshpb.TombstoneSeconds
+	maps.DeleteFunc(d.tombstones, func(_ string, entry tombstone) bool {
+		return d.sidecar.now > entry.forgottenAt+meshpb.TombstoneSeconds
 	})
 }
