--- a/internal/mesh/sidecar/admission.go
+++ b/internal/mesh/sidecar/admission.go
@@ -287,10 +287,10 @@
 // would be served, at the recent rate for late requests, in the time that this one has left. While that rate is not
 // known a few may wait.
 func (adm *admission) lateQueueHasRoom(j *job) bool {
-	room := j.deadline - adm.sidecar.now - runTimeFactor*adm.classRunSeconds[j.forward.Class] - replyTransit -
+	spareSeconds := j.deadline - adm.sidecar.now - runTimeFactor*adm.classRunSeconds[j.forward.Class] - replyTransit -
 		adm.linkDelay(j.forward.Class)
-	return room > 0 &&
-		float64(len(adm.lateQueue.jobs)) < max(float64(adm.slots())*lateQueueShare, adm.lateQueue.rate(adm.sidecar.now)*room)
+	return spareSeconds > 0 &&
+		float64(len(adm.lateQueue.jobs)) < max(float64(adm.slots())*lateQueueShare, adm.lateQueue.rate(adm.sidecar.now)*spareSeconds)
 }
 
 func (adm *admission) start(j *job) {
@@ -305,7 +305,8 @@
 		Exchange{Job: j.id, Forward: forward, Deadline: j.deadline + hostDeadlineGrace})
 }
 
-// reject ends a request of which no byte went to the host. backMs is not 0 if the host is full, and 0 if it is gone.
+// reject ends a request of which no byte went to the host. The reason why is the value of a metric label. backMs is not 0
+// if the host is full, and 0 if it is gone.
 func (adm *admission) reject(j *job, why string, backMs uint32) {
 	adm.sidecar.counts.Rejected[why]++
 	adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Turned), Why: why, BackMs: backMs})
--- a/internal/mesh/sidecar/admission_test.go
+++ b/internal/mesh/sidecar/admission_test.go
@@ -8,222 +8,224 @@
 	"beechwing/internal/mesh/outcome"
 )
 
-// door is a proxy with a host of four berths beside it, as another proxy meets it.
+// hostFixture is a sidecar with a host of four slots. The tests send it requests as the sidecar "there" would.
 type hostFixture struct {
 	t         *testing.T
 	sidecar   *Sidecar
 	now       float64
 	lastID    uint64
-	runs      []uint64            // what went to the host, by the parcels' numbers
-	exchanges map[uint64]Exchange // by the same
+	runs      []uint64            // tokens of the requests that went to the host, in order
+	exchanges map[uint64]Exchange // by token
 	results   map[uint64]*meshpb.Forwarded
 
 	heartbeats uint64
-	aborted    []uint64 // jobs that were broken off at the host
+	aborted    []uint64 // IDs of the jobs that were aborted at the host
 }
 
 func newHostFixture(t *testing.T) *hostFixture {
-	d := &hostFixture{t: t, now: 1, exchanges: map[uint64]Exchange{}, results: map[uint64]*meshpb.Forwarded{}}
-	d.sidecar = New(d.now, Options{Self: "here", Seeds: []string{"hall"}, HeartbeatInterval: 1.5, MaxBodyBytes: 1 << 20})
-	d.sidecar.Heartbeat(d.now, Heartbeat{ID: "i-1", Service: "shop", Slots: 4, Sequence: 1})
-	d.collect()
-	return d
+	f := &hostFixture{t: t, now: 1, exchanges: map[uint64]Exchange{}, results: map[uint64]*meshpb.Forwarded{}}
+	f.sidecar = New(f.now, Options{Self: "here", Seeds: []string{"hall"}, HeartbeatInterval: 1.5, MaxBodyBytes: 1 << 20})
+	f.sidecar.Heartbeat(f.now, Heartbeat{ID: "i-1", Service: "shop", Slots: 4, Sequence: 1})
+	f.collect()
+	return f
 }
 
-func (d *hostFixture) collect() {
-	out := d.sidecar.TakeOutput()
+func (f *hostFixture) collect() {
+	out := f.sidecar.TakeOutput()
 	for _, s := range out.Sends {
 		if s.Message.Forwarded != nil {
-			d.results[s.Message.Id] = s.Message.Forwarded
+			f.results[s.Message.Id] = s.Message.Forwarded
 		}
 	}
-	for _, do := range out.Commands {
-		switch do := do.(type) {
+	for _, command := range out.Commands {
+		switch command := command.(type) {
 		case Exchange:
-			n := uint64(do.Forward.Token)
-			d.runs = append(d.runs, n)
-			d.exchanges[n] = do
+			n := uint64(command.Forward.Token)
+			f.runs = append(f.runs, n)
+			f.exchanges[n] = command
 		case Abort:
-			d.aborted = append(d.aborted, do.Job)
+			f.aborted = append(f.aborted, command.Job)
 		}
 	}
 }
 
-// carry brings a request that has been turned away elsewhere, with so many seconds to its aim and its end.
-func (d *hostFixture) forward(target, left float64) uint64 {
-	d.lastID++
-	d.sidecar.Receive(d.now, "there", &meshpb.Message{Id: d.lastID, Forward: &meshpb.Forward{Station: "i-1",
-		Token: d.lastID, Attempt: 1,
-		AimUs: uint32(target * 1e6), LeftUs: uint32(left * 1e6), Repeatable: true}})
-	d.collect()
-	return d.lastID
+// forward sends a second attempt of a request, with the given seconds until its soft deadline and its deadline. It
+// returns the message's ID, which is the token too.
+func (f *hostFixture) forward(target, left float64) uint64 {
+	f.lastID++
+	f.sidecar.Receive(f.now, "there", &meshpb.Message{Id: f.lastID, Forward: &meshpb.Forward{Station: "i-1", Token: f.lastID,
+		Attempt: 1, AimUs: uint32(target * 1e6), LeftUs: uint32(left * 1e6), Repeatable: true}})
+	f.collect()
+	return f.lastID
 }
 
-// beatNext has the host say again that it is well.
-func (d *hostFixture) nextHeartbeat() {
-	d.heartbeats++
-	d.heartbeat(1+d.heartbeats, false)
+// nextHeartbeat sends a further heartbeat of the healthy host.
+func (f *hostFixture) nextHeartbeat() {
+	f.heartbeats++
+	f.heartbeat(1+f.heartbeats, false)
 }
 
-// answer has the host answer a request.
-func (d *hostFixture) hostAnswers(n uint64) {
-	d.sidecar.ExchangeDone(d.now, d.exchanges[n].Job, &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200})
-	d.collect()
+// hostAnswers has the host answer a request.
+func (f *hostFixture) hostAnswers(n uint64) {
+	f.sidecar.ExchangeDone(f.now, f.exchanges[n].Job, &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200})
+	f.collect()
 }
 
-func (d *hostFixture) advance(s float64) {
-	for end := d.now + s; d.now < end; {
-		d.now += 0.02
-		d.sidecar.Tick(d.now)
-		d.collect()
+func (f *hostFixture) advance(seconds float64) {
+	for end := f.now + seconds; f.now < end; {
+		f.now += 0.02
+		f.sidecar.Tick(f.now)
+		f.collect()
 	}
 }
 
-// At a full host what cannot be in time waits behind all that can, takes no more than its part of the berths, and goes while
-// its client still waits.
+// At a full host a request that cannot meet its soft deadline waits behind all that can. It gets no slot while half of
+// the slots are in use, and runs while its client still waits.
 func TestLateOnesWaitBehindThoseInTime(t *testing.T) {
-	d := newHostFixture(t)
-	first := []uint64{d.forward(1, 2), d.forward(1, 2), d.forward(1, 2), d.forward(1, 2)}
-	late := d.forward(0, 2)
-	prompt := d.forward(1, 2)
-	if len(d.runs) != 4 || d.results[late] != nil {
-		t.Fatalf("ran %v, told %v", d.runs, d.results)
-	}
-	d.advance(0.1)
-	d.hostAnswers(first[0])
-	if n := d.runs[len(d.runs)-1]; n != prompt {
-		t.Fatalf("%d got the free berth, %d was in time", n, prompt)
-	}
-	d.hostAnswers(first[1])
-	d.hostAnswers(first[2])
-	if n := d.runs[len(d.runs)-1]; n != prompt {
-		t.Fatalf("%d runs with half of the berths in use: nothing is left for what has hurry", n)
-	}
-	d.hostAnswers(first[3])
-	if n := d.runs[len(d.runs)-1]; n != late {
-		t.Fatalf("%d is the last that ran, %d waits beside free berths", n, late)
+	f := newHostFixture(t)
+	first := []uint64{f.forward(1, 2), f.forward(1, 2), f.forward(1, 2), f.forward(1, 2)}
+	late := f.forward(0, 2)
+	prompt := f.forward(1, 2)
+	if len(f.runs) != 4 || f.results[late] != nil {
+		t.Fatalf("ran %v, responses %v", f.runs, f.results)
+	}
+	f.advance(0.1)
+	f.hostAnswers(first[0])
+	if n := f.runs[len(f.runs)-1]; n != prompt {
+		t.Fatalf("%d got the free slot, but %d is in time", n, prompt)
+	}
+	f.hostAnswers(first[1])
+	f.hostAnswers(first[2])
+	if n := f.runs[len(f.runs)-1]; n != prompt {
+		t.Fatalf("%d runs with half of the slots in use, which leaves none for urgent requests", n)
+	}
+	f.hostAnswers(first[3])
+	if n := f.runs[len(f.runs)-1]; n != late {
+		t.Fatalf("%d ran last, but %d waits although slots are free", n, late)
 	}
 }
 
-// No more wait late than may be served so: the others are told at once, and one that waits is told as soon as it is too late for it.
+// No more late requests may wait than are likely to be served. The others are rejected at once, and a waiting one as
+// soon as it cannot meet its deadline any more.
 func TestLateOnesAreFewAndToldInTime(t *testing.T) {
-	d := newHostFixture(t)
+	f := newHostFixture(t)
 	for range 4 {
-		d.forward(1, 3)
+		f.forward(1, 3)
 	}
 	var waiting []uint64
 	for range 5 {
-		n := d.forward(0, 1)
-		if d.results[n] == nil {
+		n := f.forward(0, 1)
+		if f.results[n] == nil {
 			waiting = append(waiting, n)
-		} else if outcome.Outcome(d.results[n].Verdict) != outcome.Turned || d.results[n].BackMs == 0 {
-			t.Errorf("told %v", d.results[n])
+		} else if outcome.Outcome(f.results[n].Verdict) != outcome.Turned || f.results[n].BackMs == 0 {
+			t.Errorf("response %v", f.results[n])
 		}
 	}
 	if len(waiting) != 2 {
-		t.Fatalf("%d of 5 wait where nobody knows whether any gets its turn, want 2", len(waiting))
+		t.Fatalf("%d of 5 late requests wait while their rate of service is unknown, want 2", len(waiting))
 	}
-	d.advance(0.9)
+	f.advance(0.9)
 	for _, n := range waiting {
-		if d.results[n] != nil {
-			t.Errorf("%d was given up with time left", n)
+		if f.results[n] != nil {
+			t.Errorf("%d was rejected with time left", n)
 		}
 	}
-	d.advance(0.1)
+	f.advance(0.1)
 	for _, n := range waiting {
-		if forwarded := d.results[n]; forwarded == nil || outcome.Outcome(forwarded.Verdict) != outcome.Turned {
-			t.Errorf("%d is held to its end: %v", n, forwarded)
+		if forwarded := f.results[n]; forwarded == nil || outcome.Outcome(forwarded.Verdict) != outcome.Turned {
+			t.Errorf("%d was not rejected before its deadline: %v", n, forwarded)
 		}
 	}
 }
 
-// One that waits in time and then is not goes behind the others.
+// A request that passes its soft deadline while it waits goes behind those that are in time.
 func TestWaitingPastTheAimLosesThePlace(t *testing.T) {
-	d := newHostFixture(t)
+	f := newHostFixture(t)
 	var first []uint64
 	for range 4 {
-		first = append(first, d.forward(3, 4))
+		first = append(first, f.forward(3, 4))
 	}
-	slow := d.forward(0.2, 2)
-	d.advance(0.3)
-	prompt := d.forward(1, 2)
-	d.hostAnswers(first[0])
-	if n := d.runs[len(d.runs)-1]; n != prompt {
-		t.Errorf("%d got the berth, %d is past its aim and %d is not", n, slow, prompt)
+	slow := f.forward(0.2, 2)
+	f.advance(0.3)
+	prompt := f.forward(1, 2)
+	f.hostAnswers(first[0])
+	if n := f.runs[len(f.runs)-1]; n != prompt {
+		t.Errorf("%d got the slot; %d is past its soft deadline and %d is not", n, slow, prompt)
 	}
 	for _, n := range first[1:] {
-		d.hostAnswers(n)
+		f.hostAnswers(n)
 	}
-	if n := d.runs[len(d.runs)-1]; n != slow {
+	if n := f.runs[len(f.runs)-1]; n != slow {
 		t.Errorf("%d ran last, want %d", n, slow)
 	}
 }
 
-// A full link: a large answer is asked for only where it can be in time behind those that wait or are being made; small ones go as ever.
+// With a full network link, a request with a large response is admitted only if the response can be in time behind
+// those that wait or are being made. Requests with small responses are admitted as usual.
 func TestLargeAnswersDoNotQueueInAFullLink(t *testing.T) {
-	d := newHostFixture(t)
-	d.sidecar.admission.classBodyBytes[9] = 100 << 10
-	const perByte = 1.0 / (2 << 20) // 100 KB take 49 ms
+	f := newHostFixture(t)
+	f.sidecar.admission.classBodyBytes[9] = 100 << 10
+	const secondsPerByte = 1.0 / (2 << 20) // 100 KB take 49 ms
 	large := func(target float64) uint64 {
-		d.lastID++
-		d.sidecar.Receive(d.now, "there", &meshpb.Message{Id: d.lastID, Forward: &meshpb.Forward{Station: "i-1",
-			Token: d.lastID, Attempt: 1, Class: 9,
-			AimUs: uint32(target * 1e6), LeftUs: 3e6, Repeatable: true}})
-		d.collect()
-		return d.lastID
+		f.lastID++
+		f.sidecar.Receive(f.now, "there", &meshpb.Message{Id: f.lastID, Forward: &meshpb.Forward{Station: "i-1",
+			Token: f.lastID, Attempt: 1, Class: 9, AimUs: uint32(target * 1e6), LeftUs: 3e6, Repeatable: true}})
+		f.collect()
+		return f.lastID
 	}
-	d.sidecar.SetLinkBacklog(0.15, perByte)
-	if n := large(0.2); d.results[n] != nil {
-		t.Errorf("turned away with 0.15 s to wait and 0.2 s to its aim: %v", d.results[n])
+	f.sidecar.SetLinkBacklog(0.15, secondsPerByte)
+	if n := large(0.2); f.results[n] != nil {
+		t.Errorf("rejected with 0.15 s to wait and 0.2 s to the soft deadline: %v", f.results[n])
 	}
-	if n := large(0.2); d.results[n] == nil || d.results[n].BackMs == 0 {
-		t.Error("taken behind one that is being made, 0.2 s to wait and 0.2 s to its aim")
+	if n := large(0.2); f.results[n] == nil || f.results[n].BackMs == 0 {
+		t.Error("admitted behind a response that is being made, with 0.2 s to wait and 0.2 s to the soft deadline")
 	}
-	if n := large(0.4); d.results[n] != nil {
-		t.Errorf("turned away with 0.2 s to wait and 0.4 s to its aim: %v", d.results[n])
+	if n := large(0.4); f.results[n] != nil {
+		t.Errorf("rejected with 0.2 s to wait and 0.4 s to the soft deadline: %v", f.results[n])
 	}
-	if n := d.forward(0.2, 1); d.results[n] != nil {
-		t.Errorf("a small one is turned away: %v", d.results[n])
+	if n := f.forward(0.2, 1); f.results[n] != nil {
+		t.Errorf("a request with a small response was rejected: %v", f.results[n])
 	}
 }
 
-// This process is stopped while its host runs something: that says nothing of how long the host takes, and all goes on afterwards.
+// A pause of this process during a run must not count as run time of the host, or the sidecar would reject requests for
+// an idle host afterwards.
 func TestStopOfThisProcessIsNoSlowHost(t *testing.T) {
-	d := newHostFixture(t)
-	n := d.forward(1, 2)
-	d.now += 40
-	d.hostAnswers(n)
-	d.advance(bufferedFor)
-	d.nextHeartbeat()
-	if work := d.sidecar.admission.meanRunSeconds; work > initialRunSeconds+meanRunStep {
-		t.Errorf("the host is taken to work %.2f s on a request", work)
-	}
-	if n := d.forward(0.2, 2); d.results[n] != nil {
-		t.Errorf("turned away from an idle host: %v", d.results[n])
+	f := newHostFixture(t)
+	n := f.forward(1, 2)
+	f.now += 40
+	f.hostAnswers(n)
+	f.advance(bufferedFor)
+	f.nextHeartbeat()
+	if mean := f.sidecar.admission.meanRunSeconds; mean > initialRunSeconds+meanRunStep {
+		t.Errorf("the mean run time is %.2f s", mean)
+	}
+	if n := f.forward(0.2, 2); f.results[n] != nil {
+		t.Errorf("rejected although the host is idle: %v", f.results[n])
 	}
 }
 
-// A host that was slow is found to be fast again, though nothing seemed to be in time there.
+// A host that was slow must be found to be fast again, although by its old run times no request could be in time there.
 func TestSlowHostIsTriedAgain(t *testing.T) {
-	d := newHostFixture(t)
-	const slow = 1.0
+	f := newHostFixture(t)
+	const slowRunSeconds = 1.0
 	for range 60 {
-		n := d.forward(2, 4)
-		d.advance(slow)
-		d.hostAnswers(n)
-		d.nextHeartbeat()
+		n := f.forward(2, 4)
+		f.advance(slowRunSeconds)
+		f.hostAnswers(n)
+		f.nextHeartbeat()
 	}
 	for range 200 {
-		n := d.forward(0.2, 0.5)
-		if d.results[n] != nil {
-			t.Fatalf("turned away from an idle host: %v", d.results[n])
+		n := f.forward(0.2, 0.5)
+		if f.results[n] != nil {
+			t.Fatalf("rejected although the host is idle: %v", f.results[n])
 		}
-		d.advance(0.02)
-		d.hostAnswers(n)
-		d.nextHeartbeat()
+		f.advance(0.02)
+		f.hostAnswers(n)
+		f.nextHeartbeat()
 	}
-	first, second := d.forward(0.2, 0.5), d.forward(0.2, 0.5)
-	if d.results[first] != nil || d.results[second] != nil {
-		t.Errorf("fast again, and turned away: %v, %v", d.results[first], d.results[second])
+	first, second := f.forward(0.2, 0.5), f.forward(0.2, 0.5)
+	if f.results[first] != nil || f.results[second] != nil {
+		t.Errorf("rejected although the host is fast again: %v, %v", f.results[first], f.results[second])
 	}
 }
--- a/internal/mesh/sidecar/attempts.go
+++ b/internal/mesh/sidecar/attempts.go
@@ -233,8 +233,8 @@
 	return all
 }
 
-// watchPeers detects peers that are silent while they have attempts of this sidecar: a machine that is cut off does not
-// close its connections. A repeatable request is retried; one that is not waits for its end.
+// watchPeers pings peers that are silent while they have attempts of this sidecar, since a machine that is cut off does
+// not close its connections. If a peer does not answer in time, the attempts sent before the ping are given up.
 func (p *Sidecar) watchPeers() {
 	for _, proxy := range slices.Sorted(maps.Keys(p.peers)) { // in a fixed order, so that a run can be replayed from its seed
 		peer := p.peers[proxy]
--- a/internal/mesh/sidecar/cancellation_test.go
+++ b/internal/mesh/sidecar/cancellation_test.go
@@ -7,98 +7,98 @@
 	"beechwing/internal/mesh/outcome"
 )
 
-// cancel has the other proxy take a request back.
-func (d *hostFixture) cancel(n uint64) {
-	d.sidecar.Receive(d.now, "there", &meshpb.Message{Cancel: &meshpb.Cancel{Forward: n}})
-	d.collect()
+// cancel has the sender of a request cancel it.
+func (f *hostFixture) cancel(n uint64) {
+	f.sidecar.Receive(f.now, "there", &meshpb.Message{Cancel: &meshpb.Cancel{Forward: n}})
+	f.collect()
 }
 
-func (d *hostFixture) wantOutcome(n uint64, want outcome.Outcome) {
-	d.t.Helper()
-	forwarded := d.results[n]
+func (f *hostFixture) wantOutcome(n uint64, want outcome.Outcome) {
+	f.t.Helper()
+	forwarded := f.results[n]
 	if forwarded == nil {
-		d.t.Errorf("nothing is told of %d, want %v", n, want)
+		f.t.Errorf("no response to %d, want %v", n, want)
 	} else if got := outcome.Outcome(forwarded.Verdict); got != want {
-		d.t.Errorf("%d is told as %v, want %v", n, got, want)
+		f.t.Errorf("the outcome of %d is %v, want %v", n, got, want)
 	}
 }
 
-// What runs and may be repeated is broken off, and its slot goes to the next; what waits is not begun.
+// The run of a repeatable request is aborted and its slot goes to the next request; a waiting request is not begun.
 func TestCancelledRequestsMakeRoom(t *testing.T) {
-	d := newHostFixture(t)
+	f := newHostFixture(t)
 	var running []uint64
 	for range 4 {
-		running = append(running, d.forward(1, 2))
+		running = append(running, f.forward(1, 2))
 	}
-	left, next := d.forward(1, 2), d.forward(1, 2)
-	d.cancel(left)
-	d.wantOutcome(left, outcome.Turned)
-	d.cancel(running[1])
-	d.wantOutcome(running[1], outcome.Cancelled)
-	if n := d.runs[len(d.runs)-1]; n != next {
+	left, next := f.forward(1, 2), f.forward(1, 2)
+	f.cancel(left)
+	f.wantOutcome(left, outcome.Turned)
+	f.cancel(running[1])
+	f.wantOutcome(running[1], outcome.Cancelled)
+	if n := f.runs[len(f.runs)-1]; n != next {
 		t.Errorf("%d runs, want %d, which waited for the slot", n, next)
 	}
-	if len(d.aborted) != 1 || d.aborted[0] != d.exchanges[running[1]].Job {
-		t.Errorf("broken off at the host: %v, want the job of %d", d.aborted, running[1])
+	if len(f.aborted) != 1 || f.aborted[0] != f.exchanges[running[1]].Job {
+		t.Errorf("aborted jobs: %v, want the one of request %d", f.aborted, running[1])
 	}
-	d.hostAnswers(running[1]) // its end comes back all the same
-	if got := d.sidecar.State(d.now).Counts.Cancelled; got[cancelWaiting] != 1 || got[cancelRunning] != 1 {
-		t.Errorf("counted %v", got)
+	f.hostAnswers(running[1]) // the end of the aborted run is still reported
+	if got := f.sidecar.State(f.now).Counts.Cancelled; got[cancelWaiting] != 1 || got[cancelRunning] != 1 {
+		t.Errorf("cancellations counted: %v", got)
 	}
 }
 
-// One that waits behind those in time, as it is late, is taken back too.
+// A request in the late queue is cancelled too.
 func TestCancelledLateRequestIsNotBegun(t *testing.T) {
-	d := newHostFixture(t)
-	first := []uint64{d.forward(1, 2), d.forward(1, 2), d.forward(1, 2), d.forward(1, 2)}
-	late := d.forward(0, 2)
-	d.cancel(late)
-	d.wantOutcome(late, outcome.Turned)
+	f := newHostFixture(t)
+	first := []uint64{f.forward(1, 2), f.forward(1, 2), f.forward(1, 2), f.forward(1, 2)}
+	late := f.forward(0, 2)
+	f.cancel(late)
+	f.wantOutcome(late, outcome.Turned)
 	for _, n := range first {
-		d.hostAnswers(n)
+		f.hostAnswers(n)
 	}
-	if len(d.runs) != 4 {
-		t.Errorf("ran %v, the late one was taken back", d.runs)
+	if len(f.runs) != 4 {
+		t.Errorf("ran %v, but the late request was cancelled", f.runs)
 	}
 }
 
-// What may not be repeated goes on to its end once the host has it.
+// A request that may not be repeated runs to its end once the host has it.
 func TestUnsafeRunsGoOn(t *testing.T) {
-	d := newHostFixture(t)
-	d.lastID++
-	n := d.lastID
-	d.sidecar.Receive(d.now, "there", &meshpb.Message{Id: n, Forward: &meshpb.Forward{Station: "i-1", Token: n,
+	f := newHostFixture(t)
+	f.lastID++
+	n := f.lastID
+	f.sidecar.Receive(f.now, "there", &meshpb.Message{Id: n, Forward: &meshpb.Forward{Station: "i-1", Token: n,
 		AimUs: 1e6, LeftUs: 1e6}})
-	d.collect()
-	d.cancel(n)
-	if d.results[n] != nil || len(d.aborted) > 0 {
-		t.Fatalf("told %v, broke off %v", d.results[n], d.aborted)
+	f.collect()
+	f.cancel(n)
+	if f.results[n] != nil || len(f.aborted) > 0 {
+		t.Fatalf("response %v, aborted jobs %v, want neither", f.results[n], f.aborted)
 	}
-	d.hostAnswers(n)
-	d.wantOutcome(n, outcome.Answered)
+	f.hostAnswers(n)
+	f.wantOutcome(n, outcome.Answered)
 }
 
-// A large request may come after its cancellation, which is small: it is not begun then.
+// A large request may arrive after its small cancellation, and is not begun then.
 func TestCancellationAheadOfItsRequest(t *testing.T) {
-	d := newHostFixture(t)
-	const life, id = 9, 77
-	d.sidecar.Receive(d.now, "there", &meshpb.Message{Life: life, Cancel: &meshpb.Cancel{Forward: id}})
-	d.sidecar.Receive(d.now, "there", &meshpb.Message{Id: id, Life: life, Forward: &meshpb.Forward{Station: "i-1",
+	f := newHostFixture(t)
+	const incarnation, id = 9, 77
+	f.sidecar.Receive(f.now, "there", &meshpb.Message{Life: incarnation, Cancel: &meshpb.Cancel{Forward: id}})
+	f.sidecar.Receive(f.now, "there", &meshpb.Message{Id: id, Life: incarnation, Forward: &meshpb.Forward{Station: "i-1",
 		Token: id, AimUs: 1e6, LeftUs: 1e6}})
-	d.collect()
-	if len(d.runs) > 0 {
-		t.Error("it runs")
+	f.collect()
+	if len(f.runs) > 0 {
+		t.Error("the cancelled request runs")
 	}
 }
 
-// A cancellation names a request of its own sender's.
+// A cancellation affects only requests of its own sender and incarnation.
 func TestCancellationOfAnothersRequest(t *testing.T) {
-	d := newHostFixture(t)
-	n := d.forward(1, 2)
-	d.sidecar.Receive(d.now, "elsewhere", &meshpb.Message{Cancel: &meshpb.Cancel{Forward: n}})
-	d.sidecar.Receive(d.now, "there", &meshpb.Message{Life: 5, Cancel: &meshpb.Cancel{Forward: n}})
-	d.collect()
-	if len(d.aborted) > 0 || d.results[n] != nil {
-		t.Errorf("taken back by another: %v, %v", d.aborted, d.results[n])
+	f := newHostFixture(t)
+	n := f.forward(1, 2)
+	f.sidecar.Receive(f.now, "elsewhere", &meshpb.Message{Cancel: &meshpb.Cancel{Forward: n}})
+	f.sidecar.Receive(f.now, "there", &meshpb.Message{Life: 5, Cancel: &meshpb.Cancel{Forward: n}})
+	f.collect()
+	if len(f.aborted) > 0 || f.results[n] != nil {
+		t.Errorf("cancelled by another process: aborted jobs %v, response %v", f.aborted, f.results[n])
 	}
 }
--- a/internal/mesh/sidecar/claims_test.go
+++ b/internal/mesh/sidecar/claims_test.go
@@ -9,11 +9,12 @@
 	"beechwing/internal/mesh/register"
 )
 
-// claimants is a proxy to which keyed requests come, and the control processes that it asks, which answer as the test says.
+// claimFixture is a sidecar that receives requests with idempotency keys, with control servers whose answers the test
+// sets.
 type claimFixture struct {
 	*hostFixture
-	answerClaim func(claim *meshpb.Claim) *meshpb.Claimed // nil: none
-	claims      int                                       // sent
+	answerClaim func(claim *meshpb.Claim) *meshpb.Claimed // nil: no answer
+	claims      int                                       // number of claims sent
 	finished    []*meshpb.Forwarded
 	heartbeats  uint64
 }
@@ -24,28 +25,28 @@
 	return c
 }
 
-// run has so many requests a second come for some seconds.
+// run sends the given number of requests a second for some seconds.
 func (c *claimFixture) run(rate, seconds float64) {
 	const tick = 0.01
-	due, beats := 0.0, c.now
+	dueRequests, nextHeartbeatAt := 0.0, c.now
 	for until := c.now + seconds; c.now < until; c.now += tick {
-		if c.now >= beats {
-			beats += 1.5
+		if c.now >= nextHeartbeatAt {
+			nextHeartbeatAt += 1.5
 			c.heartbeats++
 			c.sidecar.Heartbeat(c.now, Heartbeat{ID: "i-1", Service: "shop", Slots: 4, Sequence: 1 + c.heartbeats})
 		}
-		for due += rate * tick; due >= 1; due-- {
+		for dueRequests += rate * tick; dueRequests >= 1; dueRequests-- {
 			c.lastID++
 			c.sidecar.Receive(c.now, "there", &meshpb.Message{Id: c.lastID, Life: 9, Forward: &meshpb.Forward{Station: "i-1",
-				Token: c.lastID,
-				Key:   fmt.Sprint("k", c.lastID), AimUs: 4e5, LeftUs: 1e6}})
+				Token: c.lastID, Key: fmt.Sprint("k", c.lastID), AimUs: 4e5, LeftUs: 1e6}})
 		}
 		c.sidecar.Tick(c.now)
 		c.settleAll()
 	}
 }
 
-// settleAll carries claims and ends of runs with their answers, and has the host answer at once, until nothing is left to carry.
+// settleAll delivers claims and settle messages with their answers, and has the host answer at once, until the sidecar
+// sends nothing any more.
 func (c *claimFixture) settleAll() {
 	for {
 		out := c.sidecar.TakeOutput()
@@ -53,8 +54,8 @@
 			return
 		}
 		for _, s := range out.Sends {
-			if f := s.Message.Forwarded; f != nil {
-				c.finished = append(c.finished, f)
+			if forwarded := s.Message.Forwarded; forwarded != nil {
+				c.finished = append(c.finished, forwarded)
 			}
 			if s.Message.Claim != nil {
 				c.claims++
@@ -65,9 +66,9 @@
 				c.sidecar.Receive(c.now, s.To, &meshpb.Message{Id: s.Message.Id, Life: s.Message.Life, Claimed: answer})
 			}
 		}
-		for _, do := range out.Commands {
-			if x, ok := do.(Exchange); ok {
-				c.sidecar.ExchangeDone(c.now, x.Job, &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200})
+		for _, command := range out.Commands {
+			if exchange, ok := command.(Exchange); ok {
+				c.sidecar.ExchangeDone(c.now, exchange.Job, &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200})
 			}
 		}
 	}
@@ -82,8 +83,8 @@
 	return &meshpb.Claimed{State: register.Unsure, Untouched: true}
 }
 
-// What a proxy asks of a control plane that does not answer, or has no room, is less than a claim for each request; all of it is asked
-// again within seconds of its return.
+// While the control plane is silent or overloaded, a sidecar sends it less than one claim for each request, and returns
+// to the full rate within seconds of its recovery.
 func TestClaimsFollowAnswers(t *testing.T) {
 	const rate = 40.0
 	for name, answer := range map[string]func(*meshpb.Claim) *meshpb.Claimed{"silent": silent, "overloaded": overloaded} {
@@ -91,12 +92,12 @@
 		c.answerClaim = granted
 		c.run(rate, 5)
 		if got := float64(c.claims); got > 5*rate*1.02 {
-			t.Errorf("%s: %.0f claims for %.0f requests before", name, got, 5*rate)
+			t.Errorf("%s: %.0f claims for %.0f requests while the control plane answers", name, got, 5*rate)
 		}
 		c.answerClaim, c.claims = answer, 0
 		c.run(rate, 10)
 		if share := float64(c.claims) / (10 * rate); share > 0.5 {
-			t.Errorf("%s: %.2f claims a request", name, share)
+			t.Errorf("%s: %.2f claims for each request", name, share)
 		}
 		c.answerClaim = granted
 		c.run(rate, 4)
@@ -109,17 +110,18 @@
 			}
 		}
 		if float64(served) < 0.9*4*rate {
-			t.Errorf("%s: %d of %.0f requests run from 4 s after its return on", name, served, 4*rate)
+			t.Errorf("%s: %d of %.0f requests run, beginning 4 s after the recovery", name, served, 4*rate)
 		}
 	}
 }
 
-// A request whose claim no control process has begun gives no key back, as none can be bound; one whose claim may stand says so.
+// The response to an unclaimed request tells whether a claim may have been granted: yes if a control server gave no
+// answer, and no if every server left the claim untouched.
 func TestUntouchedClaimLeavesNothingBehind(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		answer   func(*meshpb.Claim) *meshpb.Claimed
-		mayStand bool
+		name      string
+		answer    func(*meshpb.Claim) *meshpb.Claimed
+		mayBeHeld bool
 	}{{"silent", silent, true}, {"overloaded", overloaded, false}, {"not voting", notVoting, false}} {
 		c := newClaimFixture(t)
 		c.answerClaim = test.answer
@@ -129,23 +131,22 @@
 			t.Fatalf("%s: no request has ended", test.name)
 		}
 		for _, end := range c.finished {
-			if end.Verdict != uint32(outcome.Unclaimed) || end.Claimed != test.mayStand {
-				t.Errorf("%s: ends as %v, a claim may stand: %v", test.name, outcome.Outcome(end.Verdict), end.Claimed)
+			if end.Verdict != uint32(outcome.Unclaimed) || end.Claimed != test.mayBeHeld {
+				t.Errorf("%s: outcome %v, a claim may have been granted: %v", test.name, outcome.Outcome(end.Verdict), end.Claimed)
 			}
 		}
 	}
 }
 
-// A grant that comes after another control process was asked still counts.
+// A grant counts even if it arrives after the claim was hedged at another control server.
 func TestLateGrantCounts(t *testing.T) {
 	c := newClaimFixture(t)
 	var first *meshpb.Message
 	c.lastID++
 	c.sidecar.Receive(c.now, "there", &meshpb.Message{Id: c.lastID, Life: 9, Forward: &meshpb.Forward{Station: "i-1",
-		Token: 1, Key: "k",
-		AimUs: 4e5, LeftUs: 1e6}})
+		Token: 1, Key: "k", AimUs: 4e5, LeftUs: 1e6}})
 	claims := 0
-	asked := ""
+	firstServer := ""
 	for until := c.now + 0.2; c.now < until; c.now += 0.01 {
 		c.sidecar.Tick(c.now)
 		for _, s := range c.sidecar.TakeOutput().Sends {
@@ -153,24 +154,24 @@
 				continue
 			}
 			if claims++; first == nil {
-				first, asked = s.Message, s.To
+				first, firstServer = s.Message, s.To
 			}
 		}
 	}
 	if claims != 2 {
-		t.Fatalf("%d control processes are asked within 0.2 s", claims)
+		t.Fatalf("%d control servers were asked within 0.2 s, want 2", claims)
 	}
-	c.sidecar.Receive(c.now, asked, &meshpb.Message{Id: first.Id, Life: first.Life,
+	c.sidecar.Receive(c.now, firstServer, &meshpb.Message{Id: first.Id, Life: first.Life,
 		Claimed: &meshpb.Claimed{State: register.Claimed, Token: 1}})
 	if len(c.sidecar.TakeOutput().Commands) != 1 {
-		t.Error("the request does not go to the host")
+		t.Error("the request did not go to the host")
 	}
 }
 
-// Requests that come all at once after a quiet time are all claimed: that no answer has come yet says nothing.
+// A burst of requests after a quiet time is claimed in full, as unanswered claims on their way must not throttle it.
 func TestBurstIsClaimed(t *testing.T) {
 	c := newClaimFixture(t)
-	c.answerClaim = silent // for as long as answers are on their way
+	c.answerClaim = silent // while the answers are on their way
 	c.run(0, 6)
 	const burst = 100
 	c.run(burst/0.02, 0.02)
--- a/internal/mesh/sidecar/discovery.go
+++ b/internal/mesh/sidecar/discovery.go
@@ -85,10 +85,10 @@
 // Heartbeat is what a host reports about itself.
 type Heartbeat struct {
 	ID, Service, Address, Zone string
-	Slots                      int
+	Slots                      int // requests that the host runs at once; 0: not stated
 	Draining                   bool
 	WarmUpLeftMs               int
-	Sequence                   uint64
+	Sequence                   uint64 // grows with each heartbeat of an instance
 }
 
 // Heartbeat handles a heartbeat of the host. When it returns, no new requests go to a host that is draining, so the
--- a/internal/mesh/sidecar/dispatch.go
+++ b/internal/mesh/sidecar/dispatch.go
@@ -14,14 +14,14 @@
 
 // The HTTP headers of the operators' protocol.
 const (
-	HeaderID             = "Beechwing-Consignment-Id"
-	HeaderDeadline       = "Beechwing-Deadline-Ms"
+	HeaderID             = "Beechwing-Consignment-Id" // request ID
+	HeaderDeadline       = "Beechwing-Deadline-Ms"    // milliseconds that the sender waits
 	HeaderIdempotencyKey = "Beechwing-Once-Key"
-	HeaderPostmark       = "Beechwing-Postmark"
-	HeaderAddressee      = "Beechwing-Addressee"
-	HeaderSender         = "Beechwing-Sender-Carrier"
-	HeaderNotRun         = "Beechwing-Undelivered"
-	HeaderStation        = "Beechwing-Station"
+	HeaderPostmark       = "Beechwing-Postmark"       // set by the host on each successful response
+	HeaderAddressee      = "Beechwing-Addressee"      // host instance that the request is for
+	HeaderSender         = "Beechwing-Sender-Carrier" // service that sends the request
+	HeaderNotRun         = "Beechwing-Undelivered"    // set by a host that did not run the request
+	HeaderStation        = "Beechwing-Station"        // host instance that answers a probe
 )
 
 const (
@@ -64,7 +64,7 @@
 	route        *routeconfig.Route
 	class        class
 	service      string
-	token        uint64
+	token        uint64          // identifies the claim of the idempotency key
 	shardKey     int             // in a sharded service; noKey: the service is not sharded
 	holder       balancer.HostID // the host that holds shardKey; 0: any host can serve the request
 	attempts     []*attempt
@@ -104,12 +104,12 @@
 
 // peerState is the state of another sidecar that has attempts of this one in flight.
 type peerState struct {
-	inFlight          int
-	held              int    // of those in flight, the number not sent yet
+	inFlight          int    // attempts
+	held              int    // of those, the number not sent yet
 	incarnation       uint64 // of its process, by its last message; 0: unknown
 	heardAt, pingedAt float64
 	pingID            uint64  // ID of the last ping; 0: it was answered
-	progressAt        float64 // when its oldest chain of attempts began, or an attempt last ended
+	progressAt        float64 // when the first attempt in flight was sent or the last one ended, whichever is later
 }
 
 // service is a destination service: its balancer and its hosts.
--- a/internal/mesh/sidecar/dispatch_test.go
+++ b/internal/mesh/sidecar/dispatch_test.go
@@ -9,7 +9,7 @@
 const safeRoute = `{"edition":"r1","itineraries":[{"name":"a","depot":"h.example","lanePrefix":"/x/","routeKind":"safe","tries":2,
 "timeoutMs":5000,"targetMs":3000,"carrier":"shop"}],"carriers":[{"name":"shop","healthPath":"/health"}]}`
 
-// answerPull has the control process "hall" answer what a proxy asks it as it starts.
+// answerPull has the control server "hall" answer the first pull of a sidecar.
 func answerPull(p *Sidecar, now float64, update *meshpb.Update) {
 	p.Tick(now)
 	for _, s := range p.TakeOutput().Sends {
@@ -19,23 +19,23 @@
 	}
 }
 
-// A large answer in a full link takes a while, and the word that its proxy is there waits behind it. What comes of it shows that the
-// proxy lives: asking elsewhere would fill the links with the same answers again.
+// A large response on a full link delays the pong behind it. Its arriving parts show that the peer is alive. Sending
+// the request elsewhere would fill the links with the same response again.
 func TestWhatComesIsNotSilent(t *testing.T) {
 	now := 1.0
 	p := New(now, Options{Self: "here", Zone: "a", Service: "till", Seeds: []string{"hall"}, HeartbeatInterval: 1.5,
 		MaxBodyBytes: 1 << 20, RetryRatio: 0.2, RetrySlack: 60})
-	carried := map[string]int{}
-	pass := func(s float64, sign string) {
+	forwards := map[string]int{}
+	advance := func(s float64, incoming string) {
 		for end := now + s; now < end; {
 			now += 0.02
-			if sign != "" {
-				p.NoteIncoming(now, sign)
+			if incoming != "" {
+				p.NoteIncoming(now, incoming)
 			}
 			p.Tick(now)
 			for _, s := range p.TakeOutput().Sends {
 				if s.Message.Forward != nil {
-					carried[s.To]++
+					forwards[s.To]++
 				}
 			}
 		}
@@ -43,22 +43,22 @@
 	answerPull(p, now, &meshpb.Update{FromServer: true, Edition: 1, Text: []byte(safeRoute), Records: []*meshpb.Record{
 		{Source: "p1", Version: 1, Station: "i-1", Carrier: "shop", Zone: "a", Berths: 4, Condition: Serving},
 		{Source: "p2", Version: 1, Station: "i-2", Carrier: "shop", Zone: "a", Berths: 4, Condition: Serving}}})
-	pass(0.1, "")
+	advance(0.1, "")
 	p.Submit(now, &Request{Method: "GET", Target: "/x/1", Host: "h.example", ID: "q1", Timeout: 5})
-	pass(0.04, "")
+	advance(0.04, "")
 	var first string
-	for to := range carried {
+	for to := range forwards {
 		first = to
 	}
-	if len(carried) != 1 {
-		t.Fatalf("carried to %v", carried)
+	if len(forwards) != 1 {
+		t.Fatalf("attempts by peer: %v, want one", forwards)
 	}
-	pass(1.5, first)
-	if len(carried) != 1 || carried[first] != 1 {
-		t.Errorf("carried to %v while the answer came", carried)
+	advance(1.5, first)
+	if len(forwards) != 1 || forwards[first] != 1 {
+		t.Errorf("attempts by peer: %v while the response was arriving", forwards)
 	}
-	pass(1, "")
-	if len(carried) != 2 {
-		t.Errorf("carried to %v after a second of silence", carried)
+	advance(1, "")
+	if len(forwards) != 2 {
+		t.Errorf("attempts by peer: %v after a second of silence", forwards)
 	}
 }
--- a/internal/mesh/sidecar/duplicates.go
+++ b/internal/mesh/sidecar/duplicates.go
@@ -36,7 +36,7 @@
 }
 
 type watermark struct {
-	id     uint64
+	id     uint64  // the highest ID that it covers
 	seenAt float64 // when the latest request that it covers arrived
 }
 
--- a/internal/mesh/sidecar/keylease.go
+++ b/internal/mesh/sidecar/keylease.go
@@ -36,8 +36,8 @@
 // KeyCall grants a range of shard keys to the host, or releases one.
 type KeyCall struct {
 	ID                uint64
-	FirstKey, LastKey int // bounds of the range, both included
-	Fence             uint64
+	FirstKey, LastKey int    // bounds of the range, both included
+	Fence             uint64 // fencing token: the epoch of the assignment
 	Release           bool
 	HoldMs            int    // of a grant
 	Handover          string // of a grant: the token with which the former holder released the range; may be empty
--- a/internal/mesh/sidecar/rpc_test.go
+++ b/internal/mesh/sidecar/rpc_test.go
@@ -10,16 +10,18 @@
 	"beechwing/internal/mesh/register"
 )
 
-// caller is a proxy that asks others, and what it has asked and told.
+// clientFixture is a sidecar that sends requests to others. It records the messages that the sidecar sends and its
+// replies.
 type clientFixture struct {
 	sidecar *Sidecar
 	now     float64
-	sent    map[string][]*meshpb.Message // by peer
+	sent    map[string][]*meshpb.Message // by receiver
 	replies []Reply
 	runs    int
 }
 
-// newCaller makes a proxy that knows two hosts at "p1" and "p2", and has one of its own.
+// newClientFixture makes a sidecar that knows two hosts, behind the sidecars "p1" and "p2", and has a host of its own.
+// The control servers are "hall" and "annex".
 func newClientFixture(seed uint64) *clientFixture {
 	c := &clientFixture{now: 1, sent: map[string][]*meshpb.Message{}}
 	c.sidecar = New(c.now, Options{
@@ -53,17 +55,17 @@
 	for _, s := range out.Sends {
 		c.sent[s.To] = append(c.sent[s.To], s.Message)
 	}
-	for _, do := range out.Commands {
-		switch do := do.(type) {
+	for _, command := range out.Commands {
+		switch command := command.(type) {
 		case Respond:
-			c.replies = append(c.replies, do.Reply)
+			c.replies = append(c.replies, command.Reply)
 		case Exchange:
 			c.runs++
 		}
 	}
 }
 
-// hears gives the proxy a message.
+// receive passes a message to the sidecar.
 func (c *clientFixture) receive(from string, m *meshpb.Message) {
 	c.sidecar.Receive(c.now, from, proto.Clone(m).(*meshpb.Message))
 	c.collect()
@@ -77,24 +79,24 @@
 	}
 }
 
-// question is the newest that a peer was asked and that fits.
-func (c *clientFixture) newestMessage(t *testing.T, fits func(*meshpb.Message) bool) (peer string, q *meshpb.Message) {
+// newestMessage returns the newest matching message that was sent, and its receiver.
+func (c *clientFixture) newestMessage(t *testing.T, matches func(*meshpb.Message) bool) (peer string, rpc *meshpb.Message) {
 	t.Helper()
 	for to, all := range c.sent {
 		for _, m := range all {
-			if fits(m) && (q == nil || m.Id > q.Id) {
-				peer, q = to, m
+			if matches(m) && (rpc == nil || m.Id > rpc.Id) {
+				peer, rpc = to, m
 			}
 		}
 	}
-	if q == nil {
-		t.Fatal("nothing of the kind was asked")
+	if rpc == nil {
+		t.Fatal("no such message was sent")
 	}
-	return peer, q
+	return peer, rpc
 }
 
-// misdirected are the ways in which an answer is not the one to a question: what comes, from whom, and why it
-// is dropped.
+// wrongResponses are the ways in which a response may not belong to an RPC: the response, its sender, and the reason
+// why it is dropped.
 func wrongResponses(peer string, right *meshpb.Message) []struct {
 	name, from, why string
 	answer          *meshpb.Message
@@ -108,44 +110,44 @@
 		name, from, why string
 		answer          *meshpb.Message
 	}{
-		{"of a former process", peer, dropOtherIncarnation, change(func(m *meshpb.Message) { m.Life += 2 })},
-		{"without a life", "p9", dropOtherIncarnation, change(func(m *meshpb.Message) { m.Life = 0 })},
+		{"to a former process", peer, dropOtherIncarnation, change(func(m *meshpb.Message) { m.Life += 2 })},
+		{"without an incarnation", "p9", dropOtherIncarnation, change(func(m *meshpb.Message) { m.Life = 0 })},
 		{"from a peer that was not asked", "p9", dropOtherPeer, right},
-		{"to no open question", peer, dropNotOutstanding, change(func(m *meshpb.Message) { m.Id += 1 << 20 })},
+		{"to no outstanding RPC", peer, dropNotOutstanding, change(func(m *meshpb.Message) { m.Id += 1 << 20 })},
 	}
 }
 
-// An answer to a request counts only from the proxy that was asked, with the life and the id of the question,
-// and once.
+// A response to an attempt is accepted only once, and only from the sidecar to which the attempt was sent, with the
+// incarnation and the ID of the attempt.
 func TestForwardedCountsFromWhomWasAsked(t *testing.T) {
 	c := newClientFixture(1)
 	c.sidecar.Submit(c.now, &Request{Method: "GET", Target: "/x/1", Host: "h.example", ID: "q1", Timeout: 5})
 	c.collect()
-	peer, q := c.newestMessage(t, func(m *meshpb.Message) bool { return m.Forward != nil })
+	peer, rpc := c.newestMessage(t, func(m *meshpb.Message) bool { return m.Forward != nil })
 	answered := &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200}
-	right := meshpb.Answer(q, &meshpb.Message{Forwarded: answered})
+	right := meshpb.Answer(rpc, &meshpb.Message{Forwarded: answered})
 	for _, wrong := range wrongResponses(peer, right) {
 		before := c.sidecar.counts.Dropped[wrong.why]
 		c.receive(wrong.from, wrong.answer)
 		if len(c.replies) > 0 || c.sidecar.counts.Dropped[wrong.why] != before+1 {
-			t.Fatalf("an answer %s: %d replies, dropped %v", wrong.name, len(c.replies), c.sidecar.counts.Dropped)
+			t.Fatalf("a response %s: %d replies, dropped %v", wrong.name, len(c.replies), c.sidecar.counts.Dropped)
 		}
 	}
 	c.receive(peer, right)
 	c.receive(peer, right)
 	if len(c.replies) != 1 || c.replies[0].Status != 200 || c.sidecar.counts.Dropped[dropNotOutstanding] != 2 {
-		t.Errorf("the answer, twice: replies %v, dropped %v", c.replies, c.sidecar.counts.Dropped)
+		t.Errorf("the response, received twice: replies %v, dropped %v", c.replies, c.sidecar.counts.Dropped)
 	}
 }
 
-// A claim is granted only by the control process that was asked for it, to the life that asked, and runs
-// once.
+// A claim is granted only by the control server to which it was sent and only to the incarnation that sent it, and the
+// request runs once.
 func TestClaimedCountsFromWhomWasAsked(t *testing.T) {
 	c := newClientFixture(2)
 	keyed := &meshpb.Forward{Station: "i-0", Key: "k", Token: 5, LeftUs: 3e6, AimUs: 1e6}
 	c.receive("p1", &meshpb.Message{Id: 7, Life: 99, Forward: keyed})
-	peer, q := c.newestMessage(t, func(m *meshpb.Message) bool { return m.Claim != nil })
-	right := meshpb.Answer(q, &meshpb.Message{Claimed: &meshpb.Claimed{State: register.Claimed, Token: 5}})
+	peer, rpc := c.newestMessage(t, func(m *meshpb.Message) bool { return m.Claim != nil })
+	right := meshpb.Answer(rpc, &meshpb.Message{Claimed: &meshpb.Claimed{State: register.Claimed, Token: 5}})
 	for _, wrong := range wrongResponses(peer, right) {
 		c.receive(wrong.from, wrong.answer)
 	}
@@ -153,22 +155,23 @@
 	other.Claimed.Token = 6
 	c.receive(peer, other)
 	if c.runs > 0 || c.sidecar.counts.Dropped[dropOtherToken] != 1 {
-		t.Fatalf("%d runs on grants that are none, dropped %v", c.runs, c.sidecar.counts.Dropped)
+		t.Fatalf("%d runs without a valid grant, dropped %v", c.runs, c.sidecar.counts.Dropped)
 	}
-	right.Life = 0 // older control processes do not return it
+	right.Life = 0 // older control servers do not return it
 	c.receive(peer, right)
 	c.receive(peer, right)
 	if c.runs != 1 {
-		t.Errorf("%d runs on one grant, told twice", c.runs)
+		t.Errorf("%d runs on one grant that was received twice", c.runs)
 	}
 }
 
-// News counts only as the answer to a question of this life: an update for a former process of this address,
-// or from one that was not asked, would take back who is silent and who the control processes are.
+// An update is accepted only as the response to a pull of this incarnation. An update for a former process at this
+// address, or from a process that was not asked, could revert which proxies are silent and which control servers there
+// are.
 func TestUpdateCountsFromWhomWasAsked(t *testing.T) {
 	c := newClientFixture(3)
-	peer, q := c.newestMessage(t, func(m *meshpb.Message) bool { return m.Pull != nil })
-	right := meshpb.Answer(q, &meshpb.Message{Update: &meshpb.Update{FromServer: true, Servers: []string{"elsewhere"},
+	peer, rpc := c.newestMessage(t, func(m *meshpb.Message) bool { return m.Pull != nil })
+	right := meshpb.Answer(rpc, &meshpb.Message{Update: &meshpb.Update{FromServer: true, Servers: []string{"elsewhere"},
 		Silent: []string{"p1"}}})
 	for _, wrong := range wrongResponses(peer, right) {
 		c.receive(wrong.from, wrong.answer)
@@ -178,17 +181,17 @@
 	}
 	c.receive(peer, right)
 	if s := c.sidecar.State(c.now); len(s.Silent) != 1 || len(s.Servers) != 1 {
-		t.Errorf("the update that was asked for: silent %v, servers %v", s.Silent, s.Servers)
+		t.Errorf("the awaited update: silent %v, servers %v", s.Silent, s.Servers)
 	}
 }
 
-// A pong counts only as the answer to the open ping: others say nothing of how long answers take.
+// A pong counts only as the response to the outstanding ping. Others must not change the mean pong time.
 func TestPongCountsFromWhomWasAsked(t *testing.T) {
 	c := newClientFixture(4)
 	c.sidecar.Submit(c.now, &Request{Method: "GET", Target: "/x/1", Host: "h.example", ID: "q1", Timeout: 5})
 	c.advance(0.1)
-	peer, q := c.newestMessage(t, func(m *meshpb.Message) bool { return m.Ping != nil })
-	right := meshpb.Answer(q, &meshpb.Message{Pong: &meshpb.Ping{}})
+	peer, rpc := c.newestMessage(t, func(m *meshpb.Message) bool { return m.Ping != nil })
+	right := meshpb.Answer(rpc, &meshpb.Message{Pong: &meshpb.Ping{}})
 	for _, wrong := range wrongResponses(peer, right) {
 		c.receive(wrong.from, wrong.answer)
 		if c.sidecar.meanPongSeconds != 0 {
@@ -206,37 +209,38 @@
 	}
 }
 
-// Two lives of one address have no id in common, whatever they ask.
+// Two incarnations at one address use no ID twice.
 func TestLivesHaveIdsOfTheirOwn(t *testing.T) {
-	const asked = 1 << 32 // far more than any life asks
-	lives := map[uint64]bool{}
+	const maxIDs = 1 << 32 // far more than any process uses
+	incarnations := map[uint64]bool{}
 	var first []uint64
 	for seed := range uint64(200) {
 		p := New(1, Options{Self: "here", Seeds: []string{"hall"}, Seed: seed})
-		lives[p.incarnation] = true
+		incarnations[p.incarnation] = true
 		for _, other := range first {
-			if max(p.lastID, other)-min(p.lastID, other) < asked {
-				t.Errorf("seed %d: ids from %x on, another life's from %x", seed, p.lastID, other)
+			if max(p.lastID, other)-min(p.lastID, other) < maxIDs {
+				t.Errorf("seed %d: IDs begin at %x, those of another incarnation at %x", seed, p.lastID, other)
 			}
 		}
 		first = append(first, p.lastID)
 	}
-	if len(lives) != 200 {
-		t.Errorf("200 processes have %d lives", len(lives))
+	if len(incarnations) != 200 {
+		t.Errorf("200 processes have %d different incarnations", len(incarnations))
 	}
 }
 
-// A try whose answer never counts is let go of after its client's time: nothing stays under way for ever.
+// An attempt whose response never comes is removed after the client's deadline, so that nothing stays in progress
+// forever.
 func TestLostAnswerLeavesNothingUnderWay(t *testing.T) {
 	c := newClientFixture(5)
 	c.sidecar.Submit(c.now, &Request{Method: "GET", Target: "/x/1", Host: "h.example", ID: "q1", Timeout: 1})
 	c.collect()
-	for range 250 { // its proxy lives, and says nothing of it
+	for range 250 { // its sidecar is alive, but sends no response
 		c.advance(0.02)
 		c.receive("p1", &meshpb.Message{Id: 1, Life: 9, Ping: &meshpb.Ping{}})
 		c.receive("p2", &meshpb.Message{Id: 1, Life: 9, Ping: &meshpb.Ping{}})
 	}
 	if len(c.replies) != 1 || !c.sidecar.Idle() {
-		t.Errorf("replies %v, idle %v after five times the client's time", c.replies, c.sidecar.Idle())
+		t.Errorf("replies %v, idle %v after five times the client's timeout", c.replies, c.sidecar.Idle())
 	}
 }
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -6,8 +6,13 @@
 // clock. The program passes in client requests, messages of other processes, heartbeats of the host and the time, and
 // after each input it carries out what TakeOutput returns.
 //
-// Two kinds of identity recur. A host instance is one run of a host process; messages call its ID the station. A
-// process incarnation is one run of a sidecar process at an address; messages call it the life.
+// Two kinds of identity recur. A host instance is one run of a host process. A process incarnation is one run of a
+// sidecar process at an address; it is a random number.
+//
+// The fields of messages have the names of the operators' protocol. A carrier is a service, a station is the ID of a host
+// instance, and berths are the slots of a host, the number of requests that it runs at once. A life is a process
+// incarnation, and the gate life is that of the receiving sidecar. The source of a record is the address of the sidecar
+// that publishes it. The aim of a request is its soft deadline, after which its response loses worth.
 //
 // sidecar.go joins the parts. dispatch.go follows a client request to the sidecar of the picked host, with actions.go
 // (what the balancer orders), attempts.go (how attempts end), heldattempts.go (attempts that wait for a peer's
@@ -290,15 +295,15 @@
 	Servers      []string         `json:"servers"`
 	Host         *meshpb.Record   `json:"host"`
 	Records      []*meshpb.Record `json:"roll"`
-	Silent       []string         `json:"silent"`
+	Silent       []string         `json:"silent"` // addresses of the sidecars that count as silent
 	Requests     int              `json:"orders"`
 	Jobs         int              `json:"jobs"`
 	Queued       int              `json:"queued"`
-	QueuedLate   int              `json:"late"`
+	QueuedLate   int              `json:"late"` // in the queue of those past their soft deadline
 	Counts       Counts           `json:"counts"`
-	AvoidedHosts map[string]int   `json:"avoided"`
-	Ejected      []string         `json:"condemned"`
-	Suspects     []string         `json:"accused"`
+	AvoidedHosts map[string]int   `json:"avoided"`        // by service, hosts to which the balancer sends nothing
+	Ejected      []string         `json:"condemned"`      // host instances that are out by agreement
+	Suspects     []string         `json:"accused"`        // host instances on which the control servers want observations
 	Keys         *KeyState        `json:"keys,omitempty"` // nil: the host holds no shard keys and is not assigned any
 }
 
