--- a/internal/mesh/sidecar/admission.go
+++ b/internal/mesh/sidecar/admission.go
@@ -10,378 +10,393 @@
 )
 
 const (
-	spareBerths   = 0     // beyond a host's own, so that none of them waits for the next request
-	defaultBerths = 4     // of a host that has not said
-	mostJobs      = 4096  // here at once
-	workStep      = 0.05  // weight of one request in the mean time that a host takes
-	firstWork     = 0.03  // seconds, until that is known
-	leastWait     = 0.01  // seconds that any request may wait here for the host
-	spread        = 1.8   // times the mean that its class takes: what a run is expected to take
-	onTheWay      = 0.015 // seconds: its answer's way
-	returns       = 0.25  // seconds: with less left a client hardly comes again
-	waitShare     = 0.5   // of the time left that such a request may wait
-	mostClasses   = 256
-	largeAnswer   = 16 << 10 // bytes: such answers wait for the machine's link
-	lateShare     = 0.5      // of the berths: so many may wait that are late, until it is known how many get their turn
-	lateMost      = 0.5      // of the berths that are in use, beyond which those that are late get none
-	firstWait     = 0.8      // of a mean run, that a first try may wait
-	hostSlack     = 0.15     // seconds beyond its deadline in which a host still gives its own answer
-	drainAfter    = 1.0      // seconds after word of a drain in which what waited here may still go to the host
+	spareSlots        = 0     // beyond the host's own; a spare slot would keep the host busy between two requests
+	defaultSlots      = 4     // for a host that has not reported its own number
+	maxJobs           = 4096  // requests in progress or waiting here
+	meanRunStep       = 0.05  // weight of one run in the mean run time
+	initialRunSeconds = 0.03  // seconds; mean run time before any run was measured
+	minWait           = 0.01  // seconds that any request may wait for a slot
+	runTimeFactor     = 1.8   // multiple of the class's mean run time: the expected length of a run, with a margin
+	replyTransit      = 0.015 // seconds reserved for the way of the response
+	minRetryWindow    = 0.25  // seconds; a client with less time left can hardly retry
+	lastTryWaitShare  = 0.5   // share of its time left that such a request may wait
+	maxClasses        = 256
+	largeBody         = 16 << 10 // bytes; larger responses wait for the machine's network link
+	lateQueueShare    = 0.5      // share of the slots; so many late requests may wait while their rate of service is unknown
+	lateSlotShare     = 0.5      // share of the slots; while that many are in use, late requests get none
+	firstAttemptWait  = 0.8      // share of the mean run time that a first attempt may wait
+	hostDeadlineGrace = 0.15     // seconds after the deadline in which the host may still send its own response
+	drainGrace        = 1.0      // seconds after the host began to drain in which requests that waited here may still go to it
 )
 
-// admission is the last before the host: all requests to it pass here, so here it is sure which life of a host has the address,
-// that nothing goes to one that leaves, how many requests it has in hand, and what has been sent at all.
+// admission decides which requests reach the host, and when. All requests to the host pass here. So admission knows for
+// certain which host instance has the address, that nothing goes to a draining host, how many requests the host has in
+// progress, and what has been sent to it.
 type admission struct {
-	p        *Sidecar
-	jobs     map[uint64]*job
-	arrivals arrivals
-	keys     keys
-	queue    []*job    // waiting for a berth, each still in time for its aim
-	late     lateQueue // the others: they go when nobody else waits
-	running  int
-	serving  bool
-	work     float64            // mean seconds that the host takes
-	took     map[uint32]float64 // by class
-	bytes    map[uint32]float64 // mean of an answer's body, by class
-	link     float64            // seconds that a large answer waits for this machine's link
-	perByte  float64            // and that it takes, a byte
-	tickedAt float64
+	sidecar            *Sidecar
+	jobs               map[uint64]*job
+	seen               seenRequests
+	keys               keyRPCs
+	queue              []*job    // waiting for a slot and still in time for the soft deadline
+	lateQueue          lateQueue // past their soft deadline; served when no request in time waits
+	slotsInUse         int
+	fillingSlots       bool
+	meanRunSeconds     float64            // of all requests
+	classRunSeconds    map[uint32]float64 // mean run time, by class
+	classBodyBytes     map[uint32]float64 // mean size of the response's body, by class
+	linkBacklog        float64            // seconds that a large response waits for this machine's link
+	linkSecondsPerByte float64            // seconds that the link takes for a byte
+	tickedAt           float64
 }
 
-// job is a request of another proxy's, or of this one's, for the host here.
+// job is a request for the host here, from another sidecar or from this one.
 type job struct {
-	id      uint64
-	from    string
-	message *meshpb.Message // that brought it
-	carry   *meshpb.Forward
-	came    float64
-	until   float64
-	aim     float64 // by then its answer is worth most
-	claim   claim
-	running bool    // it has a berth
-	late    bool    // it can no longer be answered within its aim
-	sent    float64 // when it went to the host, by the seconds for which this process has run
-	ended   bool
+	id           uint64
+	from         string
+	message      *meshpb.Message // the message with the request
+	forward      *meshpb.Forward
+	arrivedAt    float64
+	deadline     float64
+	softDeadline float64 // the response loses worth after this time
+	claim        claim
+	hasSlot      bool    // it occupies a slot of the host
+	late         bool    // it cannot be answered by its soft deadline any more
+	startedAt    float64 // when it went to the host, on the clock of the seconds that this process has run
+	finished     bool
 }
 
-func (g *admission) begin(p *Sidecar) {
-	g.p, g.work = p, firstWork
-	g.took, g.bytes = map[uint32]float64{}, map[uint32]float64{}
-	g.arrivals = newArrivals()
-	g.jobs = map[uint64]*job{}
-	g.keys.init()
+func (adm *admission) init(p *Sidecar) {
+	adm.sidecar, adm.meanRunSeconds = p, initialRunSeconds
+	adm.classRunSeconds, adm.classBodyBytes = map[uint32]float64{}, map[uint32]float64{}
+	adm.seen = newSeenRequests()
+	adm.jobs = map[uint64]*job{}
+	adm.keys.init()
 }
 
-func (g *admission) berths() int {
-	if n := int(g.p.discovery.own.Berths); n > 0 {
-		return n + spareBerths
+func (adm *admission) slots() int {
+	if n := int(adm.sidecar.discovery.own.Berths); n > 0 {
+		return n + spareSlots
 	}
-	return defaultBerths + spareBerths
+	return defaultSlots + spareSlots
 }
 
-// carry takes a request for the host. What has come before, or may have, is dropped before anything is said of it: its
-// sender would take a word that it was turned away for a promise, while the first one runs.
-func (g *admission) carry(from string, m *meshpb.Message) {
-	if why := g.arrivals.admit(g.p.now, arrival{asker{from, m.Life}, m.Id}); why != "" {
-		g.p.drop(from, m, why)
+// receiveForward takes a request for the host. A request that has arrived before, or may have, is dropped without a
+// response: its sender would take a rejection as the promise that the request does not run, while the first copy may be
+// running.
+func (adm *admission) receiveForward(from string, m *meshpb.Message) {
+	if why := adm.seen.admit(adm.sidecar.now, messageID{senderProcess{from, m.Life}, m.Id}); why != "" {
+		adm.sidecar.drop(from, m, why)
 		return
 	}
-	if life := m.Forward.GateLife; life != 0 && life != g.p.life { // it may have run there
-		g.p.drop(from, m, dropGateLife)
+	if incarnation := m.Forward.GateLife; incarnation != 0 && incarnation != adm.sidecar.incarnation {
+		// The former process may have run it.
+		adm.sidecar.drop(from, m, dropFormerProcess)
 		broken := &meshpb.Forwarded{Verdict: uint32(outcome.Broken), Why: "it was for the process before this one"}
-		g.p.answer(from, m, &meshpb.Message{Forwarded: broken})
+		adm.sidecar.respond(from, m, &meshpb.Message{Forwarded: broken})
 		return
 	}
-	g.admit(from, m)
+	adm.admit(from, m)
 }
 
-// admit takes a request that comes for the first time.
-func (g *admission) admit(from string, m *meshpb.Message) {
-	p, c := g.p, m.Forward
-	sent := p.now
-	if from != p.o.Self {
-		sent -= p.pauses.age(p.now)
+// admit takes a request that arrives for the first time.
+func (adm *admission) admit(from string, m *meshpb.Message) {
+	p, forward := adm.sidecar, m.Forward
+	sentAt := p.now
+	if from != p.opts.Self {
+		sentAt -= p.pauses.maxAge(p.now)
 	}
-	j := &job{id: p.id(), from: from, message: m, carry: c, came: p.now, until: sent + float64(c.LeftUs)/1e6,
-		aim: sent + float64(c.AimUs)/1e6}
+	j := &job{id: p.nextID(), from: from, message: m, forward: forward, arrivedAt: p.now,
+		deadline: sentAt + float64(forward.LeftUs)/1e6, softDeadline: sentAt + float64(forward.AimUs)/1e6}
 	switch own := p.discovery.own; {
-	case own.Station == "" || own.Station != c.Station:
-		g.turn(j, "another host is here", 0)
+	case own.Station == "" || own.Station != forward.Station:
+		adm.reject(j, "another host is here", 0)
 		return
-	case own.Condition != AtDock:
-		g.turn(j, "the host leaves", 0)
+	case own.Condition != Serving:
+		adm.reject(j, "the host leaves", 0)
 		return
-	case !g.holdsKey(c):
-		g.turn(j, whyNotHeld, notHeldBackMs)
+	case !adm.holdsKey(forward):
+		adm.reject(j, reasonKeyNotHeld, keyNotHeldRetryAfterMs)
 		return
-	case sent < p.now && j.until <= p.now: // its sender may have given it up; a fresh one may go elsewhere
-		g.turn(j, "this process was stopped for longer than its time", 1)
+	case sentAt < p.now && j.deadline <= p.now: // the sender may have given it up; a request that is sent anew can go elsewhere
+		adm.reject(j, "this process was stopped for longer than its time", 1)
 		return
-	case len(g.jobs) >= mostJobs || p.inUse+len(c.Body) > p.o.Memory:
-		g.turn(j, "too much is under way here", 1)
+	case len(adm.jobs) >= maxJobs || p.bodyBytes+len(forward.Body) > p.opts.MaxBodyBytes:
+		adm.reject(j, "too much is under way here", 1)
 		return
 	}
-	link, most := g.linkWait(c.Class), g.patience(j)
-	if link > most { // what is late in the link keeps all behind it late: no queue for late ones is kept there
-		g.turn(j, "the link is full", uint32(link*1000)+1)
+	linkWait, maxWait := adm.linkDelay(forward.Class), adm.maxWait(j)
+	if linkWait > maxWait {
+		// A response that is late in the link delays all those behind it, so no late requests are queued for a full link.
+		adm.reject(j, "the link is full", uint32(linkWait*1000)+1)
 		return
 	}
-	if g.running >= g.berths() {
-		if c.Attempt == 0 { // there may be room elsewhere: one that was turned away once may wait
-			most = min(most, firstWait*g.work)
+	if adm.slotsInUse >= adm.slots() {
+		if forward.Attempt == 0 { // another host may have room; a request that was rejected once may wait longer
+			maxWait = min(maxWait, firstAttemptWait*adm.meanRunSeconds)
 		}
-		if wait := link + g.wait(j); wait > most || g.pastAim(j) {
-			if c.Attempt == 0 || !g.admitLate(j) {
-				g.turn(j, "no berth in time", uint32(wait*1000)+1)
+		if wait := linkWait + adm.slotWait(j); wait > maxWait || adm.pastSoftDeadline(j) {
+			if forward.Attempt == 0 || !adm.lateQueueHasRoom(j) {
+				adm.reject(j, "no berth in time", uint32(wait*1000)+1)
 				return
 			}
 			j.late = true
 		}
 	}
-	p.inUse += len(c.Body)
-	g.jobs[j.id] = j
-	if c.Key != "" { // asked for while it waits: no berth is held for that
-		g.beginClaim(j)
+	p.bodyBytes += len(forward.Body)
+	adm.jobs[j.id] = j
+	if forward.Key != "" { // the claim is made while the request waits and occupies no slot
+		adm.beginClaim(j)
 		return
 	}
-	g.enter(j)
+	adm.enqueue(j)
 }
 
-// enter queues a request that may go to the host.
-func (g *admission) enter(j *job) {
+// enqueue queues a request that may go to the host.
+func (adm *admission) enqueue(j *job) {
 	if j.late {
-		g.late.add(j)
-		g.serve()
+		adm.lateQueue.add(j)
+		adm.fillSlots()
 		return
 	}
-	at, _ := slices.BinarySearchFunc(g.queue, j, order)
-	g.queue = slices.Insert(g.queue, at, j)
-	g.serve()
+	at, _ := slices.BinarySearchFunc(adm.queue, j, compareJobs)
+	adm.queue = slices.Insert(adm.queue, at, j)
+	adm.fillSlots()
 }
 
-// patience is how long a request may wait here: so long that it can still be answered before its answer loses worth. What has
-// little time, as a call that a run elsewhere waits for, cannot come again, and waits longer.
-func (g *admission) patience(j *job) float64 {
-	left := j.until - g.p.now
-	most := max(leastWait, j.aim-g.p.now-spread*g.took[j.carry.Class]-onTheWay)
-	if left < returns {
-		most = max(most, waitShare*left)
+// maxWait returns how long a request may wait here: until its response could just be in time for the soft deadline. A
+// request with little time left, such as a call made by a run at another host, has no time for a retry and may wait
+// longer.
+func (adm *admission) maxWait(j *job) float64 {
+	left := j.deadline - adm.sidecar.now
+	maxWait := max(minWait, j.softDeadline-adm.sidecar.now-runTimeFactor*adm.classRunSeconds[j.forward.Class]-replyTransit)
+	if left < minRetryWindow {
+		maxWait = max(maxWait, lastTryWaitShare*left)
 	}
-	return most
+	return maxWait
 }
 
-// order is that of the queue: by whose answer loses worth first. What a run elsewhere waits for, with its berth there, comes
-// before what only a client waits for, as its aim is short.
-func order(a, b *job) int {
-	return cmp.Or(cmp.Compare(a.aim, b.aim), cmp.Compare(a.carry.Precedence, b.carry.Precedence), cmp.Compare(a.id, b.id))
+// compareJobs orders the queue by soft deadline. Calls made by a run at another host, which occupies a slot there, have
+// short soft deadlines and so come before requests for which only a client waits.
+func compareJobs(a, b *job) int {
+	return cmp.Or(cmp.Compare(a.softDeadline, b.softDeadline), cmp.Compare(a.forward.Precedence, b.forward.Precedence),
+		cmp.Compare(a.id, b.id))
 }
 
-// wait is how long a request would wait for a berth, from what is before it.
-func (g *admission) wait(j *job) float64 {
-	at, _ := slices.BinarySearchFunc(g.queue, j, order)
-	return float64(at+1) * g.work / float64(g.berths())
+// slotWait returns how long a request would wait for a slot behind those ahead of it.
+func (adm *admission) slotWait(j *job) float64 {
+	at, _ := slices.BinarySearchFunc(adm.queue, j, compareJobs)
+	return float64(at+1) * adm.meanRunSeconds / float64(adm.slots())
 }
 
-// serve gives free berths to those that wait.
-func (g *admission) serve() {
-	if g.serving { // what is turned away in here leads back here
+// fillSlots gives free slots to waiting requests.
+func (adm *admission) fillSlots() {
+	if adm.fillingSlots { // a rejection below calls fillSlots again
 		return
 	}
-	g.serving = true
-	defer func() { g.serving = false }()
-	for g.running < g.berths() {
-		j := g.next()
+	adm.fillingSlots = true
+	defer func() { adm.fillingSlots = false }()
+	for adm.slotsInUse < adm.slots() {
+		j := adm.nextJob()
 		if j == nil {
 			return
 		}
-		own := g.p.discovery.own
+		own := adm.sidecar.discovery.own
 		switch {
-		case j.until <= g.p.now:
-			g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Expired)})
-		case own.Station != j.carry.Station || own.Condition == Gone:
-			g.turn(j, "the host has gone", 0)
-		case own.Condition != AtDock && g.p.now > g.p.discovery.leftAt+drainAfter:
-			g.turn(j, "the host leaves", 0)
-		case !g.holdsKey(j.carry):
-			g.turn(j, whyNotHeld, notHeldBackMs)
-		case j.late && !g.canFinish(j):
-			g.turn(j, "no berth before its deadline", 1)
+		case j.deadline <= adm.sidecar.now:
+			adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Expired)})
+		case own.Station != j.forward.Station || own.Condition == Gone:
+			adm.reject(j, "the host has gone", 0)
+		case own.Condition != Serving && adm.sidecar.now > adm.sidecar.discovery.conditionChangedAt+drainGrace:
+			adm.reject(j, "the host leaves", 0)
+		case !adm.holdsKey(j.forward):
+			adm.reject(j, reasonKeyNotHeld, keyNotHeldRetryAfterMs)
+		case j.late && !adm.canFinish(j):
+			adm.reject(j, "no berth before its deadline", 1)
 		default:
-			j.running = true
-			g.running++
-			g.start(j)
+			j.hasSlot = true
+			adm.slotsInUse++
+			adm.start(j)
 		}
 	}
 }
 
-// next takes the one out of the queues that is to have the next berth.
-func (g *admission) next() *job {
-	for len(g.queue) > 0 {
-		j := g.queue[0]
-		g.queue = g.queue[1:]
-		if !g.demoted(j) {
+// nextJob takes the request that gets the next slot out of its queue.
+func (adm *admission) nextJob() *job {
+	for len(adm.queue) > 0 {
+		j := adm.queue[0]
+		adm.queue = adm.queue[1:]
+		if !adm.demoteIfLate(j) {
 			return j
 		}
 	}
-	if float64(g.running) >= float64(g.berths())*lateMost { // what comes next may have hurry
+	if float64(adm.slotsInUse) >= float64(adm.slots())*lateSlotShare { // urgent requests may arrive next
 		return nil
 	}
-	j := g.late.take()
+	j := adm.lateQueue.take()
 	if j != nil {
-		g.late.served(g.p.now)
+		adm.lateQueue.noteServed(adm.sidecar.now)
 	}
 	return j
 }
 
-// demoted lets one that has waited past its aim go on waiting behind all that are in time, or turns it away. What has little time,
-// as a call that a run elsewhere waits for, keeps its place.
+// demoteIfLate moves a request that has waited past its soft deadline behind all that are in time, or rejects it. It
+// reports whether it did. A request with little time left, such as a call made by a run at another host, keeps its
+// place.
 //
-// Where the host has nothing to do one goes in any case: if it was slow, nothing else shows that it no longer is.
-func (g *admission) demoted(j *job) bool {
-	if !g.pastAim(j) || g.running == 0 {
+// If the host is idle the request runs in any case: if the host was slow, nothing else would show that it has
+// recovered.
+func (adm *admission) demoteIfLate(j *job) bool {
+	if !adm.pastSoftDeadline(j) || adm.slotsInUse == 0 {
 		return false
 	}
 	j.late = true
-	if g.admitLate(j) {
-		g.late.add(j)
+	if adm.lateQueueHasRoom(j) {
+		adm.lateQueue.add(j)
 	} else {
-		g.turn(j, "no berth in time", 1)
+		adm.reject(j, "no berth in time", 1)
 	}
 	return true
 }
 
-// pastAim says that a run which begins now would not end within its aim, and that there is time beyond that.
-func (g *admission) pastAim(j *job) bool {
-	return g.p.now+g.took[j.carry.Class] >= j.aim && j.until-g.p.now >= returns
+// pastSoftDeadline reports whether a run that begins now would end after the soft deadline, and the client has enough
+// time left to retry.
+func (adm *admission) pastSoftDeadline(j *job) bool {
+	return adm.sidecar.now+adm.classRunSeconds[j.forward.Class] >= j.softDeadline && j.deadline-adm.sidecar.now >= minRetryWindow
 }
 
-// canFinish says whether a run that begins now is expected to end before its client's time does.
-func (g *admission) canFinish(j *job) bool {
-	return g.p.now+spread*g.took[j.carry.Class]+onTheWay < j.until
+// canFinish reports whether a run that begins now is expected to end before the deadline.
+func (adm *admission) canFinish(j *job) bool {
+	return adm.sidecar.now+runTimeFactor*adm.classRunSeconds[j.forward.Class]+replyTransit < j.deadline
 }
 
-// linkWait is how long an answer of a class is expected to wait until this machine's link has carried what was there before.
-func (g *admission) linkWait(class uint32) float64 {
-	if g.bytes[class] < largeAnswer {
+// linkDelay returns how long a response of a class is expected to wait for this machine's link.
+func (adm *admission) linkDelay(class uint32) float64 {
+	if adm.classBodyBytes[class] < largeBody {
 		return 0
 	}
-	wait := g.link
-	for _, j := range g.jobs { // their answers come before it
-		if bytes := g.bytes[j.carry.Class]; bytes >= largeAnswer {
-			wait += bytes * g.perByte
+	wait := adm.linkBacklog
+	for _, j := range adm.jobs { // their responses go before this one
+		if bytes := adm.classBodyBytes[j.forward.Class]; bytes >= largeBody {
+			wait += bytes * adm.linkSecondsPerByte
 		}
 	}
 	return wait
 }
 
-// admitLate says whether one that is too late for its aim may wait on here: as many may as have lately been served so in the time
-// that this one has, and a few where that is not known.
-func (g *admission) admitLate(j *job) bool {
-	room := j.until - g.p.now - spread*g.took[j.carry.Class] - onTheWay - g.linkWait(j.carry.Class)
-	return room > 0 && float64(len(g.late.jobs)) < max(float64(g.berths())*lateShare, g.late.rate(g.p.now)*room)
+// lateQueueHasRoom reports whether a request that is too late for its soft deadline may wait here. As many may wait as
+// would be served, at the recent rate for late requests, in the time that this one has left. While that rate is not
+// known a few may wait.
+func (adm *admission) lateQueueHasRoom(j *job) bool {
+	spareSeconds := j.deadline - adm.sidecar.now - runTimeFactor*adm.classRunSeconds[j.forward.Class] - replyTransit -
+		adm.linkDelay(j.forward.Class)
+	return spareSeconds > 0 &&
+		float64(len(adm.lateQueue.jobs)) < max(float64(adm.slots())*lateQueueShare, adm.lateQueue.rate(adm.sidecar.now)*spareSeconds)
 }
 
-func (g *admission) start(j *job) {
-	j.sent = g.p.pauses.ran
-	g.p.count.Runs++
+func (adm *admission) start(j *job) {
+	j.startedAt = adm.sidecar.pauses.runSeconds
+	adm.sidecar.counts.Runs++
 	if j.late {
-		g.p.count.Late++
+		adm.sidecar.counts.LateRuns++
 	}
-	c := j.carry
-	c.LeftUs = uint32(max(0, j.until-g.p.now) * 1e6)
-	g.p.out.Dos = append(g.p.out.Dos, Exchange{Job: j.id, Forward: c, Until: j.until + hostSlack})
+	forward := j.forward
+	forward.LeftUs = uint32(max(0, j.deadline-adm.sidecar.now) * 1e6)
+	adm.sidecar.output.Commands = append(adm.sidecar.output.Commands,
+		Exchange{Job: j.id, Forward: forward, Deadline: j.deadline + hostDeadlineGrace})
 }
 
-// turn gives a request back before a byte of it went to the host. backMs is set where the host is full, and not gone.
-func (g *admission) turn(j *job, why string, backMs uint32) {
-	g.p.count.Turned[why]++
-	g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Turned), Why: why, BackMs: backMs})
+// reject ends a request of which no byte went to the host. The reason why is the value of a metric label. backMs is not 0
+// if the host is full, and 0 if it is gone.
+func (adm *admission) reject(j *job, why string, backMs uint32) {
+	adm.sidecar.counts.Rejected[why]++
+	adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Turned), Why: why, BackMs: backMs})
 }
 
-// end gives the word on a request to the proxy that it came from.
-func (g *admission) end(j *job, c *meshpb.Forwarded) {
-	if j.ended {
+// finish ends a job and sends its outcome to the sidecar that sent the request.
+func (adm *admission) finish(j *job, forwarded *meshpb.Forwarded) {
+	if j.finished {
 		return
 	}
-	j.ended = true
-	if _, here := g.jobs[j.id]; here {
-		delete(g.jobs, j.id)
-		g.p.inUse -= len(j.carry.Body)
+	j.finished = true
+	if _, here := adm.jobs[j.id]; here {
+		delete(adm.jobs, j.id)
+		adm.sidecar.bodyBytes -= len(j.forward.Body)
 	}
-	g.keys.close(j)
-	if j.running {
-		j.running = false
-		g.running--
+	adm.keys.closeClaim(j)
+	if j.hasSlot {
+		j.hasSlot = false
+		adm.slotsInUse--
 	}
-	c.Claimed = j.claim.mayStand
-	g.p.answer(j.from, j.message, &meshpb.Message{Forwarded: c})
-	g.serve()
+	forwarded.Claimed = j.claim.mayBeHeld
+	adm.sidecar.respond(j.from, j.message, &meshpb.Message{Forwarded: forwarded})
+	adm.fillSlots()
 }
 
-// Exchanged takes the end of an Exchange.
-func (p *Sidecar) Exchanged(now float64, id uint64, c *meshpb.Forwarded) {
-	p.input(now)
-	p.admission.exchanged(id, c)
-	p.settle()
+// ExchangeDone handles the end of an Exchange.
+func (p *Sidecar) ExchangeDone(now float64, id uint64, forwarded *meshpb.Forwarded) {
+	p.beginInput(now)
+	p.admission.exchangeDone(id, forwarded)
+	p.runPending()
 }
 
-func (g *admission) exchanged(id uint64, c *meshpb.Forwarded) {
-	j := g.jobs[id]
+func (adm *admission) exchangeDone(id uint64, forwarded *meshpb.Forwarded) {
+	j := adm.jobs[id]
 	if j == nil {
 		return
 	}
-	v := outcome.Outcome(c.Verdict)
-	took := g.p.pauses.ran - j.sent // a stop of this process says nothing of the host
-	g.p.sawEnd(j.carry.Station, c)
-	if c.Refused {
-		g.p.lease.hostRefused()
+	verdict := outcome.Outcome(forwarded.Verdict)
+	took := adm.sidecar.pauses.runSeconds - j.startedAt // a pause of this process must not make the host look slow
+	adm.sidecar.recordOutcome(j.forward.Station, forwarded)
+	if forwarded.Refused {
+		adm.sidecar.lease.recheckHost()
 	}
-	c.TookUs = uint32(min(took, 1000) * 1e6)
-	if v == outcome.Answered {
-		g.work += workStep * (took - g.work)
-		if was, known := g.took[j.carry.Class]; known {
-			g.took[j.carry.Class] += workStep * (took - was)
-			g.bytes[j.carry.Class] += workStep * (float64(len(c.Body)) - g.bytes[j.carry.Class])
-		} else if len(g.took) < mostClasses {
-			g.took[j.carry.Class], g.bytes[j.carry.Class] = took, float64(len(c.Body))
+	forwarded.TookUs = uint32(min(took, 1000) * 1e6)
+	if verdict == outcome.Answered {
+		adm.meanRunSeconds += meanRunStep * (took - adm.meanRunSeconds)
+		if was, known := adm.classRunSeconds[j.forward.Class]; known {
+			adm.classRunSeconds[j.forward.Class] += meanRunStep * (took - was)
+			adm.classBodyBytes[j.forward.Class] += meanRunStep * (float64(len(forwarded.Body)) - adm.classBodyBytes[j.forward.Class])
+		} else if len(adm.classRunSeconds) < maxClasses {
+			adm.classRunSeconds[j.forward.Class], adm.classBodyBytes[j.forward.Class] = took, float64(len(forwarded.Body))
 		}
 	}
-	if j.carry.Key != "" {
-		switch v {
+	if j.forward.Key != "" {
+		switch verdict {
 		case outcome.Answered:
-			r := &meshpb.Receipt{Token: j.carry.Token, State: register.Done, Attempt: j.carry.Attempt, Status: c.Status,
-				Fields: c.Fields, Body: c.Body}
-			if len(c.Body) > mostKept {
-				r = &meshpb.Receipt{Token: j.carry.Token, State: register.Lost, Attempt: j.carry.Attempt}
+			receipt := &meshpb.Receipt{Token: j.forward.Token, State: register.Done, Attempt: j.forward.Attempt, Status: forwarded.Status,
+				Fields: forwarded.Fields, Body: forwarded.Body}
+			if len(forwarded.Body) > maxRecordedBody {
+				receipt = &meshpb.Receipt{Token: j.forward.Token, State: register.Lost, Attempt: j.forward.Attempt}
 			}
-			g.settle(j.carry.Key, r)
+			adm.settle(j.forward.Key, receipt)
 		case outcome.Broken, outcome.Late:
-			g.settle(j.carry.Key, &meshpb.Receipt{Token: j.carry.Token, State: register.Lost, Attempt: j.carry.Attempt})
+			adm.settle(j.forward.Key, &meshpb.Receipt{Token: j.forward.Token, State: register.Lost, Attempt: j.forward.Attempt})
 		}
 	}
-	g.end(j, c)
+	adm.finish(j, forwarded)
 }
 
-// mostKept bounds the body of an answer that a register keeps.
-const mostKept = 128 << 10
+// maxRecordedBody bounds the body, in bytes, of a response that is recorded with its idempotency key.
+const maxRecordedBody = 128 << 10
 
-func (g *admission) tick() {
-	if g.p.now < g.tickedAt+0.02 {
+func (adm *admission) tick() {
+	if adm.sidecar.now < adm.tickedAt+0.02 {
 		return
 	}
-	g.tickedAt = g.p.now
-	g.tickKeys()
-	for len(g.queue) > 0 {
-		late := slices.IndexFunc(g.queue, func(j *job) bool { return j.until <= g.p.now })
+	adm.tickedAt = adm.sidecar.now
+	adm.tickKeys()
+	for len(adm.queue) > 0 {
+		late := slices.IndexFunc(adm.queue, func(j *job) bool { return j.deadline <= adm.sidecar.now })
 		if late < 0 {
 			break
 		}
-		j := g.queue[late]
-		g.queue = slices.Delete(g.queue, late, late+1)
-		g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Expired)})
+		j := adm.queue[late]
+		adm.queue = slices.Delete(adm.queue, late, late+1)
+		adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Expired)})
 	}
-	for _, j := range g.late.drop(func(j *job) bool { return !g.canFinish(j) }) { // nothing is held for what cannot come
-		g.turn(j, "no berth before its deadline", 1)
+	// Requests do not wait for a slot that would come too late.
+	for _, j := range adm.lateQueue.removeIf(func(j *job) bool { return !adm.canFinish(j) }) {
+		adm.reject(j, "no berth before its deadline", 1)
 	}
-	g.serve()
+	adm.fillSlots()
 }
--- a/internal/mesh/sidecar/claims.go
+++ b/internal/mesh/sidecar/claims.go
@@ -12,151 +12,162 @@
 	"beechwing/internal/mesh/transport"
 )
 
-// An operation's key is bound to its run here before anything goes to the host, and the end of the run is told. Both go to control
-// processes, which may be slow, cut off or overloaded. What this proxy sends them stays in proportion to what they answer: claims are
-// throttled by the answers of late, a slow answer is waited for while another process is asked only within a budget, and the end
-// of a run is told again after pauses that grow.
+// This file binds idempotency keys to runs. Before a request with a key goes to the host, a claim binds the key to its
+// run here. When the run has ended, a settle message records the outcome. Both go to control servers, which may be
+// slow, unreachable or overloaded. What this sidecar sends them stays in proportion to what they answer: claims are
+// throttled by the recent answers, a slow claim is hedged at another server only within a budget, and a settle message
+// is retried with exponential backoff.
 
 const (
-	muteFor      = 1.5  // seconds for which a control process that did not answer is asked last
-	claimAsk     = 0.12 // seconds at least until the next control process is asked for a claim beside the first,
-	claimSlow    = 2.0  // or so many times what answers of the first usually take,
-	claimLate    = 0.24 // and at most
-	tookStep     = 0.1  // weight of one answer in that
-	claimMost    = 0.36 // and until it is given up: nothing has been sent to the host then
-	furtherEarn  = 0.1  // further questions for each claim that is answered
-	furtherMost  = 5.0  // that are saved up
-	overloadBack = 300  // milliseconds until a client is to come back whose claim the control plane has no room for
-	settleAsk    = 0.25 // seconds until the end of a run is told again; twice as long after each time
-	settleTries  = 6
-	mostSettles  = 4096
+	deprioritizedFor     = 1.5  // seconds for which a control server that did not answer is asked last
+	minHedgeDelay        = 0.12 // seconds; lower bound of the delay until a claim is hedged at the next control server
+	hedgeDelayFactor     = 2.0  // that delay, as a multiple of the server's mean answer time
+	maxHedgeDelay        = 0.24 // seconds; upper bound of that delay
+	meanAnswerStep       = 0.1  // weight of one answer in the mean answer time
+	claimTimeout         = 0.36 // seconds until a claim is given up; nothing has been sent to the host then
+	hedgeBudgetEarn      = 0.1  // hedges earned by each answered claim
+	maxHedgeBudget       = 5.0  // hedges that can be saved up
+	overloadRetryAfterMs = 300  // for a client whose claim the control plane has no capacity for
+	settleRetryDelay     = 0.25 // seconds until a settle message is sent again; doubles with each attempt
+	maxSettleAttempts    = 6
+	maxSettles           = 4096
 )
 
-// keys is what this proxy has asked control processes about operations' keys.
-type keys struct {
-	claims   map[uint64]*claimQuestion
-	settles  map[uint64]*settling
-	mute     map[string]float64 // control processes that did not answer, until when they are asked last
-	throttle throttle.Throttle  // of claims
-	took     map[string]float64 // mean seconds until a control process answers a claim
-	further  float64            // questions that may go out beside one that is not answered yet
+// keyRPCs holds the outstanding RPCs to control servers about idempotency keys.
+type keyRPCs struct {
+	claims             map[uint64]*claimRPC
+	settles            map[uint64]*settleRPC
+	deprioritizedUntil map[string]float64 // by control server that did not answer: the time until which it is asked last
+	throttle           throttle.Throttle  // of claims
+	meanAnswerSeconds  map[string]float64 // until a control server answers a claim, by server
+	hedgeBudget        float64            // hedges that may be sent now
 }
 
-func (k *keys) init() {
-	k.claims, k.settles, k.further = map[uint64]*claimQuestion{}, map[uint64]*settling{}, furtherMost
-	k.mute, k.took = map[string]float64{}, map[string]float64{}
+func (k *keyRPCs) init() {
+	k.claims, k.settles, k.hedgeBudget = map[uint64]*claimRPC{}, map[uint64]*settleRPC{}, maxHedgeBudget
+	k.deprioritizedUntil, k.meanAnswerSeconds = map[string]float64{}, map[string]float64{}
 }
 
-// lateAt is when the answer to a question is late: a control process in another region takes longer, and is no worse for that.
-func (k *keys) lateAt(q *claimQuestion) float64 {
-	return q.asked + min(claimLate, max(claimAsk, claimSlow*k.took[q.at]))
+// hedgeAt returns when an unanswered claim is hedged. The delay follows the server's usual answer time, since a control
+// server in another region takes longer without being at fault.
+func (k *keyRPCs) hedgeAt(rpc *claimRPC) float64 {
+	return rpc.sentAt + min(maxHedgeDelay, max(minHedgeDelay, hedgeDelayFactor*k.meanAnswerSeconds[rpc.server]))
 }
 
-// sawAnswer notes how long a control process took to answer a claim.
-func (k *keys) sawAnswer(now float64, q *claimQuestion) {
-	seconds := now - q.asked
-	if was, known := k.took[q.at]; known {
-		seconds = was + tookStep*(seconds-was)
+// recordAnswerTime records how long a control server took to answer a claim.
+func (k *keyRPCs) recordAnswerTime(now float64, rpc *claimRPC) {
+	seconds := now - rpc.sentAt
+	if was, known := k.meanAnswerSeconds[rpc.server]; known {
+		seconds = was + meanAnswerStep*(seconds-was)
 	}
-	k.took[q.at] = seconds
+	k.meanAnswerSeconds[rpc.server] = seconds
 }
 
-// claim is a job's part of that.
+// claim is the state of a job's claim.
 type claim struct {
-	servers  []string // not asked yet
-	open     []uint64 // questions that are not answered
-	began    float64  // when the first went out; 0: none has
-	mayStand bool     // a control process may have bound the key to this job
+	servers     []string // not asked yet
+	outstanding []uint64 // IDs of the unanswered RPCs
+	startedAt   float64  // when the claim began; 0: not yet
+	mayBeHeld   bool     // a control server may have bound the key to this job
 }
 
-// claimQuestion is a claim on its way.
-type claimQuestion struct {
-	job   *job
-	at    string // whom
-	asked float64
-	late  bool // the next one has been asked, or may not be
+// claimRPC is a claim that was sent to one control server.
+type claimRPC struct {
+	job     *job
+	server  string
+	sentAt  float64
+	overdue bool // its hedge was sent, or the budget did not allow one
 }
 
-// settling is word on the end of a run, until a control process has taken it.
-type settling struct {
-	key     string
-	receipt *meshpb.Receipt
-	ifFree  bool
-	told    func(state uint32) // nil: nobody waits for it
-	servers []string
-	at      string // whom
-	asked   float64
-	tries   int
+// settleRPC records the outcome of a run, and is retried until a control server acknowledges it.
+type settleRPC struct {
+	key      string
+	receipt  *meshpb.Receipt
+	ifFree   bool
+	done     func(state uint32) // called with the answer; may be nil
+	servers  []string
+	server   string // empty: the throttle held this attempt back
+	sentAt   float64
+	attempts int
 }
 
-// urgent says that it is the first word on a run's answer, which repeats of the request wait for.
-func (s *settling) urgent() bool { return s.tries == 1 && s.receipt.State != register.Void }
+// urgent reports whether this is the first message with a run's response, for which repeats of the request wait.
+func (settling *settleRPC) urgent() bool {
+	return settling.attempts == 1 && settling.receipt.State != register.Void
+}
 
-// againAt is when it is to be told again.
-func (s *settling) againAt() float64 { return s.asked + settleAsk*float64(uint(1)<<(s.tries-1)) }
+// retryAt returns when the message is sent again.
+func (settling *settleRPC) retryAt() float64 {
+	return settling.sentAt + settleRetryDelay*float64(uint(1)<<(settling.attempts-1))
+}
 
-// close forgets the questions of a job.
-func (k *keys) close(j *job) {
-	for _, id := range j.claim.open {
+// closeClaim drops the outstanding claims of a job.
+func (k *keyRPCs) closeClaim(j *job) {
+	for _, id := range j.claim.outstanding {
 		delete(k.claims, id)
 	}
-	j.claim.open = nil
+	j.claim.outstanding = nil
 }
 
-// answered takes a question off the books.
-func (k *keys) answered(id uint64, j *job) {
+// removeClaim removes one outstanding claim.
+func (k *keyRPCs) removeClaim(id uint64, j *job) {
 	delete(k.claims, id)
-	j.claim.open = slices.DeleteFunc(j.claim.open, func(open uint64) bool { return open == id })
+	j.claim.outstanding = slices.DeleteFunc(j.claim.outstanding, func(open uint64) bool { return open == id })
 }
 
-// beginClaim asks that a request's key be bound to its run here. Until that is granted nothing goes to the host.
-func (g *admission) beginClaim(j *job) {
-	j.claim.began, j.claim.servers = g.p.now, g.homes(j.carry.Key)
-	g.askNext(j)
+// beginClaim claims the key of a request for its run here. Nothing goes to the host until the claim is granted.
+func (adm *admission) beginClaim(j *job) {
+	j.claim.startedAt, j.claim.servers = adm.sidecar.now, adm.serversFor(j.forward.Key)
+	adm.claimAtNextServer(j)
 }
 
-// askNext puts the claim to the next control process. Without one, or where they have no room, the job ends once no answer can come.
-func (g *admission) askNext(j *job) {
+// claimAtNextServer sends the claim to the next control server. If there is none, or the throttle allows no claim, the
+// job ends as soon as no outstanding claim can be granted any more.
+func (adm *admission) claimAtNextServer(j *job) {
 	c := &j.claim
-	allMute := len(c.open) == 0 && c.mayStand && !slices.ContainsFunc(c.servers, func(h string) bool { return g.p.now >= g.keys.mute[h] })
+	allDeprioritized := len(c.outstanding) == 0 && c.mayBeHeld && !slices.ContainsFunc(c.servers,
+		func(server string) bool { return adm.sidecar.now >= adm.keys.deprioritizedUntil[server] })
 	switch {
-	case len(c.servers) == 0 || allMute:
-		if len(c.open) == 0 {
-			g.unclaimed(j, 0)
+	case len(c.servers) == 0 || allDeprioritized:
+		if len(c.outstanding) == 0 {
+			adm.failClaim(j, 0)
 		}
 		return
-	case g.claimOver(j):
-		g.unclaimed(j, 0)
+	case adm.claimTimedOut(j):
+		adm.failClaim(j, 0)
 		return
-	case !g.keys.throttle.Allow(g.p.now, g.p.draw()):
-		if len(c.open) == 0 {
-			g.unclaimed(j, overloadBack)
+	case !adm.keys.throttle.Allow(adm.sidecar.now, adm.sidecar.randomFloat()):
+		if len(c.outstanding) == 0 {
+			adm.failClaim(j, overloadRetryAfterMs)
 		}
 		return
 	}
-	id := g.p.id()
-	q := &claimQuestion{job: j, at: c.servers[0], asked: g.p.now}
-	g.keys.claims[id], c.open, c.servers = q, append(c.open, id), c.servers[1:]
-	m := &meshpb.Claim{Key: j.carry.Key, Token: j.carry.Token, Attempt: j.carry.Attempt, Gate: g.p.o.Self, GateLife: g.p.life}
-	g.p.send(q.at, g.p.question(id, &meshpb.Message{Claim: m}))
+	id := adm.sidecar.nextID()
+	rpc := &claimRPC{job: j, server: c.servers[0], sentAt: adm.sidecar.now}
+	adm.keys.claims[id], c.outstanding, c.servers = rpc, append(c.outstanding, id), c.servers[1:]
+	m := &meshpb.Claim{Key: j.forward.Key, Token: j.forward.Token, Attempt: j.forward.Attempt,
+		Gate: adm.sidecar.opts.Self, GateLife: adm.sidecar.incarnation}
+	adm.sidecar.send(rpc.server, adm.sidecar.newRPC(id, &meshpb.Message{Claim: m}))
 }
 
-// claimOver says that a claim has taken so long that nothing may go to the host any more.
-func (g *admission) claimOver(j *job) bool {
-	return g.p.now > j.claim.began+claimMost || g.p.now >= j.until
+// claimTimedOut reports whether a claim has taken so long that the request may not go to the host any more.
+func (adm *admission) claimTimedOut(j *job) bool {
+	return adm.sidecar.now > j.claim.startedAt+claimTimeout || adm.sidecar.now >= j.deadline
 }
 
-// unclaimed ends a job whose key was not bound. backMs is set where the control plane has no room for it.
-func (g *admission) unclaimed(j *job, backMs uint32) {
-	j.claim.mayStand = j.claim.mayStand || len(j.claim.open) > 0
-	g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Unclaimed), BackMs: backMs})
+// failClaim ends a job whose key could not be claimed. backMs is not 0 if the control plane has no capacity.
+func (adm *admission) failClaim(j *job, backMs uint32) {
+	j.claim.mayBeHeld = j.claim.mayBeHeld || len(j.claim.outstanding) > 0
+	adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Unclaimed), BackMs: backMs})
 }
 
-// homes are the control processes in the order in which one asks them for a key. Those that did not answer lately come last.
-func (g *admission) homes(key string) []string {
-	all := register.Home(key, g.p.discovery.servers)
+// serversFor returns the control servers in the order in which they are asked about a key. Servers that did not answer
+// lately come last.
+func (adm *admission) serversFor(key string) []string {
+	all := register.Home(key, adm.sidecar.discovery.servers)
 	slices.SortStableFunc(all, func(a, b string) int {
-		return cmp.Compare(btoi(g.p.now < g.keys.mute[a]), btoi(g.p.now < g.keys.mute[b]))
+		return cmp.Compare(btoi(adm.sidecar.now < adm.keys.deprioritizedUntil[a]),
+			btoi(adm.sidecar.now < adm.keys.deprioritizedUntil[b]))
 	})
 	return all
 }
@@ -168,188 +179,189 @@
 	return 0
 }
 
-// muted notes that a control process did not answer, or could do nothing.
-func (g *admission) muted(server string) {
-	if slices.Contains(g.p.discovery.servers, server) {
-		g.keys.mute[server] = g.p.now + muteFor
+// deprioritize records that a control server did not answer, or could not decide.
+func (adm *admission) deprioritize(server string) {
+	if slices.Contains(adm.sidecar.discovery.servers, server) {
+		adm.keys.deprioritizedUntil[server] = adm.sidecar.now + deprioritizedFor
 	}
 }
 
-// claimed takes a control process's answer to a claim or to word on the end of a run.
-func (g *admission) claimed(from string, m *meshpb.Message) {
-	s, q := g.keys.settles[m.Id], g.keys.claims[m.Id]
+// receiveClaimed handles a control server's answer to a claim or to a settle message.
+func (adm *admission) receiveClaimed(from string, m *meshpb.Message) {
+	settling, rpc := adm.keys.settles[m.Id], adm.keys.claims[m.Id]
 	asked, token := "", m.Claimed.Token
 	switch {
-	case s != nil:
-		asked, token = s.at, s.receipt.Token
-	case q != nil:
-		asked, token = q.at, q.job.carry.Token
+	case settling != nil:
+		asked, token = settling.server, settling.receipt.Token
+	case rpc != nil:
+		asked, token = rpc.server, rpc.job.forward.Token
 	}
 	switch {
-	case !g.p.accepts(from, m, asked):
+	case !adm.sidecar.acceptsResponse(from, m, asked):
 	case m.Claimed.Token != token:
-		g.p.drop(from, m, dropToken)
-	case s != nil:
-		g.settled(m.Id, s, m.Claimed.State)
+		adm.sidecar.drop(from, m, dropOtherToken)
+	case settling != nil:
+		adm.settleAnswered(m.Id, settling, m.Claimed.State)
 	default:
-		g.keys.answered(m.Id, q.job)
-		g.granted(q, m.Claimed)
+		adm.keys.removeClaim(m.Id, rpc.job)
+		adm.handleClaimed(rpc, m.Claimed)
 	}
 }
 
-// granted takes what became of a claim.
-func (g *admission) granted(q *claimQuestion, c *meshpb.Claimed) {
-	j := q.job
-	if c.State == register.Unsure {
-		g.notGranted(q, c)
+// handleClaimed continues a job by the answer to its claim.
+func (adm *admission) handleClaimed(rpc *claimRPC, claimed *meshpb.Claimed) {
+	j := rpc.job
+	if claimed.State == register.Unsure {
+		adm.claimUndecided(rpc, claimed)
 		return
 	}
-	j.claim.mayStand = true
-	g.keys.sawAnswer(g.p.now, q)
-	g.keys.throttle.Accepted(g.p.now)
-	g.keys.further = min(furtherMost, g.keys.further+furtherEarn)
-	g.keys.close(j) // what else was asked asks for the same
-	switch c.State {
+	j.claim.mayBeHeld = true
+	adm.keys.recordAnswerTime(adm.sidecar.now, rpc)
+	adm.keys.throttle.Accepted(adm.sidecar.now)
+	adm.keys.hedgeBudget = min(maxHedgeBudget, adm.keys.hedgeBudget+hedgeBudgetEarn)
+	adm.keys.closeClaim(j) // the other outstanding claims ask for the same
+	switch claimed.State {
 	case register.Claimed:
-		if g.p.now >= j.until {
-			g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Expired)})
+		if adm.sidecar.now >= j.deadline {
+			adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Expired)})
 			return
 		}
-		if own := g.p.discovery.own; own.Station != j.carry.Station || own.Condition == Gone { // meanwhile
-			g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Unclaimed), Why: "the host has gone"})
+		// The host may have changed during the claim.
+		if own := adm.sidecar.discovery.own; own.Station != j.forward.Station || own.Condition == Gone {
+			adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Unclaimed), Why: "the host has gone"})
 			return
 		}
-		g.enter(j)
+		adm.enqueue(j)
 	case register.Busy:
-		g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Busy)})
+		adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Busy)})
 	case register.Done:
-		g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Kept), Status: c.Receipt.GetStatus(), Fields: c.Receipt.GetFields(),
-			Body: c.Receipt.GetBody()})
+		adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Kept), Status: claimed.Receipt.GetStatus(),
+			Fields: claimed.Receipt.GetFields(), Body: claimed.Receipt.GetBody()})
 	case register.Lost:
-		g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Lost)})
+		adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Lost)})
 	default:
-		g.end(j, &meshpb.Forwarded{Verdict: uint32(outcome.Unclaimed), Why: "its claim was given back"})
+		adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Unclaimed), Why: "its claim was given back"})
 	}
 }
 
-// notGranted goes on after a control process that could not say.
-func (g *admission) notGranted(q *claimQuestion, c *meshpb.Claimed) {
-	j := q.job
-	j.claim.mayStand = j.claim.mayStand || !c.Untouched
-	if !q.late { // it has been counted else
-		g.keys.throttle.Failed(g.p.now)
+// claimUndecided handles the answer of a control server that could not decide a claim.
+func (adm *admission) claimUndecided(rpc *claimRPC, claimed *meshpb.Claimed) {
+	j := rpc.job
+	j.claim.mayBeHeld = j.claim.mayBeHeld || !claimed.Untouched
+	if !rpc.overdue { // an overdue claim was counted before
+		adm.keys.throttle.Failed(adm.sidecar.now)
 	}
-	if c.Overloaded {
-		if len(j.claim.open) == 0 && !g.mayAskFurther() {
-			g.unclaimed(j, overloadBack)
+	if claimed.Overloaded {
+		if len(j.claim.outstanding) == 0 && !adm.spendHedgeBudget() {
+			adm.failClaim(j, overloadRetryAfterMs)
 			return
 		}
 	} else {
-		g.muted(q.at)
+		adm.deprioritize(rpc.server)
 	}
-	if len(j.claim.open) == 0 {
-		g.askNext(j)
+	if len(j.claim.outstanding) == 0 {
+		adm.claimAtNextServer(j)
 	}
 }
 
-// mayAskFurther takes a question beyond a claim's first off the budget, if there is one.
-func (g *admission) mayAskFurther() bool {
-	if g.keys.further < 1 {
+// spendHedgeBudget reports whether the budget allows a further claim of a job, and if so takes it off the budget.
+func (adm *admission) spendHedgeBudget() bool {
+	if adm.keys.hedgeBudget < 1 {
 		return false
 	}
-	g.keys.further--
+	adm.keys.hedgeBudget--
 	return true
 }
 
-// settle tells how a run ended, until a control process has taken it.
-func (g *admission) settle(key string, r *meshpb.Receipt) {
-	if len(g.keys.settles) >= mostSettles {
-		return // its key stays claimed, and ends as lost
+// settle records how a run ended, with retries until a control server acknowledges it.
+func (adm *admission) settle(key string, receipt *meshpb.Receipt) {
+	if len(adm.keys.settles) >= maxSettles {
+		return // the key stays claimed, and its run ends as lost
 	}
-	g.tellEnd(&settling{key: key, receipt: r})
+	adm.sendSettle(&settleRPC{key: key, receipt: receipt})
 }
 
-// voidIfFree keeps claims of a token out, and tells whether that was in time.
-func (g *admission) voidIfFree(key string, token uint64, told func(state uint32)) {
-	if len(g.keys.settles) < mostSettles {
-		g.tellEnd(&settling{key: key, receipt: &meshpb.Receipt{Token: token, State: register.Void}, ifFree: true, told: told})
+// voidIfFree voids a token unless its claim was granted, and passes the resulting state of the key to done.
+func (adm *admission) voidIfFree(key string, token uint64, done func(state uint32)) {
+	if len(adm.keys.settles) < maxSettles {
+		adm.sendSettle(&settleRPC{key: key, receipt: &meshpb.Receipt{Token: token, State: register.Void}, ifFree: true, done: done})
 	}
 }
 
-// tellEnd sends word on the end of a run to the next control process.
-func (g *admission) tellEnd(s *settling) {
-	if len(s.servers) == 0 {
-		s.servers = g.homes(s.key)
+// sendSettle sends a settle message to the next control server, up to maxSettleAttempts times.
+func (adm *admission) sendSettle(settling *settleRPC) {
+	if len(settling.servers) == 0 {
+		settling.servers = adm.serversFor(settling.key)
 	}
-	if s.at != "" {
-		g.keys.throttle.Failed(g.p.now)
+	if settling.server != "" {
+		adm.keys.throttle.Failed(adm.sidecar.now)
 	}
-	if s.tries++; len(s.servers) == 0 || s.tries > settleTries {
+	if settling.attempts++; len(settling.servers) == 0 || settling.attempts > maxSettleAttempts {
 		return
 	}
-	id := g.p.id()
-	s.asked = g.p.now
-	g.keys.settles[id] = s
-	allowed := g.keys.throttle.Allow(g.p.now, g.p.draw())
-	if s.at = ""; !allowed && !s.urgent() { // it has its turn after the next pause
+	id := adm.sidecar.nextID()
+	settling.sentAt = adm.sidecar.now
+	adm.keys.settles[id] = settling
+	allowed := adm.keys.throttle.Allow(adm.sidecar.now, adm.sidecar.randomFloat())
+	if settling.server = ""; !allowed && !settling.urgent() { // throttled: sent after the next backoff
 		return
 	}
-	s.at = s.servers[0]
-	s.servers = s.servers[1:]
-	settle := &meshpb.Settle{Key: s.key, Receipt: s.receipt, IfFree: s.ifFree}
-	g.p.send(s.at, g.p.question(id, &meshpb.Message{Settle: settle}))
+	settling.server = settling.servers[0]
+	settling.servers = settling.servers[1:]
+	settle := &meshpb.Settle{Key: settling.key, Receipt: settling.receipt, IfFree: settling.ifFree}
+	adm.sidecar.send(settling.server, adm.sidecar.newRPC(id, &meshpb.Message{Settle: settle}))
 }
 
-// settled ends the telling of how a run ended. Of what no majority was found for it goes on.
-func (g *admission) settled(id uint64, s *settling, state uint32) {
+// settleAnswered ends a settle message by its answer. If no majority was found, the retries go on.
+func (adm *admission) settleAnswered(id uint64, settling *settleRPC, state uint32) {
 	if state == register.Unsure {
 		return
 	}
-	delete(g.keys.settles, id)
-	g.keys.throttle.Accepted(g.p.now)
-	if s.told != nil {
-		s.told(state)
+	delete(adm.keys.settles, id)
+	adm.keys.throttle.Accepted(adm.sidecar.now)
+	if settling.done != nil {
+		settling.done(state)
 	}
 }
 
-// broke goes on to the next control process with what the one that is gone had in hand.
-func (g *admission) broke(b transport.Broke) {
-	for _, id := range b.Unsent {
-		if q := g.keys.claims[id]; q != nil && q.at == b.Peer {
-			g.keys.answered(id, q.job)
-			g.muted(q.at)
-			if len(q.job.claim.open) == 0 {
-				g.askNext(q.job)
+// connectionLost moves the messages that were not sent to a lost control server on to the next one.
+func (adm *admission) connectionLost(lost transport.Broke) {
+	for _, id := range lost.Unsent {
+		if rpc := adm.keys.claims[id]; rpc != nil && rpc.server == lost.Peer {
+			adm.keys.removeClaim(id, rpc.job)
+			adm.deprioritize(rpc.server)
+			if len(rpc.job.claim.outstanding) == 0 {
+				adm.claimAtNextServer(rpc.job)
 			}
 		}
-		if s := g.keys.settles[id]; s != nil && s.at == b.Peer {
-			delete(g.keys.settles, id)
-			g.tellEnd(s)
+		if settling := adm.keys.settles[id]; settling != nil && settling.server == lost.Peer {
+			delete(adm.keys.settles, id)
+			adm.sendSettle(settling)
 		}
 	}
 }
 
-// tickKeys asks others where answers are late, and gives up what has waited for long enough.
-func (g *admission) tickKeys() {
-	for _, id := range slices.Sorted(maps.Keys(g.keys.claims)) {
-		q := g.keys.claims[id]
+// tickKeys hedges overdue claims, gives up those that took too long, and retries settle messages.
+func (adm *admission) tickKeys() {
+	for _, id := range slices.Sorted(maps.Keys(adm.keys.claims)) {
+		rpc := adm.keys.claims[id]
 		switch {
-		case q == nil: // its job has ended in here
-		case g.claimOver(q.job):
-			g.unclaimed(q.job, 0)
-		case !q.late && g.p.now > g.keys.lateAt(q):
-			q.late = true
-			g.keys.throttle.Failed(g.p.now)
-			g.muted(q.at)
-			if g.mayAskFurther() {
-				g.askNext(q.job)
+		case rpc == nil: // its job ended earlier in this loop
+		case adm.claimTimedOut(rpc.job):
+			adm.failClaim(rpc.job, 0)
+		case !rpc.overdue && adm.sidecar.now > adm.keys.hedgeAt(rpc):
+			rpc.overdue = true
+			adm.keys.throttle.Failed(adm.sidecar.now)
+			adm.deprioritize(rpc.server)
+			if adm.spendHedgeBudget() {
+				adm.claimAtNextServer(rpc.job)
 			}
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(g.keys.settles)) {
-		if s := g.keys.settles[id]; g.p.now > s.againAt() {
-			delete(g.keys.settles, id)
-			g.tellEnd(s)
+	for _, id := range slices.Sorted(maps.Keys(adm.keys.settles)) {
+		if settling := adm.keys.settles[id]; adm.sidecar.now > settling.retryAt() {
+			delete(adm.keys.settles, id)
+			adm.sendSettle(settling)
 		}
 	}
 }
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -1,11 +1,25 @@
-// Package sidecar is the data plane's state machine: one proxy beside one host. (The field's term: sidecar.) It takes what
-// clients ask, what the host beside it says, what other processes send and the time, and returns what to send and what to do.
-// Sockets and the clock are the program's.
+// Package sidecar is the decision logic of the data plane's proxy. One proxy, the sidecar, runs beside each host, which
+// is one process of an application service. The sidecar sends its host's outgoing requests to other hosts through their
+// sidecars, and it admits the requests that other sidecars send to its own host.
 //
-// Its files: this one joins the parts. dispatch.go follows a request from a client here to the proxy beside the picked host, with
-// actions.go (what the balancer wants done), tries.go (how tries end) and departure.go (clients that leave). admission.go is that other
-// end, the last before the host, with claims.go (operations' keys) and keylease.go (keys that the host holds). discovery.go knows who
-// there is and what is in force; shards.go which host holds which keys.
+// The main type is Sidecar, a state machine that does no I/O. The program that embeds it owns the sockets and the
+// clock. The program passes in client requests, messages of other processes, heartbeats of the host and the time, and
+// after each input it carries out what TakeOutput returns.
+//
+// Two kinds of identity recur. A host instance is one run of a host process. A process incarnation is one run of a
+// sidecar process at an address; it is a random number.
+//
+// The fields of messages have the names of the operators' protocol. A carrier is a service, a station is the ID of a host
+// instance, and berths are the slots of a host, the number of requests that it runs at once. A life is a process
+// incarnation, and the gate life is that of the receiving sidecar. The source of a record is the address of the sidecar
+// that publishes it. The aim of a request is its soft deadline, after which its response loses worth.
+//
+// sidecar.go joins the parts. dispatch.go follows a client request to the sidecar of the picked host, with actions.go
+// (what the balancer orders), attempts.go (how attempts end), heldattempts.go (attempts that wait for a peer's
+// incarnation) and cancellation.go (clients that leave). admission.go is the receiving side in front of the host, with
+// duplicates.go, latequeue.go, claims.go (idempotency keys) and keylease.go (shard keys that the host holds).
+// discovery.go tracks the known hosts and the configuration in force, shards.go which host holds which shard keys, and
+// ejections.go which hosts fail.
 package sidecar
 
 import (
@@ -21,221 +35,233 @@
 	"beechwing/internal/mesh/sharding"
 )
 
-// Options is what a proxy is told at its start.
+// Options configure a Sidecar at its start.
 type Options struct {
-	Self     string // its address for the others
-	Zone     string
-	Sender   string // the service of the host on this machine
-	Seeds    []string
-	Beat     float64 // seconds between a host's beats
-	Ratio    float64 // of the rule on further tries
-	Slack    float64
-	Version  uint64 // of its record to begin with: later starts have higher ones, as a rule
-	Seed     uint64
-	Agreed   bool    // a host is left out for what must not run twice only where most that met it agree
-	HoldMost float64 // seconds for which hosts let themselves be granted keys at most; 0: not told
-	Memory   int     // bytes that bodies under way may take
-	Log      func(event string, args ...any)
-	Debug    func(event string, args ...any) // nil: nobody listens
+	Self              string // address at which other processes reach this one
+	Zone              string
+	Service           string // service of the host beside this sidecar
+	Seeds             []string
+	HeartbeatInterval float64 // seconds between two heartbeats of the host
+	RetryRatio        float64 // of the retry budget
+	RetrySlack        float64
+	RecordVersion     uint64 // of the first record of the host; a later start normally has a higher one
+	Seed              uint64
+	AgreedEjection    bool    // the proxies eject a host for requests that must not run twice only by majority vote
+	MaxKeyHold        float64 // seconds for which hosts accept a grant of shard keys at most; 0: not configured
+	MaxBodyBytes      int     // bound on the bodies of requests in progress
+	Log               func(event string, args ...any)
+	Debug             func(event string, args ...any) // nil: debug messages are not logged
 }
 
-// Do is something for the program to carry out: Exchange, Abort, KeyCalls, Tell or Probe.
-type Do interface{ do() }
+// Command is an action that the program carries out: Exchange, Abort, KeyCalls, Respond or Probe.
+type Command interface{ command() }
 
-// Exchange has a request run by the host beside this proxy. The end of it comes back by Exchanged.
+// Exchange orders the program to run a request at the host. Its end is reported by ExchangeDone.
 type Exchange struct {
-	Job     uint64
-	Forward *meshpb.Forward
-	Until   float64 // the host has to have answered by then
+	Job      uint64
+	Forward  *meshpb.Forward
+	Deadline float64 // by which the host must have responded
 }
 
-// Abort breaks off an Exchange: nobody waits for its end, which may come back all the same.
+// Abort orders the program to cancel an Exchange. Nobody waits for the end of the Exchange, but ExchangeDone may still
+// report it.
 type Abort struct{ Job uint64 }
 
-// Tell gives a client's request its answer.
-type Tell struct {
-	Order *Order
-	Reply Reply
+// Respond orders the program to send the reply to a client's request.
+type Respond struct {
+	Request *Request
+	Reply   Reply
 }
 
-// Probe asks the host beside this proxy which life of it is there and whether it is well. The answer comes back by Probed.
+// Probe orders the program to ask the host which instance it is and whether it is healthy. The result is reported by
+// ProbeDone.
 type Probe struct{ Path string }
 
-func (Probe) do()    {}
-func (Exchange) do() {}
-func (Abort) do()    {}
-func (Tell) do()     {}
+func (Probe) command()    {}
+func (Exchange) command() {}
+func (Abort) command()    {}
+func (Respond) command()  {}
 
-// Effects are what a machine wants done, in order.
-type Effects struct {
-	Sends []transport.Send
-	Dos   []Do
+// Output is what the program has to send and carry out, in order.
+type Output struct {
+	Sends    []transport.Send
+	Commands []Command
 }
 
-// Sidecar is one proxy. It is single-threaded; every input carries the time in seconds on a clock that never jumps.
+// Sidecar is the state machine of one proxy. It is single-threaded. Every input carries the time in seconds on a
+// monotonic clock.
 type Sidecar struct {
-	o     Options
-	now   float64
-	rng   random.Source
-	table *routeconfig.Table
-	out   Effects
-	local []func() // what actions of the module gave rise to; it may not be called from within one
-	inUse int      // bytes of bodies
-	count Counts
-
-	// dispatch.go
-	services map[string]*service
-	orders   map[uint64]*Order
-	tries    map[uint64]*try
-	life     uint64 // of this process; its questions carry it
-	lastID   uint64
-	timers   timers
-	budget   *retrybudget.Budget
-	peers    map[string]*peer
-	pongs    float64 // mean seconds that others take to say that they are there
+	opts      Options
+	now       float64
+	rng       random.Source
+	table     *routeconfig.Table
+	output    Output
+	pending   []func() // run after a callback of the balancer has returned, as a callback must not call the balancer
+	bodyBytes int      // total size of the request bodies in progress
+	counts    Counts
+
+	// State of client requests and their attempts (dispatch.go, attempts.go).
+	services        map[string]*service
+	requests        map[uint64]*Request
+	attempts        map[uint64]*attempt
+	incarnation     uint64 // identifies this process; its RPCs carry it
+	lastID          uint64
+	timers          timers
+	retryBudget     *retrybudget.Budget
+	peers           map[string]*peerState
+	meanPongSeconds float64 // mean seconds that peers take to answer a ping
 
 	admission admission
 	shards    shards
 	lease     keyLease
-	pauses    pauses
+	pauses    pauseDetector
 	discovery discovery
-	witness   witness
+	ejections ejections
 }
 
-// New makes a proxy.
-func New(now float64, o Options) *Sidecar {
-	if o.Log == nil {
-		o.Log = func(string, ...any) {}
+// New returns a sidecar that has no configuration yet.
+func New(now float64, opts Options) *Sidecar {
+	if opts.Log == nil {
+		opts.Log = func(string, ...any) {}
 	}
-	p := &Sidecar{o: o, now: now, rng: random.Source(o.Seed), services: map[string]*service{}, orders: map[uint64]*Order{}, tries: map[uint64]*try{},
-		budget: retrybudget.New(o.Ratio, o.Slack), peers: map[string]*peer{},
-		count: Counts{Answers: map[int]uint64{}, Tries: map[string]uint64{}, Turned: map[string]uint64{}, Dropped: map[string]uint64{},
-			Left: map[string]uint64{}, Cancelled: map[string]uint64{}}}
+	p := &Sidecar{opts: opts, now: now, rng: random.Source(opts.Seed), services: map[string]*service{},
+		requests: map[uint64]*Request{}, attempts: map[uint64]*attempt{},
+		retryBudget: retrybudget.New(opts.RetryRatio, opts.RetrySlack), peers: map[string]*peerState{},
+		counts: Counts{Replies: map[int]uint64{}, Attempts: map[string]uint64{}, Rejected: map[string]uint64{},
+			Dropped: map[string]uint64{}, ClientsLeft: map[string]uint64{}, Cancelled: map[string]uint64{}}}
 	p.pauses.inputAt = now
-	p.identify()
-	p.admission.begin(p)
+	p.initIDs()
+	p.admission.init(p)
 	p.shards.tables = map[string]*sharding.Table{}
-	p.lease.init(o.Sender)
-	p.discovery.begin(p)
+	p.lease.init(opts.Service)
+	p.discovery.init(p)
 	return p
 }
 
-// Take gives what is to be done since the last call.
-func (p *Sidecar) Take() Effects {
-	p.settle()
-	out := p.out
-	p.out = Effects{}
+// TakeOutput returns what has to be sent and carried out since the last call.
+func (p *Sidecar) TakeOutput() Output {
+	p.runPending()
+	out := p.output
+	p.output = Output{}
 	return out
 }
 
-// settle plays what actions gave rise to, in order.
-func (p *Sidecar) settle() {
-	for len(p.local) > 0 {
-		f := p.local[0]
-		p.local = p.local[1:]
+// runPending runs the deferred functions in order, also those that they add.
+func (p *Sidecar) runPending() {
+	for len(p.pending) > 0 {
+		f := p.pending[0]
+		p.pending = p.pending[1:]
 		f()
 	}
 }
 
-// random gives the next of the numbers that the seed begins.
+// random returns the next number of the seeded generator.
 func (p *Sidecar) random() uint64 { return p.rng.Next() }
 
-// draw is a random number in [0, 1).
-func (p *Sidecar) draw() float64 { return float64(p.random()>>11) / (1 << 53) }
+// randomFloat returns a random number in [0, 1).
+func (p *Sidecar) randomFloat() float64 { return float64(p.random()>>11) / (1 << 53) }
 
-// send has a parcel go out; what is for this process itself comes back at once.
-func (p *Sidecar) send(to string, parcel *meshpb.Message) {
-	if to == p.o.Self {
-		p.local = append(p.local, func() { p.parcel(to, parcel) })
+// send queues a message for sending. A message to this process itself is handled without the network.
+func (p *Sidecar) send(to string, m *meshpb.Message) {
+	if to == p.opts.Self {
+		p.pending = append(p.pending, func() { p.handleMessage(to, m) })
 		return
 	}
-	p.out.Sends = append(p.out.Sends, transport.Send{To: to, Message: parcel})
+	p.output.Sends = append(p.output.Sends, transport.Send{To: to, Message: m})
 }
 
-// Message takes what another process says.
-func (p *Sidecar) Message(now float64, from string, parcel *meshpb.Message) {
-	p.input(now)
-	if w := p.peers[from]; w != nil && (!meshpb.IsAnswer(parcel) || p.ofThisLife(from, parcel)) {
-		w.heard, w.life = now, senderLife(parcel)
+// Receive handles a message of another process.
+func (p *Sidecar) Receive(now float64, from string, m *meshpb.Message) {
+	p.beginInput(now)
+	if peer := p.peers[from]; peer != nil && (!meshpb.IsAnswer(m) || p.forThisIncarnation(from, m)) {
+		peer.heardAt, peer.incarnation = now, senderIncarnation(m)
 		p.sendHeld(from)
 	}
-	p.parcel(from, parcel)
-	p.settle()
+	p.handleMessage(from, m)
+	p.runPending()
 }
 
-// Link takes word of how many seconds a large answer waits for this machine's link, and takes there for each byte; 0: next to nothing.
-func (p *Sidecar) Link(wait, perByte float64) { p.admission.link, p.admission.perByte = wait, perByte }
+// SetLinkBacklog sets how many seconds a large response waits for this machine's network link, and how many seconds the
+// link takes for each byte. 0 means that the delay is negligible.
+func (p *Sidecar) SetLinkBacklog(wait, perByte float64) {
+	p.admission.linkBacklog, p.admission.linkSecondsPerByte = wait, perByte
+}
 
-// Sign takes word that a large parcel of another process's is on its way: it is not silent.
-func (p *Sidecar) Sign(now float64, from string) {
-	if w := p.peers[from]; w != nil {
-		w.heard = now
+// NoteIncoming records that a part of a large message has arrived from a process, so that the process does not count as
+// silent.
+func (p *Sidecar) NoteIncoming(now float64, from string) {
+	if peer := p.peers[from]; peer != nil {
+		peer.heardAt = now
 	}
 }
 
-func (p *Sidecar) parcel(from string, parcel *meshpb.Message) {
+func (p *Sidecar) handleMessage(from string, m *meshpb.Message) {
 	switch {
-	case parcel.Forward != nil:
-		p.admission.carry(from, parcel)
-	case parcel.Cancel != nil:
-		p.admission.cancel(from, parcel)
-	case parcel.Forwarded != nil:
-		p.forwarded(from, parcel)
-	case parcel.Lease != nil:
-		p.leased(from, parcel)
-	case parcel.Claimed != nil:
-		p.admission.claimed(from, parcel)
-	case parcel.Update != nil:
-		p.discovery.came(from, parcel)
-	case parcel.Pull != nil:
-		p.discovery.pulled(from, parcel)
-	case parcel.Ping != nil:
-		p.answer(from, parcel, &meshpb.Message{Pong: parcel.Ping})
-	case parcel.Pong != nil:
-		p.ponged(from, parcel)
+	case m.Forward != nil:
+		p.admission.receiveForward(from, m)
+	case m.Cancel != nil:
+		p.admission.cancel(from, m)
+	case m.Forwarded != nil:
+		p.receiveForwarded(from, m)
+	case m.Lease != nil:
+		p.receiveLease(from, m)
+	case m.Claimed != nil:
+		p.admission.receiveClaimed(from, m)
+	case m.Update != nil:
+		p.discovery.receiveUpdate(from, m)
+	case m.Pull != nil:
+		p.discovery.receivePull(from, m)
+	case m.Ping != nil:
+		p.respond(from, m, &meshpb.Message{Pong: m.Ping})
+	case m.Pong != nil:
+		p.receivePong(from, m)
 	}
 }
 
-// Broke takes word that a connection is no more.
-func (p *Sidecar) Broke(now float64, b transport.Broke) {
-	p.input(now)
-	p.brokeTries(b)
-	p.admission.broke(b)
-	p.discovery.broke(b.Peer)
-	p.settle()
+// ConnectionLost handles the loss of a connection.
+func (p *Sidecar) ConnectionLost(now float64, lost transport.Broke) {
+	p.beginInput(now)
+	p.failAttempts(lost)
+	p.admission.connectionLost(lost)
+	p.discovery.connectionLost(lost.Peer)
+	p.runPending()
 }
 
-// Tick does what is due. It is to be called every few hundredths of a second, and at Next.
+// Tick does the periodic work. It has to be called every few hundredths of a second, and at the time that NextTimer
+// returns.
 func (p *Sidecar) Tick(now float64) {
-	p.input(now)
-	p.fire()
+	p.beginInput(now)
+	p.runTimers()
 	p.watchPeers()
 	p.admission.tick()
 	p.discovery.tick()
 	p.tickLease()
-	p.settle()
+	p.runPending()
+}
+
+// Ready reports whether clients may send requests here: a configuration is in force and the process is not shutting
+// down.
+func (p *Sidecar) Ready() bool {
+	return p.table != nil && !p.discovery.shuttingDown && p.discovery.serverAnswered
 }
 
-// Ready says whether clients may come: a configuration is in force here, and the process is not about to end.
-func (p *Sidecar) Ready() bool { return p.table != nil && !p.discovery.ending && p.discovery.told }
-
-// Term begins the end: clients hear that they had better go elsewhere, and once they have had time to, after so many seconds,
-// nothing may be under way. The others hear of it shortly before that: until then the host here is of use to them. What comes
-// nevertheless is served.
-func (p *Sidecar) Term(now, notice float64) {
-	p.input(now)
-	p.discovery.ending = true
-	p.discovery.leaveAt = now + max(0, notice-leaveAhead)
-	p.settle()
+// BeginShutdown begins the graceful shutdown. Ready turns false at once, so that clients go elsewhere, and notice is
+// the number of seconds after which they have done so. Other processes learn of the shutdown only shortly before that
+// time, because until then they can still use the host. Requests that arrive nevertheless are served.
+func (p *Sidecar) BeginShutdown(now, notice float64) {
+	p.beginInput(now)
+	p.discovery.shuttingDown = true
+	p.discovery.announceLeavingAt = now + max(0, notice-leaveNotice)
+	p.runPending()
 }
 
-// Idle says whether nothing is under way here. Word on the end of a run is, until it has been taken: lost with this process,
-// it would leave a key that has run without its answer.
+// Idle reports whether nothing is in progress. A run's outcome that no control server has acknowledged yet is in
+// progress too: if it were lost with this process, the run's idempotency key would stay without its recorded answer.
 func (p *Sidecar) Idle() bool {
-	return len(p.orders) == 0 && len(p.admission.jobs) == 0 && len(p.admission.keys.settles) == 0
+	return len(p.requests) == 0 && len(p.admission.jobs) == 0 && len(p.admission.keys.settles) == 0
 }
 
-// Limits are those of the configuration in force; nil: none is.
+// Limits returns the request limits of the configuration in force, nil if there is no configuration.
 func (p *Sidecar) Limits() *routeconfig.Limits {
 	if p.table == nil {
 		return nil
@@ -243,73 +269,75 @@
 	return &p.table.Config.SizeLimits
 }
 
-// Counts add up since the process started.
+// Counts are counters since the start of the process.
 type Counts struct {
-	Answers map[int]uint64    `json:"answers"` // to clients, by status
-	Tries   map[string]uint64 `json:"tries"`   // sent to proxies beside hosts, by verdict
-	Turned  map[string]uint64 `json:"turned"`  // away before the host here, by reason
-	Runs    uint64            `json:"runs"`    // given to the host here
-	Late    uint64            `json:"late"`    // of those past their aim before they began
-	Doubts  uint64            `json:"doubts"`  // tries given up as the proxy that had them is silent or gone
-	Dropped map[string]uint64 `json:"dropped"` // messages that changed nothing, by reason
-	Left    map[string]uint64 `json:"left"`    // requests whose clients left before the answer, by where they were
-	Unasked uint64            `json:"unasked"` // tries sent for clients that had left: none is ever due
-
-	Grants     uint64 `json:"grants"`     // of keys to the host here
-	NotGranted uint64 `json:"notGranted"` // of these, how many it did not take
-
-	Cancelled map[string]uint64 `json:"cancelled"` // requests taken back by others, by where they were here
+	Replies             map[int]uint64    `json:"answers"` // sent to clients, by status
+	Attempts            map[string]uint64 `json:"tries"`   // sent to sidecars, by outcome
+	Rejected            map[string]uint64 `json:"turned"`  // requests rejected before they reached the host here, by reason
+	Runs                uint64            `json:"runs"`    // requests passed to the host here
+	LateRuns            uint64            `json:"late"`    // of these, past their soft deadline when they began
+	PeerFailures        uint64            `json:"doubts"`  // attempts given up because the peer is silent or lost
+	Dropped             map[string]uint64 `json:"dropped"` // messages without effect, by reason
+	ClientsLeft         map[string]uint64 `json:"left"`    // requests whose clients left before the reply, by where the request was
+	SentAfterClientLeft uint64            `json:"unasked"` // attempts sent although the client had left: expected to stay 0
+
+	Grants        uint64 `json:"grants"`     // of shard key ranges to the host here
+	GrantsRefused uint64 `json:"notGranted"` // of these, not accepted by the host
+
+	Cancelled map[string]uint64 `json:"cancelled"` // requests cancelled by other sidecars, by their state here
 }
 
-// State is what an operator sees of a proxy.
+// State is the status of a sidecar as the operators' API shows it.
 type State struct {
-	Edition uint64           `json:"edition"`
-	Ready   bool             `json:"ready"`
-	Ending  bool             `json:"ending"`
-	Servers []string         `json:"servers"`
-	Host    *meshpb.Record   `json:"host"`
-	Roll    []*meshpb.Record `json:"roll"`
-	Silent  []string         `json:"silent"`
-	Orders  int              `json:"orders"`
-	Jobs    int              `json:"jobs"`
-	Queued  int              `json:"queued"`
-	Waiting int              `json:"late"`
-	Counts  Counts           `json:"counts"`
-	Avoided map[string]int   `json:"avoided"`
-	Out     []string         `json:"condemned"`
-	Accused []string         `json:"accused"`
-	Keys    *KeyState        `json:"keys,omitempty"` // nil: the host here holds none, nor is to
+	Edition      uint64           `json:"edition"`
+	Ready        bool             `json:"ready"`
+	Ending       bool             `json:"ending"`
+	Servers      []string         `json:"servers"`
+	Host         *meshpb.Record   `json:"host"`
+	Records      []*meshpb.Record `json:"roll"`
+	Silent       []string         `json:"silent"` // addresses of the sidecars that count as silent
+	Requests     int              `json:"orders"`
+	Jobs         int              `json:"jobs"`
+	Queued       int              `json:"queued"`
+	QueuedLate   int              `json:"late"` // in the queue of those past their soft deadline
+	Counts       Counts           `json:"counts"`
+	AvoidedHosts map[string]int   `json:"avoided"`        // by service, hosts to which the balancer sends nothing
+	Ejected      []string         `json:"condemned"`      // host instances that are out by agreement
+	Suspects     []string         `json:"accused"`        // host instances on which the control servers want observations
+	Keys         *KeyState        `json:"keys,omitempty"` // nil: the host holds no shard keys and is not assigned any
 }
 
-// State tells what is known here.
+// State returns the current status.
 func (p *Sidecar) State(now float64) State {
-	p.input(now)
-	s := State{Ready: p.Ready(), Ending: p.discovery.ending, Servers: p.discovery.servers, Host: p.discovery.own, Orders: len(p.orders),
-		Jobs: len(p.admission.jobs), Queued: len(p.admission.queue), Waiting: len(p.admission.late.jobs), Avoided: map[string]int{},
-		Counts: Counts{Answers: maps.Clone(p.count.Answers), Tries: maps.Clone(p.count.Tries), Turned: maps.Clone(p.count.Turned),
-			Runs: p.count.Runs, Late: p.count.Late, Doubts: p.count.Doubts, Dropped: maps.Clone(p.count.Dropped), Left: maps.Clone(p.count.Left),
-			Unasked: p.count.Unasked, Cancelled: maps.Clone(p.count.Cancelled), Grants: p.count.Grants,
-			NotGranted: p.count.NotGranted}}
+	p.beginInput(now)
+	s := State{Ready: p.Ready(), Ending: p.discovery.shuttingDown, Servers: p.discovery.servers, Host: p.discovery.own,
+		Requests: len(p.requests), Jobs: len(p.admission.jobs), Queued: len(p.admission.queue),
+		QueuedLate: len(p.admission.lateQueue.jobs), AvoidedHosts: map[string]int{},
+		Counts: Counts{Replies: maps.Clone(p.counts.Replies), Attempts: maps.Clone(p.counts.Attempts),
+			Rejected: maps.Clone(p.counts.Rejected), Runs: p.counts.Runs, LateRuns: p.counts.LateRuns,
+			PeerFailures: p.counts.PeerFailures, Dropped: maps.Clone(p.counts.Dropped),
+			ClientsLeft: maps.Clone(p.counts.ClientsLeft), SentAfterClientLeft: p.counts.SentAfterClientLeft,
+			Cancelled: maps.Clone(p.counts.Cancelled), Grants: p.counts.Grants, GrantsRefused: p.counts.GrantsRefused}}
 	if p.table != nil {
 		s.Edition = p.table.Edition
 	}
-	for _, source := range p.discovery.sources() {
-		s.Roll = append(s.Roll, p.discovery.records[source])
-		if p.discovery.silent[source] {
-			s.Silent = append(s.Silent, source)
+	for _, proxy := range p.discovery.proxies() {
+		s.Records = append(s.Records, p.discovery.records[proxy])
+		if p.discovery.silent[proxy] {
+			s.Silent = append(s.Silent, proxy)
 		}
 	}
-	s.Out, s.Accused = p.witness.all(now), p.witness.accused
+	s.Ejected, s.Suspects = p.ejections.ejectedInstances(now), p.ejections.suspects
 	s.Keys = p.keyState()
 	for name, service := range p.services {
-		s.Avoided[name] = service.bal.Avoided(now)
+		s.AvoidedHosts[name] = service.balancer.Avoided(now)
 	}
 	return s
 }
 
 var _ balancer.Actions = (*service)(nil)
 
-// Edition is the version of the configuration in force here; 0: none is.
+// Edition returns the version of the configuration in force, 0 if there is none.
 func (p *Sidecar) Edition() uint64 {
 	if p.table == nil {
 		return 0
@@ -317,7 +345,7 @@
 	return p.table.Edition
 }
 
-// Configuration is the text and the version in force here; nil: none is.
+// Configuration returns the text and the version of the configuration in force, nil and 0 if there is none.
 func (p *Sidecar) Configuration() (text []byte, version uint64) {
 	if p.table == nil {
 		return nil, 0
