--- a/internal/mesh/control/catchup.go
+++ b/internal/mesh/control/catchup.go
@@ -144,9 +144,9 @@
 	}
 	answer := &meshpb.SyncPage{SourceLife: s.o.Life, Position: read}
 	if len(r.Keys) > 0 {
-		answer.Entries = s.registers.Entries(r.Keys)
+		answer.Entries = s.registers.EntriesOf(r.Keys)
 	} else {
-		answer.Entries, answer.Position, answer.Last = s.registers.PageOf(read, register.Part{Index: r.Part, Of: r.Parts})
+		answer.Entries, answer.Position, answer.Last = s.registers.PartialPage(read, register.Part{Index: r.Part, Of: r.Parts})
 	}
 	s.out.After = append(s.out.After, after(from, &meshpb.Message{Id: id, SyncPage: answer}))
 }
--- a/internal/mesh/control/configuration.go
+++ b/internal/mesh/control/configuration.go
@@ -226,7 +226,7 @@
 // putChosen notes on the disk that the value there is chosen, for the next start: what was chosen once stays so. It has to be the
 // same value: another one under its version, or with another history, may stand on this disk alone.
 func (s *Server) putChosen() {
-	value, ballot := s.registers.Local(configKey)
+	value, ballot := s.registers.LocalValue(configKey)
 	if !proto.Equal(decodeConfig(value.GetBody()), s.configuration.chosen) {
 		return
 	}
@@ -241,7 +241,7 @@
 	if len(values[nameChosen]) == 0 || proto.Unmarshal(values[nameChosen], noted) != nil {
 		return
 	}
-	if value, ballot := s.registers.Local(configKey); ballot == register.FromWire(noted) {
+	if value, ballot := s.registers.LocalValue(configKey); ballot == register.FromWire(noted) {
 		s.configuration.setChosen(decodeConfig(value.GetBody()))
 	}
 }
@@ -253,7 +253,7 @@
 		return
 	}
 	newest := c.chosenVersion()
-	value, _ := s.registers.Local(configKey)
+	value, _ := s.registers.LocalValue(configKey)
 	if decodeConfig(value.GetBody()).GetVersion() > newest {
 		return
 	}
@@ -266,7 +266,7 @@
 // noteHeld looks what the disk has of the register; it is told to others once it is synced.
 func (s *Server) noteHeld() {
 	c := &s.configuration
-	value, ballot := s.registers.Local(configKey)
+	value, ballot := s.registers.LocalValue(configKey)
 	if ballot == c.noted {
 		return
 	}
@@ -290,7 +290,7 @@
 	c := &s.configuration
 	c.known = max(c.known, state.GetChosenVersion())
 	if state.GetChosenVersion() > c.chosenVersion() {
-		value, _ := s.registers.Local(configKey)
+		value, _ := s.registers.LocalValue(configKey)
 		held := decodeConfig(value.GetBody())
 		if held.GetVersion() == state.ChosenVersion && bytes.Equal(hashOf(held.Text), state.ChosenHash) {
 			s.learnConfig(now, held)
@@ -308,7 +308,7 @@
 // newer one by now, which nobody has told of.
 func (s *Server) countHolders(now float64) {
 	c := &s.configuration
-	value, ballot := s.registers.Local(configKey)
+	value, ballot := s.registers.LocalValue(configKey)
 	if ballot != c.heldBallot || ballot.Epoch != s.view().Epoch || c.held <= c.chosenVersion() || !s.Voting() {
 		return
 	}
--- a/internal/mesh/control/homed.go
+++ b/internal/mesh/control/homed.go
@@ -9,7 +9,7 @@
 )
 
 // After a change of view this server asks a majority of the members which keys they hold from earlier epochs whose home it is by now, so
-// that claims of all other keys take one round trip again (register.HomedAt). Until it knows, its claims take two.
+// that claims of all other keys take one round trip again (register.HomedKeyHashes). Until it knows, its claims take two.
 
 // homedAgain is how many seconds a member has to answer before it is asked again, and the next one beside it. Larger: after a loss claims
 // take two round trips for longer. Smaller: a busy member looks through its registers twice.
@@ -37,7 +37,7 @@
 
 // tickHomed asks as many others as make a majority, and one more for each that has not answered in time.
 func (s *Server) tickHomed(now float64) {
-	if !s.Voting() || s.view().Joint() || s.membership.settled || s.registers.KnowsHomed() {
+	if !s.Voting() || s.view().Joint() || s.membership.settled || s.registers.KnowsHomedKeys() {
 		return
 	}
 	wanted := s.view().Majority() - 1
@@ -79,7 +79,7 @@
 		read = 0
 	}
 	answer := &meshpb.Homed{SourceLife: s.o.Life}
-	answer.Hashes, answer.Position, answer.Last = s.registers.HomedAt(from, read)
+	answer.Hashes, answer.Position, answer.Last = s.registers.HomedKeyHashes(from, read)
 	s.out.After = append(s.out.After, after(from, &meshpb.Message{Id: id, Homed: answer}))
 }
 
@@ -90,13 +90,13 @@
 		return
 	}
 	from.life, from.position, from.done = h.SourceLife, h.Position, h.Last
-	knew := s.registers.KnowsHomed()
-	s.registers.LearnHomed(member, h.Hashes, h.Last)
+	knew := s.registers.KnowsHomedKeys()
+	s.registers.AddHomedKeys(member, h.Hashes, h.Last)
 	if !h.Last {
 		s.askHomed(now, member.Address, from)
 		return
 	}
-	if !knew && s.registers.KnowsHomed() {
+	if !knew && s.registers.KnowsHomedKeys() {
 		s.o.Log("one round trip", "epoch", s.view().Epoch, "seconds", now-s.homed.began)
 	}
 }
--- a/internal/mesh/control/homed_test.go
+++ b/internal/mesh/control/homed_test.go
@@ -31,7 +31,7 @@
 
 // claim has the home of a key claim it.
 func claim(c *modelCluster, key string, token uint64) {
-	home := c.byName[register.Home(key, c.newest().Addresses())[0]]
+	home := c.byName[register.HomeOrder(key, c.newest().Addresses())[0]]
 	home.server.Heard(c.now, "proxy", &meshpb.Message{Id: token, Claim: &meshpb.Claim{Key: key, Token: token, Attempt: 1}})
 	home.work()
 }
@@ -112,7 +112,7 @@
 		t.Fatalf("no exchange: %v", v)
 	}
 	for _, member := range v.Members {
-		if m := c.byName[member.Address]; m.up && !m.server.registers.KnowsHomed() {
+		if m := c.byName[member.Address]; m.up && !m.server.registers.KnowsHomedKeys() {
 			t.Errorf("%s does not know its keys", member.Address)
 		}
 	}
--- a/internal/mesh/control/membership.go
+++ b/internal/mesh/control/membership.go
@@ -133,7 +133,7 @@
 	m.view, m.adoptedAt = v, now
 	fastFrom := now
 	if !m.settled {
-		fastFrom += s.registers.FastAfter()
+		fastFrom += s.registers.FastPathDelay()
 	}
 	s.registers.SetView(now, v, fastFrom)
 	s.contact.viewChanged(now, v)
@@ -153,7 +153,7 @@
 	if member || joiner == s.self && s.catchup.syncedEpoch == s.view().Epoch {
 		synced := s.membership.restoring || s.view().Epoch == 1 || s.catchup.syncedEpoch+1 >= s.view().Epoch
 		s.checks.Check(invariant.JoinerHolds, synced, "epoch", s.view().Epoch, "synced", s.catchup.syncedEpoch)
-		s.registers.Vote()
+		s.registers.StartVoting()
 		s.o.Log("voting", "epoch", s.view().Epoch)
 	}
 }
@@ -310,7 +310,7 @@
 // settle notes, also for the next start, that the epoch has lasted longer than keys are kept.
 func (s *Server) settle(now float64) {
 	m := &s.membership
-	if m.settled || !s.Voting() || s.view().Joint() || now < m.adoptedAt+s.registers.FastAfter() {
+	if m.settled || !s.Voting() || s.view().Joint() || now < m.adoptedAt+s.registers.FastPathDelay() {
 		return
 	}
 	m.settled = true
--- a/internal/mesh/control/order_cost_test.go
+++ b/internal/mesh/control/order_cost_test.go
@@ -59,7 +59,7 @@
 	for version := 2; version < 2+orders; version++ {
 		give(version)
 	}
-	held, _ := c.machines[0].server.registers.Local("\x00configuration")
+	held, _ := c.machines[0].server.registers.LocalValue("\x00configuration")
 	return cost, proto.Size(held)
 }
 
--- a/internal/mesh/control/server.go
+++ b/internal/mesh/control/server.go
@@ -129,7 +129,7 @@
 // collect takes over what the registers want done, and marks all that goes to other servers with the epoch and the disk in whose name
 // it was said.
 func (s *Server) collect() {
-	out := s.registers.Take()
+	out := s.registers.TakeEffects()
 	s.out.Sends = append(s.out.Sends, out.Sends...)
 	s.out.Puts = append(s.out.Puts, out.Puts...)
 	s.out.After = append(s.out.After, out.After...)
@@ -225,7 +225,7 @@
 	case m.Config != nil:
 		s.learnConfig(now, m.Config)
 	default:
-		s.registers.Heard(now, member, m)
+		s.registers.HandleMessage(now, member, m)
 	}
 }
 
--- a/internal/mesh/control/state.go
+++ b/internal/mesh/control/state.go
@@ -82,7 +82,7 @@
 		}
 	}
 	state.Registers, state.Changes = s.registers.Size()
-	state.Keys, state.Oldest = s.registers.Held(now)
+	state.Keys, state.Oldest = s.registers.StateCounts(now)
 	for _, r := range s.propagation.records {
 		if !r.IsTombstone() {
 			state.Roll = append(state.Roll, proto.Clone(r).(*meshpb.Record))
--- a/internal/mesh/register/homed.go
+++ b/internal/mesh/register/homed.go
@@ -15,17 +15,17 @@
 // were given, so a home that changes again asks again.
 
 // homedPage is how many keys are told at once: 16 KB.
-const homedPage = 2048
+const maxHomedPageKeys = 2048
 
 // homed is what this server knows, as a home in the present epoch, of keys from earlier ones.
-type homed struct {
-	keys  map[uint64]struct{} // hashes of those that others hold
-	read  map[view.Member]bool
-	known bool // a majority has told all of theirs
+type homedKeys struct {
+	hashes   map[uint64]struct{} // hashes of those that others hold
+	answered map[view.Member]bool
+	complete bool // a majority has told all of theirs
 }
 
-func (h *homed) has(key string) bool {
-	_, held := h.keys[keyHash(key)]
+func (h *homedKeys) has(key string) bool {
+	_, held := h.hashes[keyHash(key)]
 	return held
 }
 
@@ -36,39 +36,39 @@
 	return h.Sum64()
 }
 
-// KnowsHomed says whether this server, as a home in the present epoch, knows all keys that were chosen before.
-func (l *Registers) KnowsHomed() bool { return l.homed.known }
+// KnowsHomedKeys says whether this server, as a home in the present epoch, knows all keys that were chosen before.
+func (rs *Registers) KnowsHomedKeys() bool { return rs.homedKeys.complete }
 
-// HomedAt gives hashes of the keys that this server holds from earlier epochs and whose home is at an address, of those that changed
+// HomedKeyHashes gives hashes of the keys that this server holds from earlier epochs and whose home is at an address, of those that changed
 // after a position, oldest first; last says that these are all.
-func (l *Registers) HomedAt(address string, after uint64) (hashes []uint64, position uint64, last bool) {
-	for _, c := range l.order.after(after) {
-		if !c.counts(l.entries) || permanent(c.key) {
+func (rs *Registers) HomedKeyHashes(address string, after uint64) (hashes []uint64, position uint64, last bool) {
+	for _, c := range rs.entryOrder.after(after) {
+		if !c.isCurrent(rs.entries) || isPermanent(c.key) {
 			continue
 		}
-		accepted := l.entries[c.key].accepted
-		if accepted == (Ballot{}) || accepted.Epoch >= l.view.Epoch || l.home(c.key) != address {
+		accepted := rs.entries[c.key].accepted
+		if accepted == (Ballot{}) || accepted.Epoch >= rs.view.Epoch || rs.homeAddress(c.key) != address {
 			continue
 		}
-		if hashes = append(hashes, keyHash(c.key)); len(hashes) == homedPage {
+		if hashes = append(hashes, keyHash(c.key)); len(hashes) == maxHomedPageKeys {
 			return hashes, c.position, false
 		}
 	}
-	return hashes, l.position, true
+	return hashes, rs.position, true
 }
 
-// LearnHomed takes what HomedAt gave at a member that goes by this server's view; last says that this was all.
-func (l *Registers) LearnHomed(from view.Member, hashes []uint64, last bool) {
-	h := &l.homed
-	if h.keys == nil {
-		h.keys, h.read = map[uint64]struct{}{}, map[view.Member]bool{l.self: true}
+// AddHomedKeys takes what HomedAt gave at a member that goes by this server's view; last says that this was all.
+func (rs *Registers) AddHomedKeys(from view.Member, hashes []uint64, last bool) {
+	h := &rs.homedKeys
+	if h.hashes == nil {
+		h.hashes, h.answered = map[uint64]struct{}{}, map[view.Member]bool{rs.self: true}
 	}
 	for _, hash := range hashes {
-		h.keys[hash] = struct{}{}
+		h.hashes[hash] = struct{}{}
 	}
 	if !last {
 		return
 	}
-	h.read[from] = true
-	h.known = !l.view.Joint() && l.view.Quorum(func(m view.Member) bool { return h.read[m] })
+	h.answered[from] = true
+	h.complete = !rs.view.Joint() && rs.view.Quorum(func(m view.Member) bool { return h.answered[m] })
 }
--- a/internal/mesh/register/model_cluster_test.go
+++ b/internal/mesh/register/model_cluster_test.go
@@ -17,12 +17,12 @@
 // plays the part of the control plane's membership with the least that the protocol needs. Every choice comes from the seed.
 
 const (
-	modelWindow      = 60.0 // seconds for which keys are kept
-	modelMostPending = 60   // messages under way; beyond it some are lost
-	modelFresh       = 8    // of them, how many count as sent just now
-	modelIdentity    = "identity"
-	modelViewName    = "view"
-	modelSyncedName  = "synced"
+	modelWindow         = 60.0 // seconds for which keys are kept
+	modelMaxPending     = 60   // messages under way; beyond it some are lost
+	modelRecentMessages = 8    // of them, how many count as sent just now
+	modelIdentity       = "identity"
+	modelViewName       = "view"
+	modelSyncedName     = "synced"
 )
 
 var modelViewKey = ViewKey
@@ -32,18 +32,18 @@
 func modelOperation(i int) string { return fmt.Sprintf("operation%d", i) }
 
 // plantedFault is a mistake that the driver makes on purpose, to show that the checker finds it.
-type plantedFault int
+type injectedFault int
 
 const (
-	noFault          plantedFault = iota
-	contentBlindVote              // an acceptor votes for a value whose version it holds, whatever the content
-	otherEpochVote                // an acceptor votes in ballots of an epoch that it has left
-	earlyJoinerVote               // a joiner votes before it has read what was chosen
-	leaverDropped                 // the stable view is chosen before the joiner has read what was chosen
-	reusedLife                    // a process reuses the ids and ballots of the one before it
-	unchosenFastPath              // the fast path continues a value that is on this disk, whether it was chosen or not
-	wipedMemberVotes              // a disk that lost its content votes as the member that it was
-	homedUntold                   // a home begins first ballots without knowing which keys were chosen without it
+	noFault          injectedFault = iota
+	versionOnlyVote                // an acceptor votes for a value whose version it holds, whatever the content
+	otherEpochVote                 // an acceptor votes in ballots of an epoch that it has left
+	earlyJoinerVote                // a joiner votes before it has read what was chosen
+	leaverDropped                  // the stable view is chosen before the joiner has read what was chosen
+	reusedLife                     // a process reuses the ids and ballots of the one before it
+	unchosenFastPath               // the fast path continues a value that is on this disk, whether it was chosen or not
+	wipedMemberVotes               // a disk that lost its content votes as the member that it was
+	homedKeysIgnored               // a home begins first ballots without knowing which keys were chosen without it
 )
 
 // modelMessage is a message under way.
@@ -56,66 +56,66 @@
 
 // modelBatch is what goes to the disk at once, and what is to be done when it is there.
 type modelBatch struct {
-	puts  []store.Put
-	after []func()
+	puts      []store.Put
+	afterSync []func()
 }
 
-func (b *modelBatch) empty() bool { return len(b.puts)+len(b.after) == 0 }
+func (b *modelBatch) empty() bool { return len(b.puts)+len(b.afterSync) == 0 }
 
 // modelSource is how far a server that is no member has read another one's registers.
 type modelSource struct {
-	asked    uint64 // id of the question that is open
-	life     uint32
-	position uint64
-	member   view.Member
-	epoch    uint64 // of the view in which everything was read
+	requestID uint64 // id of the question that is open
+	life      uint32
+	position  uint64
+	member    view.Member
+	epoch     uint64 // of the view in which everything was read
 }
 
 type modelServer struct {
 	cluster *modelCluster
 	address string
 
-	disk    map[string][]byte
-	writing modelBatch // on its way to the disk, where syncing is set
-	queued  modelBatch
-	syncing bool
+	disk         map[string][]byte
+	syncingBatch modelBatch // on its way to the disk, where syncing is set
+	queuedBatch  modelBatch
+	syncing      bool
 
-	up        bool
-	life      uint32
-	self      view.Member
-	view      view.View
-	registers *Registers
-	lastID    uint64
-	sources   map[string]*modelSource
-	synced    uint64                 // the joint epoch for which this server has read everything
-	finishing bool                   // the last of it is on its way to the disk
-	joined    map[view.Member]uint64 // by joiner: the epoch for which it says so
-	changing  bool
+	up                 bool
+	life               uint32
+	self               view.Member
+	view               view.View
+	registers          *Registers
+	lastID             uint64
+	sources            map[string]*modelSource
+	syncedEpoch        uint64                 // the joint epoch for which this server has read everything
+	syncFinishing      bool                   // the last of it is on its way to the disk
+	joinerSyncedEpochs map[view.Member]uint64 // by joiner: the epoch for which it says so
+	proposingView      bool
 }
 
 type modelCluster struct {
-	random  *rand.Rand
-	fault   plantedFault
-	now     float64
-	servers []*modelServer
-	byName  map[string]*modelServer
-	network []modelMessage
-	history *modelHistory
-	trace   func(format string, args ...any)
-	lives   uint32
-	claims  bool // keys of operations are in use: the clock does not pass their window
+	random    *rand.Rand
+	fault     injectedFault
+	now       float64
+	servers   []*modelServer
+	byAddress map[string]*modelServer
+	network   []modelMessage
+	history   *modelHistory
+	trace     func(format string, args ...any)
+	lastLife  uint32
+	claims    bool // keys of operations are in use: the clock does not pass their window
 }
 
 // newModelCluster founds a mesh of some members; the spare servers are up and belong to no view.
-func newModelCluster(seed uint64, members, spares int, fault plantedFault) *modelCluster {
-	c := &modelCluster{random: rand.New(rand.NewPCG(seed, 11)), fault: fault, now: 1, byName: map[string]*modelServer{},
+func newModelCluster(seed uint64, members, spares int, fault injectedFault) *modelCluster {
+	c := &modelCluster{random: rand.New(rand.NewPCG(seed, 11)), fault: fault, now: 1, byAddress: map[string]*modelServer{},
 		history: newModelHistory(), trace: func(string, ...any) {}}
 	var founders []view.Member
 	for i := range members + spares {
 		s := &modelServer{cluster: c, address: fmt.Sprintf("s%d", i), disk: map[string][]byte{}}
-		c.servers, c.byName[s.address] = append(c.servers, s), s
+		c.servers, c.byAddress[s.address] = append(c.servers, s), s
 		member := view.Member{Address: s.address, Incarnation: c.random.Uint64() | 1}
-		s.disk[modelIdentity] = modelWord(member.Incarnation)
+		s.disk[modelIdentity] = encodeUint64(member.Incarnation)
 		if i < members {
 			founders = append(founders, member)
 		}
@@ -128,9 +128,9 @@
 	return c
 }
 
-func modelWord(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-func modelNumber(text []byte) uint64 {
+func decodeUint64(text []byte) uint64 {
 	if len(text) != 8 {
 		return 0
 	}
@@ -140,20 +140,20 @@
 // start starts the process on what its disk holds.
 func (s *modelServer) start() {
 	c := s.cluster
-	s.up, s.syncing, s.writing, s.queued = true, false, modelBatch{}, modelBatch{}
-	c.lives++
-	s.life = c.lives
+	s.up, s.syncing, s.syncingBatch, s.queuedBatch = true, false, modelBatch{}, modelBatch{}
+	c.lastLife++
+	s.life = c.lastLife
 	if c.fault == reusedLife {
 		s.life = 1
 	}
 	s.lastID = uint64(s.life) << 32
-	s.sources, s.joined = map[string]*modelSource{}, map[view.Member]uint64{}
-	s.changing, s.finishing, s.view = false, false, view.View{}
-	s.self = view.Member{Address: s.address, Incarnation: modelNumber(s.disk[modelIdentity])}
+	s.sources, s.joinerSyncedEpochs = map[string]*modelSource{}, map[view.Member]uint64{}
+	s.proposingView, s.syncFinishing, s.view = false, false, view.View{}
+	s.self = view.Member{Address: s.address, Incarnation: decodeUint64(s.disk[modelIdentity])}
 	if s.self.Incarnation == 0 {
 		s.drawIncarnation()
 	}
-	s.synced = modelNumber(s.disk[modelSyncedName])
+	s.syncedEpoch = decodeUint64(s.disk[modelSyncedName])
 	s.registers = New(s.self, s.life, modelWindow)
 	if c.fault == noFault { // a planted one is for the checker of histories to find
 		s.registers.Checks.Violated = func(name invariant.Name, args ...any) {
@@ -164,56 +164,58 @@
 		panic(err)
 	}
 	if held, err := view.Decode(s.disk[modelViewName]); err == nil && held.Known() {
-		s.takeView(held)
+		s.setView(held)
 	}
-	s.collect()
+	s.collectEffects()
 }
 
 func (s *modelServer) drawIncarnation() {
 	s.self.Incarnation = s.cluster.random.Uint64() | 1
-	s.put(modelIdentity, modelWord(s.self.Incarnation))
+	s.put(modelIdentity, encodeUint64(s.self.Incarnation))
 }
 
 func (s *modelServer) put(name string, value []byte) {
-	s.queued.puts = append(s.queued.puts, store.Put{Name: name, Value: value})
+	s.queuedBatch.puts = append(s.queuedBatch.puts, store.Put{Name: name, Value: value})
 }
 
-func (s *modelServer) whenSynced(f func()) { s.queued.after = append(s.queued.after, f) }
+func (s *modelServer) whenSynced(f func()) {
+	s.queuedBatch.afterSync = append(s.queuedBatch.afterSync, f)
+}
 
 func (s *modelServer) isMember() bool { return s.view.Has(s.self) }
 
 // ---- disks
 
 // collect takes what the registers want done.
-func (s *modelServer) collect() {
+func (s *modelServer) collectEffects() {
 	for {
-		out := s.registers.Take()
-		s.queued.puts = append(s.queued.puts, out.Puts...)
+		out := s.registers.TakeEffects()
+		s.queuedBatch.puts = append(s.queuedBatch.puts, out.Puts...)
 		for _, send := range out.After {
-			m := s.marked(send.To, send.Message)
+			m := s.newMessage(send.To, send.Message)
 			s.whenSynced(func() { s.post(m) })
 		}
 		for _, send := range out.Sends {
-			s.post(s.marked(send.To, send.Message))
+			s.post(s.newMessage(send.To, send.Message))
 		}
 		if len(out.Sends) == 0 {
 			break
 		}
 	}
-	if !s.syncing && !s.queued.empty() {
-		s.writing, s.queued, s.syncing = s.queued, modelBatch{}, true
+	if !s.syncing && !s.queuedBatch.empty() {
+		s.syncingBatch, s.queuedBatch, s.syncing = s.queuedBatch, modelBatch{}, true
 	}
 }
 
 // finishSync has the batch on the disk.
 func (s *modelServer) finishSync() {
-	done := s.writing
+	done := s.syncingBatch
 	s.apply(done.puts)
-	s.writing, s.syncing = modelBatch{}, false
-	for _, f := range done.after {
+	s.syncingBatch, s.syncing = modelBatch{}, false
+	for _, f := range done.afterSync {
 		f()
 	}
-	s.collect()
+	s.collectEffects()
 }
 
 func (s *modelServer) apply(puts []store.Put) {
@@ -228,80 +230,80 @@
 
 // stop ends the process. What the disk was given is there after a kill; after a loss of power any part of it may be.
 func (s *modelServer) stop(power bool) {
-	puts := s.writing.puts
+	puts := s.syncingBatch.puts
 	if power {
 		puts = slices.Clone(puts)
 		slices.SortStableFunc(puts, func(a, b store.Put) int { return cmp.Compare(a.Name, b.Name) })
 		puts = slices.DeleteFunc(puts, func(store.Put) bool { return s.cluster.random.IntN(2) == 0 })
 	}
 	s.apply(puts)
-	s.up, s.syncing, s.writing, s.queued = false, false, modelBatch{}, modelBatch{}
+	s.up, s.syncing, s.syncingBatch, s.queuedBatch = false, false, modelBatch{}, modelBatch{}
 }
 
 // wipe takes the disk's content away.
 func (s *modelServer) wipe() {
-	kept := s.disk
+	oldDisk := s.disk
 	s.disk = map[string][]byte{}
 	if s.cluster.fault == wipedMemberVotes {
-		s.disk[modelIdentity], s.disk[modelViewName] = kept[modelIdentity], kept[modelViewName]
+		s.disk[modelIdentity], s.disk[modelViewName] = oldDisk[modelIdentity], oldDisk[modelViewName]
 	}
 }
 
 // ---- network
 
-func (s *modelServer) marked(to string, m *meshpb.Message) modelMessage {
+func (s *modelServer) newMessage(to string, m *meshpb.Message) modelMessage {
 	return modelMessage{s.self, to, s.view.Epoch, m}
 }
 
-func (s *modelServer) send(to string, m *meshpb.Message) { s.post(s.marked(to, m)) }
+func (s *modelServer) send(to string, m *meshpb.Message) { s.post(s.newMessage(to, m)) }
 
 // sendSynced sends a message once everything put so far is on the disk.
 func (s *modelServer) sendSynced(to string, m *meshpb.Message) {
-	marked := s.marked(to, m)
-	s.whenSynced(func() { s.post(marked) })
+	message := s.newMessage(to, m)
+	s.whenSynced(func() { s.post(message) })
 }
 
 func (s *modelServer) post(m modelMessage) {
 	if m.to == s.address {
-		s.heard(m)
+		s.handle(m)
 		return
 	}
 	s.cluster.network = append(s.cluster.network, m)
 }
 
-func (s *modelServer) heard(m modelMessage) {
+func (s *modelServer) handle(m modelMessage) {
 	switch {
 	case m.message.View != nil:
 		s.adopt(view.FromWire(m.message.View))
 	case m.message.ViewRequest != nil:
-		s.tellView(m.from.Address)
+		s.sendView(m.from.Address)
 	case m.epoch < s.view.Epoch:
-		if s.cluster.fault == otherEpochVote && s.voteElsewhere(m) {
+		if s.cluster.fault == otherEpochVote && s.voteInOtherEpoch(m) {
 			return
 		}
-		s.tellView(m.from.Address)
+		s.sendView(m.from.Address)
 	case m.epoch > s.view.Epoch:
 		s.send(m.from.Address, &meshpb.Message{ViewRequest: &meshpb.Ping{}})
 	case m.message.Join != nil:
-		s.joined[m.from] = m.message.Join.SyncedEpoch
+		s.joinerSyncedEpochs[m.from] = m.message.Join.SyncedEpoch
 	case m.message.SyncRequest != nil:
-		s.heardSyncRequest(m)
+		s.handleSyncRequest(m)
 	case m.message.SyncPage != nil:
-		s.heardSyncPage(m)
+		s.handleSyncPage(m)
 	case m.message.HomedRequest != nil:
-		s.heardHomedRequest(m)
+		s.handleHomedRequest(m)
 	case m.message.Homed != nil:
-		s.heardHomed(m)
-	case s.cluster.fault == contentBlindVote && m.message.Accept != nil && s.voteBlindly(m):
+		s.handleHomed(m)
+	case s.cluster.fault == versionOnlyVote && m.message.Accept != nil && s.voteByVersionOnly(m):
 	default:
-		s.registers.Heard(s.cluster.now, m.from, m.message)
+		s.registers.HandleMessage(s.cluster.now, m.from, m.message)
 	}
 }
 
 // voteBlindly is a planted fault: the version alone decides.
-func (s *modelServer) voteBlindly(m modelMessage) bool {
+func (s *modelServer) voteByVersionOnly(m modelMessage) bool {
 	accept := m.message.Accept
-	held, _ := s.registers.Local(accept.Key)
+	held, _ := s.registers.LocalValue(accept.Key)
 	if held.GetToken() == 0 || held.GetToken() != accept.Value.GetToken() {
 		return false
 	}
@@ -311,7 +313,7 @@
 }
 
 // voteElsewhere is a planted fault: a vote in an epoch that this server has left.
-func (s *modelServer) voteElsewhere(m modelMessage) bool {
+func (s *modelServer) voteInOtherEpoch(m modelMessage) bool {
 	answer := &meshpb.Message{Id: m.message.Id}
 	switch {
 	case m.message.Accept != nil:
@@ -319,19 +321,19 @@
 		s.registers.Merge(s.cluster.now, []*meshpb.Entry{{Key: a.Key, Accepted: a.Ballot, Value: a.Value}})
 		answer.Accepted = &meshpb.Accepted{Yes: true, Promised: a.Ballot}
 	case m.message.Prepare != nil:
-		held, accepted := s.registers.Local(m.message.Prepare.Key)
+		held, accepted := s.registers.LocalValue(m.message.Prepare.Key)
 		answer.Promise = &meshpb.Promise{Yes: true, Promised: m.message.Prepare.Ballot, Accepted: accepted.Wire(), Value: held}
 	default:
 		return false
 	}
-	marked := s.marked(m.from.Address, answer)
-	marked.epoch = m.epoch
-	s.whenSynced(func() { s.post(marked) })
+	message := s.newMessage(m.from.Address, answer)
+	message.epoch = m.epoch
+	s.whenSynced(func() { s.post(message) })
 	return true
 }
 
 // believeChosen is a planted fault: what this server accepted counts as chosen by its own ballot.
-func (s *modelServer) believeChosen() {
+func (s *modelServer) markAcceptedAsChosen() {
 	for _, e := range s.registers.entries {
 		e.chosen = e.value != nil
 	}
@@ -339,7 +341,7 @@
 
 // ---- views
 
-func (s *modelServer) tellView(to string) {
+func (s *modelServer) sendView(to string) {
 	s.sendSynced(to, &meshpb.Message{View: s.view.Wire()})
 }
 
@@ -348,45 +350,45 @@
 	if v.Epoch <= s.view.Epoch {
 		return
 	}
-	s.collect()
-	was := s.isMember()
+	s.collectEffects()
+	wasMember := s.isMember()
 	s.put(modelViewName, v.Encode())
-	if was && !v.Has(s.self) {
+	if wasMember && !v.Has(s.self) {
 		s.fence()
 	}
-	s.takeView(v)
+	s.setView(v)
 	s.cluster.trace("%s adopts epoch %d %v -> %v, voting %v", s.address, v.Epoch, v.Members, v.Next, s.registers.Voting())
 }
 
 func (s *modelServer) fence() {
 	s.drawIncarnation()
 	s.registers.Reset(s.cluster.now, s.self)
-	s.sources, s.synced, s.finishing = map[string]*modelSource{}, 0, false
+	s.sources, s.syncedEpoch, s.syncFinishing = map[string]*modelSource{}, 0, false
 	s.put(modelSyncedName, nil)
 }
 
-func (s *modelServer) takeView(v view.View) {
-	s.view, s.finishing = v, false
+func (s *modelServer) setView(v view.View) {
+	s.view, s.syncFinishing = v, false
 	fastFrom := s.cluster.now
 	if v.Epoch > 1 {
-		fastFrom += s.registers.FastAfter()
+		fastFrom += s.registers.FastPathDelay()
 	}
 	s.registers.SetView(s.cluster.now, v, fastFrom)
-	s.vote()
+	s.startVotingIfAllowed()
 }
 
 // vote lets a server take part that was a member before, or has read everything.
-func (s *modelServer) vote() {
+func (s *modelServer) startVotingIfAllowed() {
 	joiner, _ := s.view.Joiner()
 	member := slices.Contains(s.view.Members, s.self)
-	if member || joiner == s.self && (s.synced == s.view.Epoch || s.cluster.fault == earlyJoinerVote) {
-		s.registers.Vote()
+	if member || joiner == s.self && (s.syncedEpoch == s.view.Epoch || s.cluster.fault == earlyJoinerVote) {
+		s.registers.StartVoting()
 	}
 }
 
 // changeView proposes a next view.
 func (s *modelServer) changeView(next view.View) {
-	s.changing = true
+	s.proposingView = true
 	s.cluster.trace("%s proposes epoch %d %v -> %v", s.address, next.Epoch, next.Members, next.Next)
 	edit := func(old []byte) []byte {
 		held, err := view.Decode(old)
@@ -396,7 +398,7 @@
 		return next.Encode()
 	}
 	s.registers.Update(s.cluster.now, modelViewKey, edit, func(_ uint64, body []byte, ok bool) {
-		s.changing = false
+		s.proposingView = false
 		chosen, err := view.Decode(body)
 		if !ok || err != nil || chosen.Epoch != s.view.Epoch+1 {
 			return
@@ -405,19 +407,19 @@
 		s.adopt(chosen)
 		for _, other := range s.cluster.servers {
 			if other != s {
-				s.tellView(other.address)
+				s.sendView(other.address)
 			}
 		}
 	})
-	s.collect()
+	s.collectEffects()
 }
 
 // ---- joining
 
 // follow reads the registers of the members, or which keys they hold whose home this server is.
-func (s *modelServer) follow() {
+func (s *modelServer) requestState() {
 	if s.registers.Voting() {
-		s.askHomed()
+		s.requestHomedKeys()
 		return
 	}
 	if !s.view.Known() {
@@ -433,13 +435,13 @@
 			s.sources[m.Address] = from
 		}
 		s.lastID++
-		from.asked = s.lastID
-		s.send(m.Address, &meshpb.Message{Id: from.asked,
+		from.requestID = s.lastID
+		s.send(m.Address, &meshpb.Message{Id: from.requestID,
 			SyncRequest: &meshpb.SyncRequest{SourceLife: from.life, Position: from.position}})
 	}
 }
 
-func (s *modelServer) heardSyncRequest(m modelMessage) {
+func (s *modelServer) handleSyncRequest(m modelMessage) {
 	if !s.registers.Voting() {
 		return
 	}
@@ -454,9 +456,9 @@
 	s.sendSynced(m.from.Address, answer)
 }
 
-func (s *modelServer) heardSyncPage(m modelMessage) {
+func (s *modelServer) handleSyncPage(m modelMessage) {
 	from, page := s.sources[m.from.Address], m.message.SyncPage
-	if from == nil || m.message.Id != from.asked || s.registers.Voting() || !slices.Contains(s.view.Members, m.from) {
+	if from == nil || m.message.Id != from.requestID || s.registers.Voting() || !slices.Contains(s.view.Members, m.from) {
 		return
 	}
 	s.registers.Merge(s.cluster.now, page.Entries)
@@ -464,12 +466,12 @@
 	if page.Last {
 		from.epoch = s.view.Epoch
 	}
-	s.reviewSync()
+	s.checkSyncComplete()
 }
 
 // askHomed asks all other members for the keys whose home this server is.
-func (s *modelServer) askHomed() {
-	if s.view.Joint() || s.view.Epoch == 1 || s.registers.KnowsHomed() {
+func (s *modelServer) requestHomedKeys() {
+	if s.view.Joint() || s.view.Epoch == 1 || s.registers.KnowsHomedKeys() {
 		return
 	}
 	for _, m := range s.view.Members {
@@ -479,36 +481,36 @@
 	}
 }
 
-func (s *modelServer) heardHomedRequest(m modelMessage) {
+func (s *modelServer) handleHomedRequest(m modelMessage) {
 	if !s.registers.Voting() || s.view.Joint() {
 		return
 	}
 	answer := &meshpb.Homed{Last: true}
-	answer.Hashes, _, _ = s.registers.HomedAt(m.from.Address, 0)
+	answer.Hashes, _, _ = s.registers.HomedKeyHashes(m.from.Address, 0)
 	s.sendSynced(m.from.Address, &meshpb.Message{Homed: answer})
 }
 
-func (s *modelServer) heardHomed(m modelMessage) {
-	if s.cluster.fault == homedUntold { // planted: which keys there are is not looked at
+func (s *modelServer) handleHomed(m modelMessage) {
+	if s.cluster.fault == homedKeysIgnored { // planted: which keys there are is not looked at
 		m.message.Homed.Hashes = nil
 	}
-	s.registers.LearnHomed(m.from, m.message.Homed.Hashes, m.message.Homed.Last)
+	s.registers.AddHomedKeys(m.from, m.message.Homed.Hashes, m.message.Homed.Last)
 }
 
 // reviewSync looks whether a majority of the old members has told everything. The disk has it all before it says so.
-func (s *modelServer) reviewSync() {
+func (s *modelServer) checkSyncComplete() {
 	joiner, _ := s.view.Joiner()
-	if joiner != s.self || s.finishing || !s.view.OldQuorum(func(m view.Member) bool {
+	if joiner != s.self || s.syncFinishing || !s.view.OldQuorum(func(m view.Member) bool {
 		from := s.sources[m.Address]
 		return from != nil && from.member == m && from.epoch == s.view.Epoch
 	}) {
 		return
 	}
-	s.finishing = true
+	s.syncFinishing = true
 	epoch := s.view.Epoch
-	s.collect()
+	s.collectEffects()
 	s.whenSynced(func() {
-		s.put(modelSyncedName, modelWord(epoch))
+		s.put(modelSyncedName, encodeUint64(epoch))
 		s.whenSynced(func() { s.syncFinished(epoch) })
 	})
 }
@@ -517,19 +519,19 @@
 	if s.view.Epoch != epoch {
 		return
 	}
-	s.synced = epoch
-	s.vote()
-	s.sayJoined()
+	s.syncedEpoch = epoch
+	s.startVotingIfAllowed()
+	s.announceSynced()
 }
 
 // sayJoined tells the others that this joiner has read everything.
-func (s *modelServer) sayJoined() {
-	if !s.view.Joint() || s.synced != s.view.Epoch {
+func (s *modelServer) announceSynced() {
+	if !s.view.Joint() || s.syncedEpoch != s.view.Epoch {
 		return
 	}
 	for _, address := range s.view.Addresses() {
 		if address != s.address {
-			s.send(address, &meshpb.Message{Join: &meshpb.Join{SyncedEpoch: s.synced}})
+			s.send(address, &meshpb.Message{Join: &meshpb.Join{SyncedEpoch: s.syncedEpoch}})
 		}
 	}
 }
--- a/internal/mesh/register/model_decision_test.go
+++ b/internal/mesh/register/model_decision_test.go
@@ -15,42 +15,42 @@
 // joint view. For longer: MODEL_WITHIN=600 go test -v -run TestModelJointViewEnds ./internal/mesh/register
 
 const (
-	completed      = "complete"
-	abandoned      = "abandon"
-	twoSuccessors  = "a joint view has two successors"
-	stuckView      = "nobody can leave a joint view any more"
-	decisionLeast  = 8                // steps that are explored whatever it takes
-	decisionWithin = 4                // seconds, or MODEL_WITHIN: then no further step is explored
-	undecided      = plantedFault(99) // planted: a server goes by its own proposal before it is chosen
+	completedBody            = "complete"
+	abandonedBody            = "abandon"
+	twoSuccessors            = "a joint view has two successors"
+	stuckView                = "nobody can leave a joint view any more"
+	decisionMinDepth         = 8                 // steps that are explored whatever it takes
+	decisionTimeLimitSeconds = 4                 // seconds, or MODEL_WITHIN: then no further step is explored
+	unchosenViewAdopted      = injectedFault(99) // planted: a server goes by its own proposal before it is chosen
 )
 
 // decisionSearch explores the end of a joint view.
-func decisionSearch() *smallSearch {
-	x := newSmallSearch()
-	x.keys = []string{smallKey, ViewKey}
-	x.follows = x.decided
-	x.leaf = x.canLeave
+func decisionSearch() *stateSearch {
+	x := newStateSearch()
+	x.keys = []string{searchKey, ViewKey}
+	x.successorOfJoint = x.decidedSuccessor
+	x.checkLeaf = x.canLeave
 	return x
 }
 
 // decisionWorld is the beginning: the members go by the joint view, the joiner has read nothing, and a value was confirmed before.
-func (x *smallSearch) decisionWorld(fault plantedFault) *smallWorld {
-	w := x.world(fault)
-	chosenBeforeExchange(x, w)
-	w.changes[1].begun = true // no other change of the ordinary register: TestModelExhaustive has those
-	w.changes = append(w.changes, smallChange{key: ViewKey, at: 0, body: completed}, smallChange{key: ViewKey, at: 1, body: abandoned})
+func (x *stateSearch) decisionState(fault injectedFault) *searchState {
+	w := x.initial(fault)
+	chosenBeforeMemberExchange(x, w)
+	w.changes[1].started = true // no other change of the ordinary register: TestModelExhaustive has those
+	w.changes = append(w.changes, searchChange{key: ViewKey, server: 0, body: completedBody}, searchChange{key: ViewKey, server: 1, body: abandonedBody})
 	for i := range w.servers {
 		x.adopt(w, i)
-		x.collect(w, i)
+		x.collectEffects(w, i)
 	}
 	return w
 }
 
 // decided is the successor of the joint view that a server was told.
-func (x *smallSearch) decided(w *smallWorld) (view.View, bool) {
+func (x *stateSearch) decidedSuccessor(w *searchState) (view.View, bool) {
 	for _, c := range w.changes {
-		body := c.held
-		if w.fault == undecided && c.begun {
+		body := c.answeredBody
+		if w.fault == unchosenViewAdopted && c.started {
 			body = c.body
 		}
 		if c.key == ViewKey && body != "" {
@@ -60,8 +60,8 @@
 	return view.View{}, false
 }
 
-func (x *smallSearch) successor(body string) view.View {
-	if body == completed {
+func (x *stateSearch) successor(body string) view.View {
+	if body == completedBody {
 		return x.views[1].Complete()
 	}
 	return x.views[1].Abandon()
@@ -69,8 +69,8 @@
 
 // canLeave takes the joiner away, and each old member in turn, and looks whether the other two decide what follows. A joiner that has
 // read everything counts as a member: it is lost then, and nobody else.
-func (x *smallSearch) canLeave(w *smallWorld) string {
-	if w.fault == undecided {
+func (x *stateSearch) canLeave(w *searchState) string {
+	if w.fault == unchosenViewAdopted {
 		return ""
 	}
 	joinerCounts := w.servers[3].registers.voting
@@ -82,7 +82,7 @@
 		if !joinerCounts {
 			alive = slices.Delete(alive, lost, lost+1)
 		}
-		if !x.leaves(w, alive) {
+		if !x.canDecideAlone(w, alive) {
 			return stuckView
 		}
 	}
@@ -90,7 +90,7 @@
 }
 
 // leaves has some servers go on by themselves, with all that was on its way lost, until a view follows the joint one.
-func (x *smallSearch) leaves(old *smallWorld, alive []int) bool {
+func (x *stateSearch) canDecideAlone(old *searchState, alive []int) bool {
 	w := old
 	for _, i := range alive {
 		w = w.clone(i)
@@ -103,30 +103,30 @@
 			return true // it tells the others
 		}
 	}
-	proposer.Tick(1 + 2*GiveUp) // what was under way is given up
+	proposer.Tick(1 + 2*ChangeTimeout) // what was under way is given up
 	begun := &change{key: ViewKey, linearizable: true}
-	begun.work = func(old *meshpb.Receipt) (*meshpb.Receipt, State) {
+	begun.edit = func(old *meshpb.Receipt) (*meshpb.Receipt, State) {
 		if old != nil {
 			return nil, Stored
 		}
-		return &meshpb.Receipt{Token: 1, State: Stored, Body: []byte(abandoned)}, Stored
+		return &meshpb.Receipt{Token: 1, State: Stored, Body: []byte(abandonedBody)}, Stored
 	}
 	begun.answer = func(state State, r *meshpb.Receipt) {
 		if state != Unsure {
 			held = string(r.GetBody())
 		}
 	}
-	proposer.begin(1+2*GiveUp, begun)
+	proposer.startChange(1+2*ChangeTimeout, begun)
 	for round := 0; round < 100 && held == ""; round++ {
-		now := 1 + 2*GiveUp + 0.02*float64(round)
+		now := 1 + 2*ChangeTimeout + 0.02*float64(round)
 		for _, i := range alive {
-			x.collect(w, i)
+			x.collectEffects(w, i)
 		}
 		sent := w.network
 		w.network = nil
 		for _, m := range sent {
 			if i := x.index(m.to); slices.Contains(alive, i) {
-				w.servers[i].registers.Heard(now, m.from, m.message)
+				w.servers[i].registers.HandleMessage(now, m.from, m.message)
 			}
 		}
 		for _, i := range alive {
@@ -137,16 +137,16 @@
 }
 
 // checkSuccessors says whether two servers were told different successors, or go by different ones.
-func checkSuccessors(w *smallWorld) string {
+func checkSuccessors(w *searchState) string {
 	told := map[string]bool{}
 	for _, c := range w.changes {
-		if c.key == ViewKey && c.held != "" {
-			told[c.held] = true
+		if c.key == ViewKey && c.answeredBody != "" {
+			told[c.answeredBody] = true
 		}
 	}
 	for _, s := range w.servers {
-		if v := s.registers.view; v.Epoch == 3 && w.fault == undecided {
-			told[map[bool]string{true: abandoned, false: completed}[v.Has(view.Member{Address: "s2", Incarnation: 1})]] = true
+		if v := s.registers.view; v.Epoch == 3 && w.fault == unchosenViewAdopted {
+			told[map[bool]string{true: abandonedBody, false: completedBody}[v.Has(view.Member{Address: "s2", Incarnation: 1})]] = true
 		}
 	}
 	if len(told) > 1 {
@@ -156,16 +156,16 @@
 }
 
 // decide explores to greater and greater depths.
-func (x *smallSearch) decide(t *testing.T, fault plantedFault) {
+func (x *stateSearch) exploreDecision(t *testing.T, fault injectedFault) {
 	began := time.Now()
-	for depth := decisionLeast; depth <= exhaustiveMost; depth++ {
-		clear(x.seen)
+	for depth := decisionMinDepth; depth <= exhaustiveMaxDepth; depth++ {
+		clear(x.explored)
 		x.states = 0
-		if depth > decisionLeast {
-			x.deadline = began.Add(time.Duration(modelSetting(modelWithinVariable, decisionWithin)) * time.Second)
+		if depth > decisionMinDepth {
+			x.deadline = began.Add(time.Duration(settingOrDefault(modelTimeLimitVariable, decisionTimeLimitSeconds)) * time.Second)
 		}
-		x.explore(x.decisionWorld(fault), depth)
-		if x.stopped || x.broken != "" {
+		x.explore(x.decisionState(fault), depth)
+		if x.stopped || x.violation != "" {
 			return
 		}
 		t.Logf("%d states to depth %d, %.1f s", x.states, depth, time.Since(began).Seconds())
@@ -175,15 +175,15 @@
 // How a joint view ends, in every order.
 func TestModelJointViewEnds(t *testing.T) {
 	x := decisionSearch()
-	if x.decide(t, 0); x.broken != "" {
-		t.Fatalf("%s by %v", x.broken, x.path)
+	if x.exploreDecision(t, 0); x.violation != "" {
+		t.Fatalf("%s by %v", x.violation, x.path)
 	}
 }
 
 // The exploration finds a server that goes by a view that is not chosen.
 func TestModelJointViewFindsAPlantedFault(t *testing.T) {
 	x := decisionSearch()
-	if x.decide(t, undecided); x.broken != twoSuccessors {
-		t.Fatalf("found %q", x.broken)
+	if x.exploreDecision(t, unchosenViewAdopted); x.violation != twoSuccessors {
+		t.Fatalf("found %q", x.violation)
 	}
 }
--- a/internal/mesh/register/model_history_test.go
+++ b/internal/mesh/register/model_history_test.go
@@ -13,7 +13,7 @@
 	brokenChain         = "a change did not see the one before it"
 	twoViewsOneEpoch    = "two views of one epoch"
 	claimedTwice        = "two tokens hold one key"
-	answerForgotten     = "a recorded answer is not told"
+	answerLost          = "a recorded answer is not told"
 	voidedClaims        = "a voided token claims"
 )
 
@@ -24,8 +24,8 @@
 
 // registerHistory is what was answered about one register that is changed by Update.
 type registerHistory struct {
-	bodies map[uint64]string // by version
-	newest uint64            // of the answers so far
+	bodies        map[uint64]string // by version
+	newestVersion uint64            // of the answers so far
 }
 
 // claimHistory is what was answered about one key of an operation.
@@ -40,7 +40,7 @@
 	registers map[string]*registerHistory
 	claims    map[string]*claimHistory
 	views     map[uint64]view.View
-	broken    *violation
+	violation *violation
 	answered  int // writes and grants
 }
 
@@ -50,8 +50,8 @@
 }
 
 func (h *modelHistory) fail(kind, format string, args ...any) {
-	if h.broken == nil {
-		h.broken = &violation{kind, fmt.Sprintf(format, args...)}
+	if h.violation == nil {
+		h.violation = &violation{kind, fmt.Sprintf(format, args...)}
 	}
 }
 
@@ -74,7 +74,7 @@
 }
 
 // hold notes which body stands under a version.
-func (h *modelHistory) hold(kind, key string, version uint64, body string) {
+func (h *modelHistory) recordBody(kind, key string, version uint64, body string) {
 	r := h.register(key)
 	if known, told := r.bodies[version]; told && known != body {
 		h.fail(kind, "register %q, version %d: %q and %q", key, version, known, body)
@@ -86,9 +86,9 @@
 // updated takes the answer of an Update. least is the newest version that had been answered when it was asked; saw is the body
 // that the change was made from, wrote whether there was a change.
 func (h *modelHistory) updated(key string, least, version uint64, body, saw string, wrote bool) {
-	h.hold(twoValuesOneVersion, key, version, body)
+	h.recordBody(twoValuesOneVersion, key, version, body)
 	if wrote {
-		h.hold(brokenChain, key, version-1, saw)
+		h.recordBody(brokenChain, key, version-1, saw)
 		least++
 		h.answered++
 	}
@@ -96,7 +96,7 @@
 		h.fail(staleVersion, "register %q: version %d (%q) was told, at least %d was due", key, version, body, least)
 	}
 	r := h.register(key)
-	r.newest = max(r.newest, version)
+	r.newestVersion = max(r.newestVersion, version)
 }
 
 // choseView notes the view of an epoch.
@@ -114,7 +114,7 @@
 	case state == Claimed && voided:
 		h.fail(voidedClaims, "key %q, token %d", key, token)
 	case recorded && state != Done && state != Unsure && state != Void && state != Busy: // busy: ask again
-		h.fail(answerForgotten, "key %q: token %d was told %s", key, token, modelStateName(state))
+		h.fail(answerLost, "key %q: token %d was told %s", key, token, modelStateName(state))
 	case state == Claimed && k.holder != 0 && k.holder != token:
 		h.fail(claimedTwice, "key %q: tokens %d and %d", key, k.holder, token)
 	case state == Claimed:
@@ -131,7 +131,7 @@
 }
 
 // settling notes that a holder gives its key back or records its answer: from here on it holds nothing.
-func (h *modelHistory) settling(key string, token uint64, end State) {
+func (h *modelHistory) settleRequested(key string, token uint64, end State) {
 	if k := h.claim(key); end == Void && k.holder == token {
 		k.holder = 0
 	}
--- a/internal/mesh/register/model_planted_test.go
+++ b/internal/mesh/register/model_planted_test.go
@@ -6,29 +6,29 @@
 func TestModelFindsPlantedFaults(t *testing.T) {
 	for _, planted := range []struct {
 		name  string
-		fault plantedFault
+		fault injectedFault
 	}{
-		{"votes that do not look at the content", contentBlindVote},
+		{"votes that do not look at the content", versionOnlyVote},
 		{"votes of another epoch", otherEpochVote},
 		{"a joiner votes before it has caught up", earlyJoinerVote},
 		{"a leaver's values are dropped", leaverDropped},
 		{"the fast path on a value that was not chosen", unchosenFastPath},
 		{"a wiped disk votes as the member that it was", wipedMemberVotes},
-		{"a home does not know which keys were chosen without it", homedUntold},
+		{"a home does not know which keys were chosen without it", homedKeysIgnored},
 	} {
 		t.Run(planted.name, func(t *testing.T) {
-			broken, seed := findPlanted(planted.fault)
+			broken, seed := findFault(planted.fault)
 			if broken == nil {
-				t.Fatalf("not found in %d seeds", plantedSeeds)
+				t.Fatalf("not found in %d seeds", faultSeeds)
 			}
 			t.Logf("seed %d: %v", seed, broken)
 		})
 	}
 }
 
-func findPlanted(fault plantedFault) (broken *violation, seed uint64) {
-	for seed := range uint64(plantedSeeds) {
-		if broken := newModelRun(seed, fault).play(modelSteps); broken != nil {
+func findFault(fault injectedFault) (broken *violation, seed uint64) {
+	for seed := range uint64(faultSeeds) {
+		if broken := newModelRun(seed, fault).run(modelSteps); broken != nil {
 			return broken, seed
 		}
 	}
@@ -39,10 +39,10 @@
 // change then counts as accepted by a member that never heard of it.
 func TestModelFindsReusedLife(t *testing.T) {
 	for _, c := range []struct {
-		fault plantedFault
+		fault injectedFault
 		want  string
 	}{{noFault, ""}, {reusedLife, staleVersion}} {
-		if broken := answerOfAnEarlierLife(c.fault); c.want == "" && broken != nil ||
+		if broken := answerToEarlierProcess(c.fault); c.want == "" && broken != nil ||
 			c.want != "" && (broken == nil || broken.kind != c.want) {
 			t.Errorf("fault %d: %v, want %q", c.fault, broken, c.want)
 		}
@@ -50,17 +50,17 @@
 }
 
 // answerOfAnEarlierLife has the home of two registers stop between a vote and its arrival, and change the other register then.
-func answerOfAnEarlierLife(fault plantedFault) *violation {
+func answerToEarlierProcess(fault injectedFault) *violation {
 	r := newModelRun(1, fault)
-	home := r.byName["s0"]
+	home := r.byAddress["s0"]
 	keys := keysOf(home.address, 2, "s0", "s1", "s2")
 	r.update(home, keys[0], true)
 	home.finishSync()
 	accept := r.network[0]
 	r.network = nil
-	voter := r.byName[accept.to]
-	voter.heard(accept)
-	voter.collect()
+	voter := r.byAddress[accept.to]
+	voter.handle(accept)
+	voter.collectEffects()
 	voter.finishSync()
 	late := r.network
 	r.network = nil
@@ -69,18 +69,18 @@
 	r.update(home, keys[1], true)
 	home.finishSync()
 	r.network = late
-	r.pump("s0", "s1", "s2")
+	r.deliverAllBetween("s0", "s1", "s2")
 	for _, s := range []string{"s1", "s2"} {
-		r.update(r.byName[s], keys[1], false)
-		r.run("s1", "s2")
+		r.update(r.byAddress[s], keys[1], false)
+		r.runFor("s1", "s2")
 	}
-	return r.history.broken
+	return r.history.violation
 }
 
 // keysOf are some registers whose home is a server.
 func keysOf(home string, n int, servers ...string) (keys []string) {
 	for i := 0; len(keys) < n; i++ {
-		if key := modelRegister(i); Home(key, servers)[0] == home {
+		if key := modelRegister(i); HomeOrder(key, servers)[0] == home {
 			keys = append(keys, key)
 		}
 	}
--- a/internal/mesh/register/model_scripted_test.go
+++ b/internal/mesh/register/model_scripted_test.go
@@ -8,7 +8,7 @@
 )
 
 // pump delivers, in order and without loss, what servers send each other, if both are among the named ones. The rest is lost.
-func (c *modelCluster) pump(addresses ...string) {
+func (c *modelCluster) deliverAllBetween(addresses ...string) {
 	for len(c.network) > 0 || slices.ContainsFunc(c.servers, func(s *modelServer) bool { return s.up && s.syncing }) {
 		for _, s := range c.servers {
 			if s.up && s.syncing {
@@ -21,47 +21,47 @@
 		m := c.network[0]
 		c.network = c.network[1:]
 		if slices.Contains(addresses, m.from.Address) && slices.Contains(addresses, m.to) {
-			c.byName[m.to].heard(m)
-			c.byName[m.to].collect()
+			c.byAddress[m.to].handle(m)
+			c.byAddress[m.to].collectEffects()
 		}
 	}
 }
 
 // run is pump for a while, with retries.
-func (c *modelCluster) run(addresses ...string) {
+func (c *modelCluster) runFor(addresses ...string) {
 	for range 6 {
-		c.pump(addresses...)
+		c.deliverAllBetween(addresses...)
 		c.now += 0.1
 		for _, s := range c.servers {
 			s.registers.Tick(c.now)
-			s.collect()
+			s.collectEffects()
 		}
 	}
 }
 
 // write has a register changed by a server that reaches the named ones; the answer's version, 0: there was none.
 func (c *modelCluster) write(at, key, body string, reach ...string) (version uint64) {
-	s := c.byName[at]
+	s := c.byAddress[at]
 	s.registers.Update(c.now, key, func([]byte) []byte { return []byte(body) }, func(told uint64, _ []byte, ok bool) {
 		if ok {
 			version = told
 		}
 	})
-	s.collect()
-	c.run(reach...)
+	s.collectEffects()
+	c.runFor(reach...)
 	return version
 }
 
 // read has a register read.
 func (c *modelCluster) read(at, key string, reach ...string) (version uint64, body string) {
-	s := c.byName[at]
+	s := c.byAddress[at]
 	s.registers.Update(c.now, key, func([]byte) []byte { return nil }, func(told uint64, held []byte, ok bool) {
 		if ok {
 			version, body = told, string(held)
 		}
 	})
-	s.collect()
-	c.run(reach...)
+	s.collectEffects()
+	c.runFor(reach...)
 	return version, body
 }
 
@@ -69,14 +69,14 @@
 func (c *modelCluster) exchange(t *testing.T, at, joiner, leaver string) {
 	t.Helper()
 	all := []string{"s0", "s1", "s2", "s3"}
-	s, j := c.byName[at], c.byName[joiner]
-	s.changeView(s.view.Join(j.self, c.byName[leaver].self))
-	c.pump(all...)
-	j.follow()
-	j.collect()
-	c.pump(all...)
+	s, j := c.byAddress[at], c.byAddress[joiner]
+	s.changeView(s.view.Join(j.self, c.byAddress[leaver].self))
+	c.deliverAllBetween(all...)
+	j.requestState()
+	j.collectEffects()
+	c.deliverAllBetween(all...)
 	s.changeView(s.view.Complete())
-	c.pump(all...)
+	c.deliverAllBetween(all...)
 	if s.view.Epoch != 3 || !j.registers.Voting() {
 		t.Fatalf("epoch %d, joiner votes: %v", s.view.Epoch, j.registers.Voting())
 	}
@@ -88,9 +88,9 @@
 	for seed := range uint64(40) {
 		c := newModelCluster(seed, 3, 1, noFault)
 		key := modelRegister(int(seed))
-		order := Home(key, []string{"s0", "s1", "s2"})
+		order := HomeOrder(key, []string{"s0", "s1", "s2"})
 		leaver, home, third := order[0], order[1], order[2]
-		if Home(key, []string{home, third, "s3"})[0] != home {
+		if HomeOrder(key, []string{home, third, "s3"})[0] != home {
 			continue
 		}
 		tried++
@@ -113,28 +113,28 @@
 	c := newModelCluster(1, 3, 1, noFault)
 	key := modelRegister(0)
 	begun := func(at string, round uint32, body string) {
-		s := c.byName[at]
+		s := c.byAddress[at]
 		s.registers.accept(c.now, &meshpb.Accept{Key: key, Ballot: Ballot{1, round, s.registers.node, s.life}.Wire(),
 			Value: &meshpb.Receipt{Token: 1, State: Stored, Body: []byte(body)}})
-		s.collect()
-		c.pump()
+		s.collectEffects()
+		c.deliverAllBetween()
 	}
 	begun("s0", 2, "a") // at a ballot that s0 and s2 had promised
 	begun("s1", 3, "b") // at one that s1 and s2 had promised: s2 had accepted nothing
-	joiner, leaver := c.byName["s3"].self, c.byName["s2"].self
-	joint := c.byName["s0"].view.Join(joiner, leaver)
+	joiner, leaver := c.byAddress["s3"].self, c.byAddress["s2"].self
+	joint := c.byAddress["s0"].view.Join(joiner, leaver)
 	for _, s := range c.servers {
 		s.adopt(joint)
-		s.collect()
+		s.collectEffects()
 	}
-	c.byName["s3"].follow()
-	c.byName["s3"].collect()
-	c.pump("s0", "s2", "s3")
+	c.byAddress["s3"].requestState()
+	c.byAddress["s3"].collectEffects()
+	c.deliverAllBetween("s0", "s2", "s3")
 	for _, s := range c.servers {
 		s.adopt(joint.Complete())
-		s.collect()
+		s.collectEffects()
 	}
-	c.pump()
+	c.deliverAllBetween()
 	version, body := c.read("s0", key, "s0", "s3")
 	laterVersion, laterBody := c.read("s1", key, "s1", "s3")
 	if version == laterVersion && body != laterBody || laterVersion < version {
@@ -149,24 +149,24 @@
 func TestStaleClaimIsAskedAbout(t *testing.T) {
 	c := newModelCluster(1, 3, 0, noFault)
 	key := modelOperation(0)
-	order := Home(key, []string{"s0", "s1", "s2"})
+	order := HomeOrder(key, []string{"s0", "s1", "s2"})
 	holder, other, stale := order[0], order[1], order[2]
 	all := []string{"s0", "s1", "s2"}
 	state := Free
 	told := func(answer State, _ *meshpb.Receipt) { state = answer }
-	c.byName[stale].registers.Claim(c.now, &meshpb.Claim{Key: key, Token: 1}, told)
-	c.byName[stale].collect()
-	c.run(all...)
-	c.byName[holder].registers.Settle(c.now, key, &meshpb.Receipt{Token: 1, State: Done}, false, told)
-	c.byName[holder].collect()
-	c.run(holder, other)
+	c.byAddress[stale].registers.Claim(c.now, &meshpb.Claim{Key: key, Token: 1}, told)
+	c.byAddress[stale].collectEffects()
+	c.runFor(all...)
+	c.byAddress[holder].registers.Settle(c.now, key, &meshpb.Receipt{Token: 1, State: Done}, false, told)
+	c.byAddress[holder].collectEffects()
+	c.runFor(holder, other)
 	if state != Done {
 		t.Fatalf("settled as %s", modelStateName(state))
 	}
-	c.now += holderGone + 1
-	c.byName[stale].registers.Claim(c.now, &meshpb.Claim{Key: key, Token: 2}, told)
-	c.byName[stale].collect()
-	c.run(all...)
+	c.now += claimHolderTimeout + 1
+	c.byAddress[stale].registers.Claim(c.now, &meshpb.Claim{Key: key, Token: 2}, told)
+	c.byAddress[stale].collectEffects()
+	c.runFor(all...)
 	if state != Done {
 		t.Fatalf("told %s, and the answer was recorded", modelStateName(state))
 	}
@@ -176,24 +176,24 @@
 func TestRecordedMeansAQuorumHasIt(t *testing.T) {
 	c := newModelCluster(1, 3, 0, noFault)
 	key := modelOperation(0)
-	order := Home(key, []string{"s0", "s1", "s2"})
+	order := HomeOrder(key, []string{"s0", "s1", "s2"})
 	holder, first, second := order[0], order[1], order[2]
 	state := Free
 	told := func(answer State, _ *meshpb.Receipt) { state = answer }
-	c.byName[holder].registers.Claim(c.now, &meshpb.Claim{Key: key, Token: 1}, told)
-	c.byName[holder].collect()
-	c.run("s0", "s1", "s2")
-	c.byName[holder].registers.Settle(c.now, key, &meshpb.Receipt{Token: 1, State: Done}, false, told)
-	c.byName[holder].collect()
-	c.pump()
-	c.run(holder, first)
+	c.byAddress[holder].registers.Claim(c.now, &meshpb.Claim{Key: key, Token: 1}, told)
+	c.byAddress[holder].collectEffects()
+	c.runFor("s0", "s1", "s2")
+	c.byAddress[holder].registers.Settle(c.now, key, &meshpb.Receipt{Token: 1, State: Done}, false, told)
+	c.byAddress[holder].collectEffects()
+	c.deliverAllBetween()
+	c.runFor(holder, first)
 	if state != Done {
 		t.Fatalf("settled as %s", modelStateName(state))
 	}
-	c.now += holderGone + 1
-	c.byName[second].registers.Claim(c.now, &meshpb.Claim{Key: key, Token: 2}, told)
-	c.byName[second].collect()
-	c.run(first, second)
+	c.now += claimHolderTimeout + 1
+	c.byAddress[second].registers.Claim(c.now, &meshpb.Claim{Key: key, Token: 2}, told)
+	c.byAddress[second].collectEffects()
+	c.runFor(first, second)
 	if state != Done {
 		t.Fatalf("told %s by the others, and the answer was recorded", modelStateName(state))
 	}
--- a/internal/mesh/register/model_test.go
+++ b/internal/mesh/register/model_test.go
@@ -19,18 +19,18 @@
 //
 //	MODEL_FROM=1234 MODEL_SEEDS=1 MODEL_TRACE=1 go test -v -run TestModelRandom ./internal/mesh/register
 const (
-	modelSeedsVariable  = "MODEL_SEEDS"
-	modelFromVariable   = "MODEL_FROM"
-	modelTraceVariable  = "MODEL_TRACE"
-	modelWithinVariable = "MODEL_WITHIN"
-	modelSeeds          = 1500
-	modelSeedsRace      = 150 // under the race detector, which has nothing to find in one goroutine
-	modelSteps          = 600
-	modelKeys           = 4     // registers, and as many keys of operations
-	plantedSeeds        = 40000 // at most, until a planted fault is found
+	modelSeedsVariable     = "MODEL_SEEDS"
+	modelFromVariable      = "MODEL_FROM"
+	modelTraceVariable     = "MODEL_TRACE"
+	modelTimeLimitVariable = "MODEL_WITHIN"
+	modelSeeds             = 1500
+	modelSeedsRace         = 150 // under the race detector, which has nothing to find in one goroutine
+	modelSteps             = 600
+	modelKeys              = 4     // registers, and as many keys of operations
+	faultSeeds             = 40000 // at most, until a planted fault is found
 )
 
-func modelSetting(name string, otherwise uint64) uint64 {
+func settingOrDefault(name string, otherwise uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv(name), 10, 64); err == nil {
 		return n
 	}
@@ -47,34 +47,34 @@
 // modelRun is one run of the random exploration.
 type modelRun struct {
 	*modelCluster
-	phase    modelPhase
-	written  uint64
-	tokens   uint64
-	granted  map[string][]uint64 // by key: tokens that were told that they hold it
-	settling map[uint64]State    // by token: how its holder ends
-	wiped    int
-	keys     int  // how many registers are in use
-	leaps    bool // the clock jumps over the window for which keys are kept
+	phase       modelPhase
+	writes      uint64
+	tokens      uint64
+	granted     map[string][]uint64 // by key: tokens that were told that they hold it
+	settlements map[uint64]State    // by token: how its holder ends
+	wipedDisks  int
+	keys        int  // how many registers are in use
+	clockJumps  bool // the clock jumps over the window for which keys are kept
 }
 
 // modelPhase is how the world behaves for some steps.
 type modelPhase struct {
-	left      int             // steps
-	lossy     bool            // messages are lost, doubled and late
-	slowDisks bool            // batches wait for long
-	unrest    int             // of a thousand steps, how many stop or start a process
-	cut       map[string]bool // addresses that nothing reaches and that reach nobody
+	stepsLeft     int             // steps
+	lossy         bool            // messages are lost, doubled and late
+	slowDisks     bool            // batches wait for long
+	interruptRate int             // of a thousand steps, how many stop or start a process
+	isolated      map[string]bool // addresses that nothing reaches and that reach nobody
 }
 
-func newModelRun(seed uint64, fault plantedFault) *modelRun {
+func newModelRun(seed uint64, fault injectedFault) *modelRun {
 	members := 3 + 2*int(seed%6/5)
 	r := &modelRun{modelCluster: newModelCluster(seed, members, 2, fault), granted: map[string][]uint64{},
-		settling: map[uint64]State{}}
+		settlements: map[uint64]State{}}
 	switch seed % 4 {
 	case 0, 1:
 		r.claims, r.keys = true, modelKeys
 	case 2:
-		r.leaps, r.keys = true, 2*modelKeys
+		r.clockJumps, r.keys = true, 2*modelKeys
 	default:
 		r.keys = 1
 	}
@@ -82,56 +82,56 @@
 }
 
 // play takes random steps, then heals everything and reads what is there.
-func (r *modelRun) play(steps int) *violation {
+func (r *modelRun) run(steps int) *violation {
 	for range steps {
 		r.step()
-		if r.history.broken != nil {
-			return r.history.broken
+		if r.history.violation != nil {
+			return r.history.violation
 		}
 	}
 	r.heal()
-	return r.history.broken
+	return r.history.violation
 }
 
 func (r *modelRun) nextPhase() {
-	r.phase = modelPhase{left: 10 + r.random.IntN(80), lossy: r.random.IntN(2) == 0, slowDisks: r.random.IntN(3) == 0,
-		unrest: r.random.IntN(3) * r.random.IntN(30), cut: map[string]bool{}}
+	r.phase = modelPhase{stepsLeft: 10 + r.random.IntN(80), lossy: r.random.IntN(2) == 0, slowDisks: r.random.IntN(3) == 0,
+		interruptRate: r.random.IntN(3) * r.random.IntN(30), isolated: map[string]bool{}}
 	for range r.random.IntN(3) {
-		r.phase.cut[r.servers[r.random.IntN(len(r.servers))].address] = true
+		r.phase.isolated[r.servers[r.random.IntN(len(r.servers))].address] = true
 	}
 }
 
 // step does one thing that may happen.
 func (r *modelRun) step() {
-	if r.phase.left == 0 {
+	if r.phase.stepsLeft == 0 {
 		r.nextPhase()
 	}
-	r.phase.left--
+	r.phase.stepsLeft--
 	s := r.servers[r.random.IntN(len(r.servers))]
 	switch n := r.random.IntN(1000); {
 	case n < 620:
 		r.deliver()
 	case n < 820:
-		r.syncAny()
+		r.syncRandomDisk()
 	case n < 850:
 		r.tick()
 	case n < 900:
-		r.operate(s)
+		r.clientOperation(s)
 	case n < 950:
-		r.membership(s)
-	case n < 950+r.phase.unrest/2:
+		r.proposeView(s)
+	case n < 950+r.phase.interruptRate/2:
 		r.interrupt(s)
-	case n >= 997 && r.leaps:
-		r.now += modelWindow + slack + 1 // long enough for what is forgotten, and for the fast path of a later epoch
+	case n >= 997 && r.clockJumps:
+		r.now += modelWindow + windowSlack + 1 // long enough for what is forgotten, and for the fast path of a later epoch
 	}
 	if !r.phase.slowDisks {
-		r.syncAny()
+		r.syncRandomDisk()
 	}
 }
 
 // deliver hands over a message, loses it, or hands it over and keeps it.
 func (r *modelRun) deliver() {
-	for len(r.network) > modelMostPending {
+	for len(r.network) > modelMaxPending {
 		r.remove(r.random.IntN(len(r.network)))
 	}
 	if len(r.network) == 0 {
@@ -139,10 +139,10 @@
 	}
 	i := r.random.IntN(len(r.network))
 	if r.random.IntN(4) > 0 { // most messages do not take long
-		i = len(r.network) - 1 - r.random.IntN(min(modelFresh, len(r.network)))
+		i = len(r.network) - 1 - r.random.IntN(min(modelRecentMessages, len(r.network)))
 	}
 	m := r.network[i]
-	if r.phase.cut[m.to] || r.phase.cut[m.from.Address] {
+	if r.phase.isolated[m.to] || r.phase.isolated[m.from.Address] {
 		if r.random.IntN(4) > 0 {
 			r.remove(i)
 		}
@@ -153,25 +153,25 @@
 		r.remove(i)
 	}
 	if !r.phase.lossy || fate != 1 {
-		r.hand(m)
+		r.deliverMessage(m)
 	}
 }
 
 // remove takes a message out of the network; the others keep their order.
 func (r *modelRun) remove(i int) { r.network = slices.Delete(r.network, i, i+1) }
 
-func (r *modelRun) hand(m modelMessage) {
-	s := r.byName[m.to]
+func (r *modelRun) deliverMessage(m modelMessage) {
+	s := r.byAddress[m.to]
 	if !s.up {
 		return
 	}
 	r.trace("%s (epoch %d) hears %s (epoch %d): %v", s.address, s.view.Epoch, m.from.Address, m.epoch, m.message)
-	s.heard(m)
-	s.collect()
+	s.handle(m)
+	s.collectEffects()
 }
 
 // syncAny has one disk finish, if any is at work.
-func (r *modelRun) syncAny() {
+func (r *modelRun) syncRandomDisk() {
 	first := r.random.IntN(len(r.servers))
 	for i := range r.servers {
 		if s := r.servers[(first+i)%len(r.servers)]; s.up && s.syncing {
@@ -183,7 +183,7 @@
 
 func (r *modelRun) sync(s *modelServer) {
 	if s.up && s.syncing {
-		r.trace("%s: the disk has %d values", s.address, len(s.writing.puts))
+		r.trace("%s: the disk has %d values", s.address, len(s.syncingBatch.puts))
 		s.finishSync()
 	}
 }
@@ -196,10 +196,10 @@
 		}
 		s.registers.Tick(r.now)
 		if s.view.Joint() && r.random.IntN(2) == 0 || r.random.IntN(10) == 0 {
-			s.follow()
-			s.sayJoined()
+			s.requestState()
+			s.announceSynced()
 		}
-		s.collect()
+		s.collectEffects()
 	}
 }
 
@@ -211,11 +211,11 @@
 		return
 	}
 	power := r.random.IntN(2) == 0
-	wiped := r.random.IntN(6) == 0 && r.wiped < 2
+	wiped := r.random.IntN(6) == 0 && r.wipedDisks < 2
 	s.stop(power)
 	r.trace("%s stops, power %v, wiped %v", s.address, power, wiped)
 	if wiped {
-		r.wiped++
+		r.wipedDisks++
 		s.wipe()
 	}
 	if r.random.IntN(3) > 0 {
@@ -226,19 +226,19 @@
 // ---- views
 
 // membership has a server propose the next view, if it may.
-func (r *modelRun) membership(s *modelServer) {
-	if !s.up || !s.registers.Voting() || s.changing {
+func (r *modelRun) proposeView(s *modelServer) {
+	if !s.up || !s.registers.Voting() || s.proposingView {
 		return
 	}
 	if !s.view.Joint() {
-		if next, found := r.exchange(s); found {
+		if next, found := r.chooseExchange(s); found {
 			s.changeView(next)
 		}
 		return
 	}
 	joiner, _ := s.view.Joiner()
 	switch {
-	case s.joined[joiner] == s.view.Epoch, r.fault == leaverDropped, r.fault == earlyJoinerVote:
+	case s.joinerSyncedEpochs[joiner] == s.view.Epoch, r.fault == leaverDropped, r.fault == earlyJoinerVote:
 		s.changeView(s.view.Complete())
 	case r.random.IntN(8) == 0:
 		s.changeView(s.view.Abandon())
@@ -246,10 +246,10 @@
 }
 
 // exchange chooses one that waits to join, and who goes for it.
-func (r *modelRun) exchange(s *modelServer) (next view.View, found bool) {
+func (r *modelRun) chooseExchange(s *modelServer) (next view.View, found bool) {
 	var waiting []view.Member
 	for _, other := range r.servers {
-		identified := modelNumber(other.disk[modelIdentity]) == other.self.Incarnation
+		identified := decodeUint64(other.disk[modelIdentity]) == other.self.Incarnation
 		if other.up && identified && !s.view.Has(other.self) {
 			waiting = append(waiting, other.self)
 		}
@@ -271,12 +271,12 @@
 
 // ---- operations
 
-func (r *modelRun) operate(s *modelServer) {
+func (r *modelRun) clientOperation(s *modelServer) {
 	if !s.up || !s.registers.Voting() {
 		return
 	}
 	if r.fault == unchosenFastPath {
-		s.believeChosen()
+		s.markAcceptedAsChosen()
 	}
 	if r.claims && r.random.IntN(2) == 0 {
 		r.claimOrSettle(s, modelOperation(r.random.IntN(modelKeys)))
@@ -287,9 +287,9 @@
 
 // update changes a register, or reads it.
 func (r *modelRun) update(s *modelServer, key string, write bool) {
-	r.written++
-	body, saw := fmt.Sprintf("w%d", r.written), ""
-	least := r.history.register(key).newest
+	r.writes++
+	body, saw := fmt.Sprintf("w%d", r.writes), ""
+	least := r.history.register(key).newestVersion
 	edit := func(old []byte) []byte {
 		saw = string(old)
 		if !write {
@@ -304,7 +304,7 @@
 			r.history.updated(key, least, version, string(held), saw, write)
 		}
 	})
-	s.collect()
+	s.collectEffects()
 }
 
 func (r *modelRun) claimOrSettle(s *modelServer, key string) {
@@ -328,7 +328,7 @@
 	r.trace("%s is asked: token %d claims %s", s.address, token, key)
 	s.registers.Claim(r.now, &meshpb.Claim{Key: key, Token: token}, func(state State, _ *meshpb.Receipt) {
 		r.trace("%s answers: token %d, %s: %s", s.address, token, key, modelStateName(state))
-		if r.settling[token] != Free && state == Claimed { // a late answer to one that has settled since
+		if r.settlements[token] != Free && state == Claimed { // a late answer to one that has settled since
 			return
 		}
 		r.history.claimAnswered(key, token, state, voided, recorded)
@@ -336,15 +336,15 @@
 			r.granted[key] = append(r.granted[key], token)
 		}
 	})
-	s.collect()
+	s.collectEffects()
 }
 
 // settle ends the run of a token that holds the key: always in the same way, however often it is asked.
 func (r *modelRun) settle(s *modelServer, key string, token uint64) {
-	if r.settling[token] == Free {
-		r.settling[token] = []State{Done, Void, Void}[r.random.IntN(3)]
+	if r.settlements[token] == Free {
+		r.settlements[token] = []State{Done, Void, Void}[r.random.IntN(3)]
 	}
-	r.settleAs(s, key, token, r.settling[token], false)
+	r.settleAs(s, key, token, r.settlements[token], false)
 }
 
 func (r *modelRun) settleIfFree(s *modelServer, key string, token uint64) {
@@ -353,7 +353,7 @@
 
 func (r *modelRun) settleAs(s *modelServer, key string, token uint64, end State, ifFree bool) {
 	if !ifFree {
-		r.history.settling(key, token, end)
+		r.history.settleRequested(key, token, end)
 	}
 	r.trace("%s is asked: token %d settles %s as %s, if free %v", s.address, token, key, modelStateName(end), ifFree)
 	receipt := &meshpb.Receipt{Token: token, State: end}
@@ -361,7 +361,7 @@
 		r.trace("%s answers: token %d settled %s: %s", s.address, token, key, modelStateName(state))
 		r.history.settled(key, token, end, state)
 	})
-	s.collect()
+	s.collectEffects()
 }
 
 // ---- the end
@@ -373,7 +373,7 @@
 			s.start()
 		}
 	}
-	r.settleDown()
+	r.deliverAll()
 	for _, s := range r.servers {
 		for i := range r.keys {
 			if s.registers.Voting() && r.random.IntN(2) == 0 {
@@ -384,18 +384,18 @@
 				r.claim(s, modelOperation(i), r.tokens)
 			}
 		}
-		r.settleDown()
+		r.deliverAll()
 	}
 }
 
 // settleDown delivers everything for a while.
-func (r *modelRun) settleDown() {
+func (r *modelRun) deliverAll() {
 	for range 6 {
 		for limit := 0; len(r.network) > 0 && limit < 2000; limit++ {
 			i := r.random.IntN(len(r.network))
 			m := r.network[i]
 			r.remove(i)
-			r.hand(m)
+			r.deliverMessage(m)
 			for _, s := range r.servers {
 				r.sync(s)
 			}
@@ -412,14 +412,14 @@
 // Servers are lost, replaced and brought back while registers are changed, read, claimed and settled, and messages come in any
 // order. Nothing that was answered is ever contradicted.
 func TestModelRandom(t *testing.T) {
-	from, seeds := modelSetting(modelFromVariable, 0), modelSetting(modelSeedsVariable, defaultSeeds())
+	from, seeds := settingOrDefault(modelFromVariable, 0), settingOrDefault(modelSeedsVariable, defaultSeeds())
 	answered, epochs := 0, 0
 	for seed := from; seed < from+seeds; seed++ {
 		r := newModelRun(seed, noFault)
 		if os.Getenv(modelTraceVariable) != "" {
 			r.trace = t.Logf
 		}
-		if broken := r.play(modelSteps); broken != nil {
+		if broken := r.run(modelSteps); broken != nil {
 			t.Fatalf("seed %d: %v", seed, broken)
 		}
 		answered += r.history.answered
--- a/internal/mesh/register/proposer.go
+++ b/internal/mesh/register/proposer.go
@@ -12,164 +12,164 @@
 
 // change is one under way.
 type change struct {
-	id       uint64
-	key      string
-	began    float64
-	tried    float64
-	asking   bool // the ballot is being prepared
-	ballot   Ballot
-	votes    map[view.Member]bool // true: yes, false: no
-	best     Ballot               // the newest accepted ballot that was told
-	alike    map[view.Member]bool // who told that one
-	old      *meshpb.Receipt
-	held     Ballot          // accepted on this disk when the ballot was asked for
-	heldHere *meshpb.Receipt // and its value: members that hold the same do not send it
-	value    *meshpb.Receipt
-	work     edit
-	answer   func(state State, held *meshpb.Receipt)
-	state    State
-	rejected Ballot          // the newest ballot for whose sake a member refused this one
-	tries    int             // ballots that were prepared
-	message  *meshpb.Message // of the present phase
-	sent     []string        // addresses that it went to
-	rest     []string        // and those that it goes to if these are slow
-	resends  int             // of the message
+	id               uint64
+	key              string
+	startedAt        float64
+	phaseStartedAt   float64
+	preparing        bool // the ballot is being prepared
+	ballot           Ballot
+	votes            map[view.Member]bool // true: yes, false: no
+	newestAccepted   Ballot               // the newest accepted ballot that was told
+	newestAcceptedBy map[view.Member]bool // who told that one
+	newestValue      *meshpb.Receipt
+	localAccepted    Ballot          // accepted on this disk when the ballot was asked for
+	localValue       *meshpb.Receipt // and its value: members that hold the same do not send it
+	proposed         *meshpb.Receipt
+	edit             editFunc
+	answer           func(state State, held *meshpb.Receipt)
+	state            State
+	supersededBy     Ballot          // the newest ballot for whose sake a member refused this one
+	prepares         int             // ballots that were prepared
+	message          *meshpb.Message // of the present phase
+	recipients       []string        // addresses that it went to
+	reserve          []string        // and those that it goes to if these are slow
+	resends          int             // of the message
 
-	end          *settlement // nil: it records no end of a run
+	settlement   *settlement // nil: it records no end of a run
 	linearizable bool        // what is answered has to be made sure of, even where nothing changes
 }
 
 // edit says what a register is to hold, by what it holds: the new value and the state to answer with. A nil value leaves it.
-type edit func(old *meshpb.Receipt) (value *meshpb.Receipt, state State)
+type editFunc func(old *meshpb.Receipt) (value *meshpb.Receipt, state State)
 
 // begin starts a change, behind those of the same key that are under way.
-func (l *Registers) begin(now float64, c *change) {
-	if l.work[c.key] != nil {
-		l.waiting[c.key] = append(l.waiting[c.key], c)
-		c.began = now
+func (rs *Registers) startChange(now float64, c *change) {
+	if rs.changes[c.key] != nil {
+		rs.waiting[c.key] = append(rs.waiting[c.key], c)
+		c.startedAt = now
 		return
 	}
-	l.lastID++
-	c.id, c.began = l.lastID, now
-	l.work[c.key], l.byID[c.id] = c, c
-	e := l.entries[c.key]
+	rs.lastID++
+	c.id, c.startedAt = rs.lastID, now
+	rs.changes[c.key], rs.changesByID[c.id] = c, c
+	e := rs.entries[c.key]
 	switch {
-	case e == nil && l.mayBeginFirst(now, c.key):
-		c.ballot = Ballot{l.view.Epoch, 1, l.node, l.life}
-		l.propose(now, c, nil)
-	case e != nil && e.chosen && e.accepted.Epoch == l.view.Epoch && e.promised == e.accepted.next():
+	case e == nil && rs.mayUseFastPath(now, c.key):
+		c.ballot = Ballot{rs.view.Epoch, 1, rs.node, rs.life}
+		rs.propose(now, c, nil)
+	case e != nil && e.chosen && e.accepted.Epoch == rs.view.Epoch && e.promised == e.accepted.next():
 		c.ballot = e.promised
-		l.propose(now, c, e.value)
+		rs.propose(now, c, e.value)
 	default:
-		l.ask(now, c)
+		rs.prepare(now, c)
 	}
 }
 
 // mayBeginFirst says whether the first ballot of a key in this epoch may go without being prepared: nothing was chosen for it in an
 // earlier epoch, or that is forgotten. Of what is permanent something may have been chosen in any earlier epoch, however long ago:
 // there only the founding view has a first ballot that needs none.
-func (l *Registers) mayBeginFirst(now float64, key string) bool {
+func (rs *Registers) mayUseFastPath(now float64, key string) bool {
 	switch {
-	case !l.isHome(key):
+	case !rs.isHome(key):
 		return false
-	case permanent(key):
-		return l.view.Epoch == 1
+	case isPermanent(key):
+		return rs.view.Epoch == 1
 	}
-	return now >= l.fastFrom || l.homed.known && !l.homed.has(key)
+	return now >= rs.fastPathFrom || rs.homedKeys.complete && !rs.homedKeys.has(key)
 }
 
 // ask prepares a ballot.
-func (l *Registers) ask(now float64, c *change) {
-	refused := c.rejected.compare(c.ballot) >= 0 || c.ballot.Epoch != l.view.Epoch
-	l.Checks.Check(invariant.BallotSuperseded, c.tries == 0 || refused, "key", c.key, "ballot", c.ballot)
-	round := max(l.promised(c.key).Round, 1)
-	for _, b := range []Ballot{c.ballot, c.rejected} {
-		if b.Epoch == l.view.Epoch {
+func (rs *Registers) prepare(now float64, c *change) {
+	superseded := c.supersededBy.compare(c.ballot) >= 0 || c.ballot.Epoch != rs.view.Epoch
+	rs.Checks.Check(invariant.BallotSuperseded, c.prepares == 0 || superseded, "key", c.key, "ballot", c.ballot)
+	round := max(rs.promisedBallot(c.key).Round, 1)
+	for _, b := range []Ballot{c.ballot, c.supersededBy} {
+		if b.Epoch == rs.view.Epoch {
 			round = max(round, b.Round)
 		}
 	}
-	c.ballot, c.asking, c.tried = Ballot{l.view.Epoch, round + 1, l.node, l.life}, true, now
-	c.votes, c.best, c.old, c.alike = map[view.Member]bool{}, Ballot{}, nil, map[view.Member]bool{}
-	c.tries++
-	c.held, c.heldHere = Ballot{}, nil
-	prepare := &meshpb.Prepare{Key: c.key, Ballot: c.ballot.Wire()}
-	if e := l.entries[c.key]; e != nil && permanent(c.key) && e.accepted != (Ballot{}) { // other keys' ballots are used again once they are forgotten
-		c.held, c.heldHere = e.accepted, e.value
-		prepare.Held = c.held.Wire()
-	}
-	m := &meshpb.Message{Id: c.id, Prepare: prepare}
-	l.out.Sends = append(l.out.Sends, transport.Send{To: l.self.Address, Message: m})
-	l.spread(now, c, m)
+	c.ballot, c.preparing, c.phaseStartedAt = Ballot{rs.view.Epoch, round + 1, rs.node, rs.life}, true, now
+	c.votes, c.newestAccepted, c.newestValue, c.newestAcceptedBy = map[view.Member]bool{}, Ballot{}, nil, map[view.Member]bool{}
+	c.prepares++
+	c.localAccepted, c.localValue = Ballot{}, nil
+	request := &meshpb.Prepare{Key: c.key, Ballot: c.ballot.Wire()}
+	if e := rs.entries[c.key]; e != nil && isPermanent(c.key) && e.accepted != (Ballot{}) { // other keys' ballots are used again once they are forgotten
+		c.localAccepted, c.localValue = e.accepted, e.value
+		request.Held = c.localAccepted.Wire()
+	}
+	m := &meshpb.Message{Id: c.id, Prepare: request}
+	rs.effects.Sends = append(rs.effects.Sends, transport.Send{To: rs.self.Address, Message: m})
+	rs.sendPhase(now, c, m)
 }
 
 // propose has a changed value accepted. Where nothing changes, what is held is made sure of: it is accepted anew unless it is known
 // to be chosen.
-func (l *Registers) propose(now float64, c *change, old *meshpb.Receipt) {
-	value, state := c.work(old)
+func (rs *Registers) propose(now float64, c *change, old *meshpb.Receipt) {
+	value, state := c.edit(old)
 	if value == nil {
-		if e := l.entries[c.key]; e != nil && e.mayBeOver(now, state) && !c.asking { // others may know how the run ended
-			l.ask(now, c)
+		if e := rs.entries[c.key]; e != nil && e.mayHaveEnded(now, state) && !c.preparing { // others may know how the run ended
+			rs.prepare(now, c)
 			return
 		}
-		state = l.agedHere(now, c.key, state)
-		if old == nil && c.asking || !c.linearizable || c.asking && l.known(c) {
-			l.end(now, c, state, old)
+		state = rs.localBusyOrLost(now, c.key, state)
+		if old == nil && c.preparing || !c.linearizable || c.preparing && rs.knownChosen(c) {
+			rs.finish(now, c, state, old)
 			return
 		}
 		if value = old; old == nil {
-			l.ask(now, c)
+			rs.prepare(now, c)
 			return
 		}
 	}
-	c.value, c.state, c.asking, c.tried = value, state, false, now
+	c.proposed, c.state, c.preparing, c.phaseStartedAt = value, state, false, now
 	c.votes = map[view.Member]bool{}
 	m := &meshpb.Message{Id: c.id, Accept: &meshpb.Accept{Key: c.key, Ballot: c.ballot.Wire(), Value: value}}
-	if !l.accept(now, m.Accept) { // this disk first
-		c.rejected = l.promised(c.key)
-		l.ask(now, c)
+	if !rs.accept(now, m.Accept) { // this disk first
+		c.supersededBy = rs.promisedBallot(c.key)
+		rs.prepare(now, c)
 		return
 	}
-	l.spread(now, c, m)
-	l.out.After = append(l.out.After, transport.Send{To: l.self.Address, Message: &meshpb.Message{Id: c.id,
+	rs.sendPhase(now, c, m)
+	rs.effects.After = append(rs.effects.After, transport.Send{To: rs.self.Address, Message: &meshpb.Message{Id: c.id,
 		Accepted: &meshpb.Accepted{Yes: true, Promised: c.ballot.Wire()}}})
 }
 
 // known says whether a quorum told one ballot of this epoch: what it accepted there was chosen. Of an earlier epoch that does not
 // follow: a joiner's part in it is a copy, and a quorum of that epoch may have accepted something else.
-func (l *Registers) known(c *change) bool {
-	return c.best.Epoch == l.view.Epoch && l.quorum(c.key, func(m view.Member) bool { return c.alike[m] })
+func (rs *Registers) knownChosen(c *change) bool {
+	return c.newestAccepted.Epoch == rs.view.Epoch && rs.hasQuorum(c.key, func(m view.Member) bool { return c.newestAcceptedBy[m] })
 }
 
 // spread sends the message of a phase to as many others as make a quorum with this server, and keeps the rest in reserve: answers have
 // bodies, and every copy is bytes between zones and work on another's disk. Who did not answer lately comes last. All get what is permanent, as
 // all need it, and in a joint view all get everything.
-func (l *Registers) spread(now float64, c *change, m *meshpb.Message) {
-	order := slices.DeleteFunc(Home(c.key, l.view.Addresses()), func(a string) bool { return a == l.self.Address })
-	slices.SortStableFunc(order, func(a, b string) int { return cmp.Compare(l.slow(now, a), l.slow(now, b)) })
-	first := l.view.Majority() - 1
-	if l.view.Joint() || permanent(c.key) {
+func (rs *Registers) sendPhase(now float64, c *change, m *meshpb.Message) {
+	order := slices.DeleteFunc(HomeOrder(c.key, rs.view.Addresses()), func(a string) bool { return a == rs.self.Address })
+	slices.SortStableFunc(order, func(a, b string) int { return cmp.Compare(rs.reservedUntil(now, a), rs.reservedUntil(now, b)) })
+	first := rs.view.Majority() - 1
+	if rs.view.Joint() || isPermanent(c.key) {
 		first = len(order)
 	}
-	c.message, c.sent, c.rest, c.resends = m, order[:first], order[first:], 0
-	l.deliver(c, c.sent)
+	c.message, c.recipients, c.reserve, c.resends = m, order[:first], order[first:], 0
+	rs.sendPhaseTo(c, c.recipients)
 }
 
 // deliver sends the message of the present phase. A value goes once this disk has it.
-func (l *Registers) deliver(c *change, addresses []string) {
+func (rs *Registers) sendPhaseTo(c *change, addresses []string) {
 	for _, address := range addresses {
 		send := transport.Send{To: address, Message: c.message}
-		if c.asking {
-			l.out.Sends = append(l.out.Sends, send)
+		if c.preparing {
+			rs.effects.Sends = append(rs.effects.Sends, send)
 		} else {
-			l.out.After = append(l.out.After, send)
+			rs.effects.After = append(rs.effects.After, send)
 		}
 	}
 }
 
 // slow is until when the member at an address is kept in reserve.
-func (l *Registers) slow(now float64, address string) float64 {
+func (rs *Registers) reservedUntil(now float64, address string) float64 {
 	until := now
-	for m, at := range l.slowUntil {
+	for m, at := range rs.slowUntil {
 		if m.Address == address {
 			until = max(until, at)
 		}
@@ -178,66 +178,66 @@
 }
 
 // widen sends the message to the rest.
-func (l *Registers) widen(now float64, c *change) {
-	for _, m := range l.view.All() {
-		if _, answered := c.votes[m]; !answered && slices.Contains(c.sent, m.Address) {
-			l.slowUntil[m] = now + slowFor
+func (rs *Registers) widen(now float64, c *change) {
+	for _, m := range rs.view.All() {
+		if _, answered := c.votes[m]; !answered && slices.Contains(c.recipients, m.Address) {
+			rs.slowUntil[m] = now + slowPeriod
 		}
 	}
-	l.deliver(c, c.rest)
-	c.sent, c.rest = slices.Concat(c.sent, c.rest), nil
+	rs.sendPhaseTo(c, c.reserve)
+	c.recipients, c.reserve = slices.Concat(c.recipients, c.reserve), nil
 }
 
 // advance does what is due for a change: a member that does not answer is sent the same message again, and a ballot that was refused is
 // followed by a newer one. Slow answers still count: a ballot that is only slow is never given up for another, as that would ask for
 // the same work once more where there is too much of it already. The pauses grow, as often as either happens.
-func (l *Registers) advance(now float64, c *change) {
+func (rs *Registers) advance(now float64, c *change) {
 	switch {
-	case now > c.began+GiveUp:
-		l.end(now, c, Unsure, nil)
-	case len(c.rest) > 0 && now > c.tried+widenAfter:
-		l.widen(now, c)
-	case c.rejected.compare(c.ballot) >= 0 && now > c.tried+rivalPause*float64(uint(1)<<c.tries):
-		l.ask(now, c)
-	case now > c.tried+resendAfter*float64(uint(1)<<c.resends):
-		l.resend(now, c)
+	case now > c.startedAt+ChangeTimeout:
+		rs.finish(now, c, Unsure, nil)
+	case len(c.reserve) > 0 && now > c.phaseStartedAt+widenDelay:
+		rs.widen(now, c)
+	case c.supersededBy.compare(c.ballot) >= 0 && now > c.phaseStartedAt+conflictBackoff*float64(uint(1)<<c.prepares):
+		rs.prepare(now, c)
+	case now > c.phaseStartedAt+resendDelay*float64(uint(1)<<c.resends):
+		rs.resend(now, c)
 	}
 }
 
 // resend sends the message again to those that have not answered: it was lost with a connection, or with a process.
-func (l *Registers) resend(now float64, c *change) {
+func (rs *Registers) resend(now float64, c *change) {
 	c.resends++
-	silent := slices.DeleteFunc(slices.Clone(c.sent), func(address string) bool {
-		for _, m := range l.view.All() {
+	unanswered := slices.DeleteFunc(slices.Clone(c.recipients), func(address string) bool {
+		for _, m := range rs.view.All() {
 			if _, answered := c.votes[m]; answered && m.Address == address {
 				return true
 			}
 		}
 		return false
 	})
-	l.deliver(c, silent)
+	rs.sendPhaseTo(c, unanswered)
 }
 
-func (l *Registers) end(now float64, c *change, state State, held *meshpb.Receipt) {
-	delete(l.work, c.key)
-	delete(l.byID, c.id)
+func (rs *Registers) finish(now float64, c *change, state State, held *meshpb.Receipt) {
+	delete(rs.changes, c.key)
+	delete(rs.changesByID, c.id)
 	c.answer(state, held)
-	if next := l.waiting[c.key]; len(next) > 0 && l.work[c.key] == nil {
-		if l.waiting[c.key] = next[1:]; len(next) == 1 {
-			delete(l.waiting, c.key)
+	if next := rs.waiting[c.key]; len(next) > 0 && rs.changes[c.key] == nil {
+		if rs.waiting[c.key] = next[1:]; len(next) == 1 {
+			delete(rs.waiting, c.key)
 		}
-		began := next[0].began
-		l.begin(now, next[0])
-		next[0].began = began
+		startedAt := next[0].startedAt
+		rs.startChange(now, next[0])
+		next[0].startedAt = startedAt
 	}
 }
 
 // Abort ends all changes under way: no quorum can be asked from here now.
-func (l *Registers) Abort(now float64) {
-	waiting := l.waiting
-	l.waiting = map[string][]*change{}
-	for _, c := range l.ordered() {
-		l.end(now, c, Unsure, nil)
+func (rs *Registers) Abort(now float64) {
+	waiting := rs.waiting
+	rs.waiting = map[string][]*change{}
+	for _, c := range rs.orderedChanges() {
+		rs.finish(now, c, Unsure, nil)
 	}
 	for _, key := range sortedKeys(waiting) {
 		for _, c := range waiting[key] {
@@ -246,93 +246,93 @@
 	}
 }
 
-func (l *Registers) heardPromise(now float64, from view.Member, c *change, p *meshpb.Promise) {
-	if c == nil || !c.asking || !l.view.Has(from) {
+func (rs *Registers) handlePromise(now float64, from view.Member, c *change, p *meshpb.Promise) {
+	if c == nil || !c.preparing || !rs.view.Has(from) {
 		return
 	}
 	if !p.Yes {
-		l.heardNoPromise(now, from, c, FromWire(p.Promised))
+		rs.handlePrepareRejected(now, from, c, FromWire(p.Promised))
 		return
 	}
 	if FromWire(p.Promised) != c.ballot || c.votes[from] {
 		return
 	}
 	c.votes[from] = true
-	switch b := FromWire(p.Accepted); b.compare(c.best) {
+	switch b := FromWire(p.Accepted); b.compare(c.newestAccepted) {
 	case 1:
-		c.best, c.old, c.alike = b, p.Value, map[view.Member]bool{from: true}
-		if b == c.held { // it is not sent back
-			c.old = c.heldHere
+		c.newestAccepted, c.newestValue, c.newestAcceptedBy = b, p.Value, map[view.Member]bool{from: true}
+		if b == c.localAccepted { // it is not sent back
+			c.newestValue = c.localValue
 		}
 	case 0:
-		c.alike[from] = true
+		c.newestAcceptedBy[from] = true
 	}
-	if l.quorum(c.key, func(m view.Member) bool { return c.votes[m] }) {
-		l.propose(now, c, c.old)
+	if rs.hasQuorum(c.key, func(m view.Member) bool { return c.votes[m] }) {
+		rs.propose(now, c, c.newestValue)
 	}
 }
 
 // heardNoPromise takes word that a member has promised a newer ballot than the one that is being prepared.
-func (l *Registers) heardNoPromise(now float64, from view.Member, c *change, newer Ballot) {
+func (rs *Registers) handlePrepareRejected(now float64, from view.Member, c *change, newer Ballot) {
 	if newer.compare(c.ballot) < 0 { // of an older ballot of this change
 		return
 	}
-	if newer.compare(c.rejected) > 0 {
-		c.rejected = newer
+	if newer.compare(c.supersededBy) > 0 {
+		c.supersededBy = newer
 	}
 	if !c.votes[from] {
 		c.votes[from] = false
 	}
-	if len(c.rest) > 0 {
-		l.widen(now, c)
+	if len(c.reserve) > 0 {
+		rs.widen(now, c)
 	}
 }
 
-func (l *Registers) heardAccepted(now float64, from view.Member, c *change, a *meshpb.Accepted) {
-	if c == nil || c.asking || !l.view.Has(from) {
+func (rs *Registers) handleAccepted(now float64, from view.Member, c *change, a *meshpb.Accepted) {
+	if c == nil || c.preparing || !rs.view.Has(from) {
 		return
 	}
 	if !a.Yes {
-		l.heardRefusal(now, from, c, FromWire(a.Promised))
+		rs.handleAcceptRejected(now, from, c, FromWire(a.Promised))
 		return
 	}
 	if FromWire(a.Promised) != c.ballot {
 		return
 	}
 	c.votes[from] = true
-	if !l.quorum(c.key, func(m view.Member) bool { return c.votes[m] }) {
+	if !rs.hasQuorum(c.key, func(m view.Member) bool { return c.votes[m] }) {
 		return
 	}
-	if e := l.entries[c.key]; e != nil && e.accepted == c.ballot {
+	if e := rs.entries[c.key]; e != nil && e.accepted == c.ballot {
 		e.chosen = true
 	}
-	if took := now - c.tried; l.quickest == 0 || took < l.quickest {
-		l.quickest = took
+	if took := now - c.phaseStartedAt; rs.minRoundTrip == 0 || took < rs.minRoundTrip {
+		rs.minRoundTrip = took
 	}
-	l.end(now, c, c.state, c.value)
+	rs.finish(now, c, c.state, c.proposed)
 }
 
-func (l *Registers) heardRefusal(now float64, from view.Member, c *change, newer Ballot) {
+func (rs *Registers) handleAcceptRejected(now float64, from view.Member, c *change, newer Ballot) {
 	if newer.compare(c.ballot) < 0 { // of an older ballot of this change
 		return
 	}
-	if newer.compare(c.rejected) > 0 {
-		c.rejected = newer
+	if newer.compare(c.supersededBy) > 0 {
+		c.supersededBy = newer
 	}
-	if len(c.rest) > 0 {
-		l.widen(now, c)
+	if len(c.reserve) > 0 {
+		rs.widen(now, c)
 	}
 	if !c.votes[from] {
 		c.votes[from] = false
 	}
-	if l.refused(c) && c.tries < 2 { // somebody else's ballot is newer; the second try waits
-		l.ask(now, c)
+	if rs.quorumImpossible(c) && c.prepares < 2 { // somebody else's ballot is newer; the second try waits
+		rs.prepare(now, c)
 	}
 }
 
 // refused says whether a quorum can no longer come together.
-func (l *Registers) refused(c *change) bool {
-	return !l.quorum(c.key, func(m view.Member) bool {
+func (rs *Registers) quorumImpossible(c *change) bool {
+	return !rs.hasQuorum(c.key, func(m view.Member) bool {
 		yes, answered := c.votes[m]
 		return yes || !answered
 	})
--- a/internal/mesh/register/slow_test.go
+++ b/internal/mesh/register/slow_test.go
@@ -11,42 +11,42 @@
 	"beechwing/internal/mesh/view"
 )
 
-const slowTick = 0.02 // seconds between ticks
+const tickInterval = 0.02 // seconds between ticks
 
 // slowNet is some servers whose messages all arrive, in order, each after the same time.
-type slowNet struct {
+type delayedCluster struct {
 	now      float64
 	delay    float64 // seconds, one way
 	names    []string
 	servers  map[string]*Registers
-	mail     []slowLetter
+	network  []delayedEnvelope
 	prepares int // sent to other servers
 }
 
-type slowLetter struct {
-	at float64
-	letter
+type delayedEnvelope struct {
+	deliverAt float64
+	envelope
 }
 
-func newSlowNet(n int, delay float64) *slowNet {
-	c := &slowNet{now: 1, delay: delay, servers: map[string]*Registers{}}
+func newDelayedCluster(n int, delay float64) *delayedCluster {
+	c := &delayedCluster{now: 1, delay: delay, servers: map[string]*Registers{}}
 	var members []view.Member
 	for i := range n {
 		c.names = append(c.names, fmt.Sprintf("m%d", i))
 		members = append(members, view.Member{Address: c.names[i], Incarnation: 1})
 	}
 	for i, name := range c.names {
-		l := New(members[i], uint32(i+1), 60)
-		l.SetView(c.now, view.Founding(1, members), c.now)
-		l.Vote()
-		c.servers[name] = l
+		rs := New(members[i], uint32(i+1), 60)
+		rs.SetView(c.now, view.Founding(1, members), c.now)
+		rs.StartVoting()
+		c.servers[name] = rs
 	}
 	return c
 }
 
-func (c *slowNet) take(name string) {
+func (c *delayedCluster) applyEffects(name string) {
 	for {
-		out := c.servers[name].Take()
+		out := c.servers[name].TakeEffects()
 		sends := slices.Concat(out.Sends, out.After)
 		if len(sends) == 0 {
 			return
@@ -57,28 +57,28 @@
 	}
 }
 
-func (c *slowNet) post(from string, s transport.Send) {
+func (c *delayedCluster) post(from string, s transport.Send) {
 	if s.To == from {
-		c.servers[from].Heard(c.now, view.Member{Address: from, Incarnation: 1}, s.Message)
+		c.servers[from].HandleMessage(c.now, view.Member{Address: from, Incarnation: 1}, s.Message)
 		return
 	}
 	if s.Message.Prepare != nil {
 		c.prepares++
 	}
-	c.mail = append(c.mail, slowLetter{c.now + c.delay, letter{from, s.To, s.Message}})
+	c.network = append(c.network, delayedEnvelope{c.now + c.delay, envelope{from, s.To, s.Message}})
 }
 
-func (c *slowNet) run(seconds float64) {
-	for until := c.now + seconds; c.now < until; c.now += slowTick {
-		for len(c.mail) > 0 && c.mail[0].at <= c.now {
-			m := c.mail[0]
-			c.mail = c.mail[1:]
-			c.servers[m.to].Heard(c.now, view.Member{Address: m.from, Incarnation: 1}, m.message)
-			c.take(m.to)
+func (c *delayedCluster) run(seconds float64) {
+	for until := c.now + seconds; c.now < until; c.now += tickInterval {
+		for len(c.network) > 0 && c.network[0].deliverAt <= c.now {
+			m := c.network[0]
+			c.network = c.network[1:]
+			c.servers[m.to].HandleMessage(c.now, view.Member{Address: m.from, Incarnation: 1}, m.message)
+			c.applyEffects(m.to)
 		}
 		for _, name := range c.names {
 			c.servers[name].Tick(c.now)
-			c.take(name)
+			c.applyEffects(name)
 		}
 	}
 }
@@ -86,13 +86,13 @@
 // Answers that take 0.3 s are slow and not lost: a change that has to ask first comes to its end with one ballot, and is not begun anew
 // while its answers are on the way.
 func TestSlowAnswersEndAChange(t *testing.T) {
-	c := newSlowNet(4, 0.15)
+	c := newDelayedCluster(4, 0.15)
 	const key = "operation"
-	other := Home(key, c.names)[1] // it is not the key's home: it has to ask
+	other := HomeOrder(key, c.names)[1] // it is not the key's home: it has to ask
 	state := Unsure
 	c.servers[other].Claim(c.now, &meshpb.Claim{Key: key, Token: 7, Gate: "g"}, func(s State, _ *meshpb.Receipt) { state = s })
-	c.take(other)
-	c.run(GiveUp + 0.2)
+	c.applyEffects(other)
+	c.run(ChangeTimeout + 0.2)
 	if state != Claimed {
 		t.Errorf("a claim whose answers take 0.3 s ends as %s", stateNames[state])
 	}
@@ -104,14 +104,14 @@
 // Two servers change one key at the same time, and their answers are slow: one of them outbids the other, and neither begins anew
 // again and again.
 func TestSlowRivalsEnd(t *testing.T) {
-	c := newSlowNet(4, 0.06)
+	c := newDelayedCluster(4, 0.06)
 	const key = "operation"
-	order := Home(key, c.names)
+	order := HomeOrder(key, c.names)
 	ends := map[State]int{}
 	for i, name := range order[1:3] {
 		claim := &meshpb.Claim{Key: key, Token: uint64(7 + i), Gate: name}
 		c.servers[name].Claim(c.now, claim, func(s State, _ *meshpb.Receipt) { ends[s]++ })
-		c.take(name)
+		c.applyEffects(name)
 	}
 	c.run(2)
 	if ends[Claimed] != 1 || ends[Busy] != 1 {
@@ -125,7 +125,7 @@
 // A joiner reads the same registers from several members, and writes each once.
 func TestJoinerWritesEachRegisterOnce(t *testing.T) {
 	const registers = 500
-	b := newBag(1, 3)
+	b := newTestCluster(1, 3)
 	for _, name := range b.names {
 		for i := range registers {
 			b.servers[name].accept(1, &meshpb.Accept{Key: fmt.Sprintf("k%d", i), Ballot: Ballot{Epoch: 1, Round: 2, Node: 1, Life: 1}.Wire(),
@@ -137,7 +137,7 @@
 	for _, name := range b.names {
 		page, _, _ := b.servers[name].Page(0)
 		joiner.Merge(2, page)
-		puts += len(joiner.Take().Puts)
+		puts += len(joiner.TakeEffects().Puts)
 	}
 	if puts > registers {
 		t.Errorf("%d writes for %d registers", puts, registers)
@@ -145,12 +145,12 @@
 }
 
 // stuck is a server that has so many changes under way for so many seconds, and no answer to any.
-func stuck(changes int, seconds float64) *slowNet {
-	c := newSlowNet(4, 10)
+func newStuckCluster(changes int, seconds float64) *delayedCluster {
+	c := newDelayedCluster(4, 10)
 	for i := range changes {
 		c.servers["m0"].Claim(c.now, &meshpb.Claim{Key: fmt.Sprint("stuck", i), Token: 1, Gate: "g"}, func(State, *meshpb.Receipt) {})
 	}
-	c.take("m0")
+	c.applyEffects("m0")
 	c.run(seconds)
 	return c
 }
@@ -164,12 +164,12 @@
 		seconds float64
 		want    State
 	}{
-		{"many, not late yet", 100, lateAfter / 2, Claimed},
-		{"many late", 100, 2 * lateAfter, Overloaded},
-		{"a few late", fewLate, 2 * lateAfter, Claimed},
-		{"many, given up", 100, GiveUp + 0.1, Claimed},
+		{"many, not late yet", 100, lateThreshold / 2, Claimed},
+		{"many late", 100, 2 * lateThreshold, Overloaded},
+		{"a few late", toleratedLateChanges, 2 * lateThreshold, Claimed},
+		{"many, given up", 100, ChangeTimeout + 0.1, Claimed},
 	} {
-		c := stuck(test.changes, test.seconds)
+		c := newStuckCluster(test.changes, test.seconds)
 		got := Claimed // it is begun and has no answer yet
 		c.servers["m0"].Claim(c.now, &meshpb.Claim{Key: "new", Token: 2, Gate: "g"}, func(s State, _ *meshpb.Receipt) { got = s })
 		if got != test.want {
@@ -180,11 +180,11 @@
 
 // The end of a run that is told again before it was taken is one change, answered to who told it last.
 func TestEndToldAgainIsOneChange(t *testing.T) {
-	c := newSlowNet(3, 0.05)
+	c := newDelayedCluster(3, 0.05)
 	const key = "operation"
-	home := Home(key, c.names)[0]
+	home := HomeOrder(key, c.names)[0]
 	c.servers[home].Claim(c.now, &meshpb.Claim{Key: key, Token: 7, Gate: "g"}, func(State, *meshpb.Receipt) {})
-	c.take(home)
+	c.applyEffects(home)
 	c.run(0.3)
 	var answered []int
 	for i := range 4 {
@@ -194,7 +194,7 @@
 	if _, changes := c.servers[home].Size(); changes != 1 || len(c.servers[home].waiting[key]) != 0 {
 		t.Errorf("%d changes under way, %d wait", changes, len(c.servers[home].waiting[key]))
 	}
-	c.take(home)
+	c.applyEffects(home)
 	c.run(0.3)
 	if !slices.Equal(answered, []int{3}) {
 		t.Errorf("answered: %v", answered)
@@ -203,15 +203,15 @@
 
 // A message that comes again is answered as it was: its answer may be lost. Both by an acceptor that has been asked for nothing newer.
 func TestMessageAgainIsAnsweredAgain(t *testing.T) {
-	c := newSlowNet(3, 0)
+	c := newDelayedCluster(3, 0)
 	b := Ballot{Epoch: 1, Round: 5, Node: 2, Life: 2}
 	prepare := &meshpb.Message{Id: 1, Prepare: &meshpb.Prepare{Key: "k", Ballot: b.Wire()}}
 	accept := &meshpb.Message{Id: 1, Accept: &meshpb.Accept{Key: "k", Ballot: b.Wire(), Value: &meshpb.Receipt{Token: 1, State: Claimed}}}
 	newer := &meshpb.Message{Id: 2, Prepare: &meshpb.Prepare{Key: "k", Ballot: Ballot{Epoch: 1, Round: 9, Node: 3, Life: 3}.Wire()}}
 	acceptor := c.servers["m0"]
 	answers := func(m *meshpb.Message) *meshpb.Message {
-		acceptor.Heard(1, view.Member{Address: "m1", Incarnation: 1}, m)
-		out := acceptor.Take()
+		acceptor.HandleMessage(1, view.Member{Address: "m1", Incarnation: 1}, m)
+		out := acceptor.TakeEffects()
 		return slices.Concat(out.Sends, out.After)[0].Message
 	}
 	for range 2 {
@@ -236,10 +236,10 @@
 // Pages together give each register once, in the order of its last change, and cost what they give: what changed before is not looked at.
 func TestPagesFollowTheOrderOfChanges(t *testing.T) {
 	const registers, again = 2000, 100
-	c := newSlowNet(1, 0)
-	l := c.servers["m0"]
+	c := newDelayedCluster(1, 0)
+	rs := c.servers["m0"]
 	accept := func(i int, round uint32) {
-		l.accept(1, &meshpb.Accept{Key: fmt.Sprint("k", i), Ballot: Ballot{Epoch: 1, Round: round, Node: 1, Life: 1}.Wire(),
+		rs.accept(1, &meshpb.Accept{Key: fmt.Sprint("k", i), Ballot: Ballot{Epoch: 1, Round: round, Node: 1, Life: 1}.Wire(),
 			Value: &meshpb.Receipt{Token: uint64(i), State: Done, Body: make([]byte, 200)}})
 	}
 	for round := range uint32(5) { // most of the order counts no more
@@ -251,7 +251,7 @@
 	position, pages := uint64(0), 0
 	for last := false; !last; pages++ {
 		var page []*meshpb.Entry
-		page, position, last = l.Page(position)
+		page, position, last = rs.Page(position)
 		for _, e := range page {
 			seen[e.Key]++
 		}
@@ -262,32 +262,32 @@
 	for i := range again {
 		accept(i, 20)
 	}
-	if page, _, last := l.Page(position); len(page) != again || !last {
+	if page, _, last := rs.Page(position); len(page) != again || !last {
 		t.Errorf("%d registers changed since, want %d; last %v", len(page), again, last)
 	}
-	if behind := len(l.order.after(position)); behind != again {
+	if behind := len(rs.entryOrder.after(position)); behind != again {
 		t.Errorf("%d places of the order are looked at for %d changes", behind, again)
 	}
-	l.Tick(100) // all have grown old
-	if page, _, _ := l.Page(0); len(page) != 0 || len(l.order.changes) > sparseOrder {
-		t.Errorf("%d registers are left, %d places in the order", len(page), len(l.order.changes))
+	rs.Tick(100) // all have grown old
+	if page, _, _ := rs.Page(0); len(page) != 0 || len(rs.entryOrder.changes) > compactionSlack {
+		t.Errorf("%d registers are left, %d places in the order", len(page), len(rs.entryOrder.changes))
 	}
 }
 
 // The checks find what they are for: a ballot that is begun anew for lateness alone, and two values under one ballot.
 func TestChecksFindViolations(t *testing.T) {
-	c := stuck(1, 0.1)
-	l := c.servers["m0"]
-	for _, under := range l.ordered() {
-		l.ask(c.now, under)
-		under.tries++
-		l.ask(c.now, under)
+	c := newStuckCluster(1, 0.1)
+	rs := c.servers["m0"]
+	for _, under := range rs.orderedChanges() {
+		rs.prepare(c.now, under)
+		under.prepares++
+		rs.prepare(c.now, under)
 	}
 	b := Ballot{Epoch: 1, Round: 9, Node: 2, Life: 2}.Wire()
 	for i := range uint64(2) {
-		l.heardAccept(c.now, view.Member{Address: "m1", Incarnation: 1}, 1, &meshpb.Accept{Key: "k", Ballot: b, Value: &meshpb.Receipt{Token: i + 1}})
+		rs.handleAccept(c.now, view.Member{Address: "m1", Incarnation: 1}, 1, &meshpb.Accept{Key: "k", Ballot: b, Value: &meshpb.Receipt{Token: i + 1}})
 	}
-	got := l.Checks.Counts()
+	got := rs.Checks.Counts()
 	if got[invariant.BallotSuperseded] == 0 || got[invariant.BallotUnique] != 1 {
 		t.Errorf("found %v", got)
 	}
@@ -297,7 +297,7 @@
 // once; what it lacks by then, as a member told of something newer or did not send its part, it gets by key.
 func TestJoinerReadsInParts(t *testing.T) {
 	const registers, newer = 900, 50
-	c := newSlowNet(3, 0)
+	c := newDelayedCluster(3, 0)
 	accept := func(name string, i int, round uint32) {
 		c.servers[name].accept(1, &meshpb.Accept{Key: fmt.Sprint("k", i), Ballot: Ballot{Epoch: 1, Round: round, Node: 1, Life: 1}.Wire(),
 			Value: &meshpb.Receipt{Token: uint64(round), State: Done, Body: make([]byte, 300)}})
@@ -311,20 +311,20 @@
 		accept("m1", i, 3)
 	}
 	joiner := New(view.Member{Address: "j", Incarnation: 1}, 9, 60)
-	values, lacking := 0, map[string]map[string]Ballot{}
+	values, missing := 0, map[string]map[string]Ballot{}
 	read := func(name string, part uint32) {
-		lacking[name] = map[string]Ballot{}
+		missing[name] = map[string]Ballot{}
 		position := uint64(0)
 		for last := false; !last; {
 			var page []*meshpb.Entry
-			page, position, last = c.servers[name].PageOf(position, Part{part, 3})
+			page, position, last = c.servers[name].PartialPage(position, Part{part, 3})
 			for _, e := range page {
 				if e.Value != nil {
 					values++
 				}
 			}
 			for key, b := range joiner.Merge(2, page) {
-				lacking[name][key] = b
+				missing[name][key] = b
 			}
 		}
 	}
@@ -333,10 +333,10 @@
 	if most := registers; values > most {
 		t.Errorf("%d values for %d registers", values, most)
 	}
-	for name := range lacking {
-		for key, b := range lacking[name] {
+	for name := range missing {
+		for key, b := range missing[name] {
 			if joiner.Lacks(key, b) {
-				joiner.Merge(2, c.servers[name].Entries([]string{key}))
+				joiner.Merge(2, c.servers[name].EntriesOf([]string{key}))
 			}
 		}
 	}
@@ -345,11 +345,11 @@
 		if i < newer {
 			want = 3
 		}
-		if value, _ := joiner.Local(fmt.Sprint("k", i)); value.GetToken() != want {
+		if value, _ := joiner.LocalValue(fmt.Sprint("k", i)); value.GetToken() != want {
 			t.Fatalf("register %d: round %d, want %d", i, value.GetToken(), want)
 		}
 	}
-	if got := joiner.Merge(2, c.servers["m0"].Entries([]string{"unknown"})); len(got) > 0 || len(joiner.entries) != registers {
+	if got := joiner.Merge(2, c.servers["m0"].EntriesOf([]string{"unknown"})); len(got) > 0 || len(joiner.entries) != registers {
 		t.Errorf("a key that nobody holds makes %d registers of %d", len(joiner.entries), registers)
 	}
 }
--- a/internal/mesh/register/sync.go
+++ b/internal/mesh/register/sync.go
@@ -18,7 +18,7 @@
 // at which they took that view, it holds whatever was chosen before: none of them takes part in older ballots any more.
 
 // pageBytes bounds one page: what a member has to do for one, and what waits behind it on its link, is no more than that.
-const pageBytes = 64 << 10
+const maxPageBytes = 64 << 10
 
 // changeOrder has the keys of entries in the order in which they changed. A key that has changed again stands in it again.
 type changeOrder struct {
@@ -31,7 +31,7 @@
 }
 
 // sparseOrder is how many places the order has beyond twice the entries before those that count no more are taken out.
-const sparseOrder = 1024
+const compactionSlack = 1024
 
 func (o *changeOrder) add(position uint64, key string) {
 	o.changes = append(o.changes, keyChange{position, key})
@@ -45,14 +45,14 @@
 
 // compact takes out what counts no more, once that is most of it: the cost is shared by as many changes.
 func (o *changeOrder) compact(entries map[string]*entry) {
-	if len(o.changes) <= 2*len(entries)+sparseOrder {
+	if len(o.changes) <= 2*len(entries)+compactionSlack {
 		return
 	}
-	o.changes = slices.DeleteFunc(o.changes, func(c keyChange) bool { return !c.counts(entries) })
+	o.changes = slices.DeleteFunc(o.changes, func(c keyChange) bool { return !c.isCurrent(entries) })
 }
 
 // counts says that the key has not changed since.
-func (c keyChange) counts(entries map[string]*entry) bool {
+func (c keyChange) isCurrent(entries map[string]*entry) bool {
 	e := entries[c.key]
 	return e != nil && e.position == c.position
 }
@@ -62,7 +62,7 @@
 
 // has says whether a register belongs to the part. What is permanent belongs to each.
 func (p Part) has(key string) bool {
-	if p.Of <= 1 || permanent(key) {
+	if p.Of <= 1 || isPermanent(key) {
 		return true
 	}
 	h := fnv.New32a()
@@ -71,39 +71,39 @@
 }
 
 // Page gives the entries that changed after a position, oldest first; last says that these are all. It costs what it gives.
-func (l *Registers) Page(after uint64) (page []*meshpb.Entry, position uint64, last bool) {
-	return l.PageOf(after, Part{})
+func (rs *Registers) Page(after uint64) (page []*meshpb.Entry, position uint64, last bool) {
+	return rs.PartialPage(after, Part{})
 }
 
-// PageOf is Page with the values of a part only.
-func (l *Registers) PageOf(after uint64, part Part) (page []*meshpb.Entry, position uint64, last bool) {
+// PartialPage is Page with the values of a part only.
+func (rs *Registers) PartialPage(after uint64, part Part) (page []*meshpb.Entry, position uint64, last bool) {
 	size := 0
-	for _, c := range l.order.after(after) {
-		if !c.counts(l.entries) {
+	for _, c := range rs.entryOrder.after(after) {
+		if !c.isCurrent(rs.entries) {
 			continue
 		}
-		w := wireEntry(c.key, l.entries[c.key])
+		w := wireEntry(c.key, rs.entries[c.key])
 		if !part.has(c.key) {
 			w.Value = nil
 		}
 		page = append(page, w)
-		if size += proto.Size(w); size > pageBytes {
+		if size += proto.Size(w); size > maxPageBytes {
 			return page, c.position, false
 		}
 	}
-	return page, l.position, true
+	return page, rs.position, true
 }
 
-// Entries gives the registers of some keys, as many of the first as make a page. Of a key that is not held the entry is empty.
-func (l *Registers) Entries(keys []string) (page []*meshpb.Entry) {
+// EntriesOf gives the registers of some keys, as many of the first as make a page. Of a key that is not held the entry is empty.
+func (rs *Registers) EntriesOf(keys []string) (page []*meshpb.Entry) {
 	size := 0
 	for _, key := range keys {
 		w := &meshpb.Entry{Key: key}
-		if e := l.entries[key]; e != nil {
+		if e := rs.entries[key]; e != nil {
 			w = wireEntry(key, e)
 		}
 		page = append(page, w)
-		if size += proto.Size(w); size > pageBytes {
+		if size += proto.Size(w); size > maxPageBytes {
 			break
 		}
 	}
@@ -112,38 +112,38 @@
 
 // Merge takes a page of another server's. Of each register the newest accepted value holds. It gives the keys that were told without their
 // value and are newer there than here, with the ballots at which they were accepted.
-func (l *Registers) Merge(now float64, page []*meshpb.Entry) (lacking map[string]Ballot) {
+func (rs *Registers) Merge(now float64, page []*meshpb.Entry) (missing map[string]Ballot) {
 	for _, w := range page {
 		if accepted := FromWire(w.Accepted); w.Value == nil && accepted != (Ballot{}) {
-			if l.Lacks(w.Key, accepted) {
-				if lacking == nil {
-					lacking = map[string]Ballot{}
+			if rs.Lacks(w.Key, accepted) {
+				if missing == nil {
+					missing = map[string]Ballot{}
 				}
-				lacking[w.Key] = accepted
+				missing[w.Key] = accepted
 			}
 			continue
 		}
-		l.merge(now, w)
+		rs.merge(now, w)
 	}
-	return lacking
+	return missing
 }
 
 // Lacks says whether what was accepted at a ballot is newer than what this server holds of a register.
-func (l *Registers) Lacks(key string, accepted Ballot) bool {
-	e := l.entries[key]
+func (rs *Registers) Lacks(key string, accepted Ballot) bool {
+	e := rs.entries[key]
 	return e == nil || e.accepted.compare(accepted) < 0
 }
 
 // merge takes one entry. What brings nothing new costs no write: the members tell mostly the same.
-func (l *Registers) merge(now float64, w *meshpb.Entry) {
+func (rs *Registers) merge(now float64, w *meshpb.Entry) {
 	promised, accepted := FromWire(w.Promised), FromWire(w.Accepted)
-	e := l.entries[w.Key]
+	e := rs.entries[w.Key]
 	switch {
 	case e == nil && promised == (Ballot{}) && accepted == (Ballot{}): // it is not held there
 		return
 	case e == nil:
-		e = &entry{at: now}
-		l.entries[w.Key] = e
+		e = &entry{receivedAt: now}
+		rs.entries[w.Key] = e
 	case promised.compare(e.promised) <= 0 && accepted.compare(e.accepted) <= 0:
 		return
 	}
@@ -153,7 +153,7 @@
 	if accepted.compare(e.accepted) > 0 {
 		e.accepted, e.value, e.chosen = accepted, w.Value, false
 	}
-	l.keep(w.Key, e)
+	rs.persist(w.Key, e)
 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/mesh/sidecar/claims.go
+++ b/internal/mesh/sidecar/claims.go
@@ -164,7 +164,7 @@
 // serversFor returns the control servers in the order in which they are asked about a key. Servers that did not answer
 // lately come last.
 func (adm *admission) serversFor(key string) []string {
-	all := register.Home(key, adm.sidecar.discovery.servers)
+	all := register.HomeOrder(key, adm.sidecar.discovery.servers)
 	slices.SortStableFunc(all, func(a, b string) int {
 		return cmp.Compare(btoi(adm.sidecar.now < adm.keys.deprioritizedUntil[a]),
 			btoi(adm.sidecar.now < adm.keys.deprioritizedUntil[b]))
