--- a/internal/mesh/register/acceptor.go
+++ b/internal/mesh/register/acceptor.go
@@ -12,15 +12,16 @@
 	"beechwing/internal/mesh/view"
 )
 
-// Prefixes of the names under which the store has registers: each with its value, and, of what is permanent, promises that are newer than
-// what stands there. A promise is a ballot: it does not write a configuration anew.
+// Prefixes of the names under which the store keeps registers: valuePrefix for a register with its value, and promisePrefix for
+// a promise of a permanent register that is newer than the one stored with the value. Such a promise is stored on its own so
+// that a promise does not rewrite a whole configuration.
 const (
 	valuePrefix   = "k."
 	promisePrefix = "p."
 )
 
-// HandleMessage takes a message of another server's, or of this one's. Whoever calls it has compared the epochs: questions of another epoch
-// than this server's are not its to answer.
+// HandleMessage handles a message from another server or from this one. The caller has compared the epochs: this server does
+// not answer requests of another epoch than its own.
 func (rs *Registers) HandleMessage(now float64, from view.Member, m *meshpb.Message) {
 	switch {
 	case m.Prepare != nil:
@@ -39,7 +40,7 @@
 	if !rs.voting || b.Epoch != rs.view.Epoch {
 		return
 	}
-	if e := rs.entries[p.Key]; e != nil && e.promised == b { // the same message again: its answer may be lost
+	if e := rs.entries[p.Key]; e != nil && e.promised == b { // a resent message: the answer may have been lost
 		rs.sendPromise(from, id, e, FromWire(p.Held))
 		return
 	}
@@ -58,7 +59,8 @@
 	rs.sendPromise(from, id, e, FromWire(p.Held))
 }
 
-// promise tells what a register has promised and accepted, once the disk has it. A value that the asker holds is not sent.
+// sendPromise sends what a register has promised and accepted, once that is on disk. The value is left out if the proposer
+// already holds it.
 func (rs *Registers) sendPromise(to view.Member, id uint64, e *entry, askerHolds Ballot) {
 	p := &meshpb.Promise{Yes: true, Promised: e.promised.Wire(), Accepted: e.accepted.Wire()}
 	if askerHolds == (Ballot{}) || askerHolds != e.accepted {
@@ -79,8 +81,8 @@
 	rs.effects.After = append(rs.effects.After, transport.Send{To: from.Address, Message: answer})
 }
 
-// hasAccepted says whether a value was accepted at a ballot, and nothing newer was promised since: the same message comes again, as no
-// ballot is ever used for two values.
+// hasAccepted reports whether a value was accepted at the ballot of a and nothing newer has been promised since. The message is
+// then a duplicate, as no ballot is ever used for two values.
 func (rs *Registers) hasAccepted(a *meshpb.Accept) bool {
 	e, b := rs.entries[a.Key], FromWire(a.Ballot)
 	if e == nil || e.accepted != b || e.promised != b.next() {
@@ -90,7 +92,7 @@
 	return true
 }
 
-// accept takes a value where nothing newer was promised.
+// accept accepts a value unless a newer ballot was promised.
 func (rs *Registers) accept(now float64, a *meshpb.Accept) bool {
 	b := FromWire(a.Ballot)
 	if b.compare(rs.promisedBallot(a.Key)) < 0 {
@@ -107,20 +109,20 @@
 	return true
 }
 
-// keep has an entry written, and gives it the next position in the order of changes.
+// persist writes an entry to disk and assigns it the next position in the order of changes.
 func (rs *Registers) persist(key string, e *entry) {
 	rs.position++
 	e.position = rs.position
 	rs.entryOrder.add(rs.position, key)
 	text, err := proto.Marshal(wireEntry(key, e))
 	if err != nil {
-		return // a value that came over the wire can be written again
+		return // cannot happen: a value that was decoded from the wire can be encoded again
 	}
 	rs.effects.Puts = append(rs.effects.Puts, store.Put{Name: valuePrefix + key, Value: text})
 }
 
-// keepPromise has a promise written: with the value, or without where that is permanent and on the disk already. Who joins needs no promises
-// of others, so the entry keeps its position.
+// persistPromise writes a promise to disk: together with the value, or on its own if the register is permanent and its value is
+// already stored. A joiner needs no promises of other members, so the entry keeps its position.
 func (rs *Registers) persistPromise(key string, e *entry) {
 	if !isPermanent(key) || e.accepted == (Ballot{}) {
 		rs.persist(key, e)
@@ -128,7 +130,7 @@
 	}
 	text, err := proto.Marshal(e.promised.Wire())
 	if err != nil {
-		return // a ballot can always be written
+		return // cannot happen: a ballot can always be encoded
 	}
 	rs.effects.Puts = append(rs.effects.Puts, store.Put{Name: promisePrefix + key, Value: text})
 }
@@ -137,7 +139,7 @@
 	return &meshpb.Entry{Key: key, Promised: e.promised.Wire(), Accepted: e.accepted.Wire(), Value: e.value}
 }
 
-// Restore takes what the store held. Ages begin anew.
+// Restore loads the registers from the store's values. Ages start again from now.
 func (rs *Registers) Restore(now float64, values map[string][]byte) error {
 	for _, name := range sortedKeys(values) {
 		if len(name) <= len(valuePrefix) || name[:len(valuePrefix)] != valuePrefix {
@@ -155,7 +157,7 @@
 	return rs.restorePromises(values)
 }
 
-// restorePromises takes promises that are newer than what stands with their registers.
+// restorePromises loads promises that are newer than those stored with their registers.
 func (rs *Registers) restorePromises(values map[string][]byte) error {
 	for name, value := range values {
 		key, found := strings.CutPrefix(name, promisePrefix)
--- a/internal/mesh/register/ballot.go
+++ b/internal/mesh/register/ballot.go
@@ -6,7 +6,8 @@
 	"beechwing/internal/mesh/meshpb"
 )
 
-// Ballot orders the changes of a register. Any ballot of a later epoch is newer than all of an earlier one.
+// Ballot is a ballot number. Ballots order the changes of a register, and any ballot of a later epoch is newer than all ballots
+// of an earlier one.
 type Ballot struct {
 	Epoch       uint64
 	Round, Node uint32
@@ -18,15 +19,15 @@
 		cmp.Compare(b.Life, o.Life))
 }
 
-// next is the ballot that is promised to whom had a value accepted at b.
+// next returns the ballot that an acceptor promises to a proposer when it accepts the proposer's value at b.
 func (b Ballot) next() Ballot { return Ballot{b.Epoch, b.Round + 1, b.Node, b.Life} }
 
-// Wire is the ballot as it is sent.
+// Wire returns the ballot as a protobuf message.
 func (b Ballot) Wire() *meshpb.Ballot {
 	return &meshpb.Ballot{Epoch: b.Epoch, Round: b.Round, Node: b.Node, Life: b.Life}
 }
 
-// FromWire reads a ballot that was sent.
+// FromWire returns the ballot of a protobuf message.
 func FromWire(w *meshpb.Ballot) Ballot {
 	return Ballot{w.GetEpoch(), w.GetRound(), w.GetNode(), w.GetLife()}
 }
--- a/internal/mesh/register/homed.go
+++ b/internal/mesh/register/homed.go
@@ -7,21 +7,24 @@
 	"beechwing/internal/mesh/view"
 )
 
-// The home of a key may begin its first ballot without preparing it if nothing was chosen for the key before. After a change of view it
-// has to know which keys were chosen without it: only their names, as it prepares those. It asks a majority of the members, itself
-// counted, once they go by the new view, for the keys that they hold from earlier epochs and whose home it now is. Whoever answers
-// takes part in no ballot of an earlier epoch any more, so nothing can be chosen there later; and whatever was chosen before is held
-// by a majority of the members of the new view, one of which is among those that were asked. The answers count in the epoch in which they
-// were given, so a home that changes again asks again.
+// The home of a key may skip the prepare phase of the key's first ballot in an epoch if nothing was chosen for the key in an
+// earlier epoch. After a change of the view, the home has to learn which keys were chosen without it. It needs only their
+// names, as it prepares the first ballots of those keys.
+//
+// The home asks the members of the new view for the keys that they hold from earlier epochs and whose home it now is, until a
+// majority, itself included, has answered. A member answers once it uses the new view, and from then on takes part in no ballot
+// of an earlier epoch, so nothing more can be chosen there. Whatever was chosen before is held by a majority of the members of
+// the new view, so at least one of the members that answered holds it. Answers are valid only in the epoch in which they were
+// given: a home that changes again asks again.
 
-// homedPage is how many keys are told at once: 16 KB.
+// maxHomedPageKeys is the maximum number of keys in one answer: 16 KB of hashes.
 const maxHomedPageKeys = 2048
 
-// homed is what this server knows, as a home in the present epoch, of keys from earlier ones.
+// homedKeys is what this server knows of keys of earlier epochs whose home it is in the present epoch.
 type homedKeys struct {
-	hashes   map[uint64]struct{} // hashes of those that others hold
+	hashes   map[uint64]struct{} // hashes of the keys that other members hold
 	answered map[view.Member]bool
-	complete bool // a majority has told all of theirs
+	complete bool // a majority has sent all its keys
 }
 
 func (h *homedKeys) has(key string) bool {
@@ -29,18 +32,20 @@
 	return held
 }
 
-// keyHash stands for a key in lists. Two keys of one hash cost a round trip, and nothing else.
+// keyHash returns the hash that represents a key in lists. Two keys with the same hash cost a round trip and nothing else.
 func keyHash(key string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, key)
 	return h.Sum64()
 }
 
-// KnowsHomedKeys says whether this server, as a home in the present epoch, knows all keys that were chosen before.
+// KnowsHomedKeys reports whether this server knows all keys that were chosen in earlier epochs and whose home it is in the
+// present epoch.
 func (rs *Registers) KnowsHomedKeys() bool { return rs.homedKeys.complete }
 
-// HomedKeyHashes gives hashes of the keys that this server holds from earlier epochs and whose home is at an address, of those that changed
-// after a position, oldest first; last says that these are all.
+// HomedKeyHashes returns hashes of the keys that this server holds from earlier epochs, whose home has the given address, and
+// which changed after a position, oldest first. position is where the next page starts, and last reports whether no further
+// page follows.
 func (rs *Registers) HomedKeyHashes(address string, after uint64) (hashes []uint64, position uint64, last bool) {
 	for _, c := range rs.entryOrder.after(after) {
 		if !c.isCurrent(rs.entries) || isPermanent(c.key) {
@@ -57,7 +62,8 @@
 	return hashes, rs.position, true
 }
 
-// AddHomedKeys takes what HomedAt gave at a member that goes by this server's view; last says that this was all.
+// AddHomedKeys adds hashes that HomedKeyHashes returned at a member that uses this server's view. last reports whether they are
+// the last of that member.
 func (rs *Registers) AddHomedKeys(from view.Member, hashes []uint64, last bool) {
 	h := &rs.homedKeys
 	if h.hashes == nil {
--- a/internal/mesh/register/operation.go
+++ b/internal/mesh/register/operation.go
@@ -11,46 +11,49 @@
 // State is the state of a register's value.
 type State = uint32
 
-// The states. They go over the wire: only add at the end.
+// The states are sent over the wire: only add new ones at the end.
 const (
-	Free    State = iota // nobody has claimed the key
-	Claimed              // somebody has; its run may be under way
-	Done                 // it has run, and this is the answer
-	Lost                 // it may have run, and nobody knows how that ended
-	Void                 // claimed and given back without a run: the token of it claims no more
-	Unsure               // no quorum could be asked: nothing was claimed
-	Stored               // no key of an operation: the value is the body
+	Free    State = iota // the key is not claimed
+	Claimed              // the key is claimed, and the claimed run may be in progress
+	Done                 // the run has ended, and its answer is recorded
+	Lost                 // the run may have happened, and its result is unknown
+	Void                 // the claim was released without a run, and its token may not claim again
+	Unsure               // no quorum answered in time, so nothing is known to be claimed
+	Stored               // the register belongs to no operation, and its body is the value
 )
 
 var stateNames = map[State]string{Free: "free", Claimed: "claimed", Done: "done", Lost: "lost", Void: "void", Stored: "stored"}
 
 const (
-	maxVoidedTokens = 24 // tokens that a register remembers as voided
-	// A claim that nobody has settled for so long has lost its holder: the answer no longer says that it is at work.
-	claimHolderTimeout = 5.0 // seconds
-	// A claim that is older than this may have been settled without this server: that it is at work is for a quorum to say. Larger: a
-	// repeat is told so for longer after the answer. Smaller: a ballot for each repeat that comes while the first is at work.
-	busyTrustPeriod   = 0.7 // seconds
-	heldByOtherOffset = 100 // added to Claimed where it is somebody else's
-	notStartedOffset  = 200 // added to Unsure where nothing was begun
+	maxVoidedTokens = 24 // maximum number of voided tokens that a register stores
+	// A claim that has not been settled for claimHolderTimeout seconds has lost its holder and is no longer reported as in
+	// progress.
+	claimHolderTimeout = 5.0
+	// A claim older than busyTrustPeriod seconds may have been settled without this server, so only a quorum can say whether
+	// its run is still in progress. With a larger value, a repeated request is told that the run is in progress for longer
+	// after its end. With a smaller one, more repeats that arrive during the run cost a ballot.
+	busyTrustPeriod   = 0.7
+	heldByOtherOffset = 100 // added to Claimed if the claim is held by another token
+	notStartedOffset  = 200 // added to Unsure if no change was started
 )
 
-// Busy is the state of a key that somebody else has claimed.
+// Busy is the state of a key that is claimed by another token.
 const Busy = Claimed + heldByOtherOffset
 
-// Answers to what was not begun at all. They are not told as states.
+// Answers to claims for which no change was started. They are not sent over the wire as states.
 const (
-	Unavailable = Unsure + notStartedOffset + iota // nothing can be promised from here
-	Overloaded                                     // too much is under way here, and gets no answers in time
+	Unavailable = Unsure + notStartedOffset + iota // this server does not vote
+	Overloaded                                     // too many changes are in progress here, or too many of them are late
 )
 
-// Claim binds a key to one run. The answer is told once: the state, and what is held. Claimed means that the asker holds it.
+// Claim binds a key to one run. It calls answer once, with the resulting state and the value held. The state Claimed means that
+// the caller holds the key.
 func (rs *Registers) Claim(now float64, c *meshpb.Claim, answer func(state State, held *meshpb.Receipt)) {
 	if !rs.voting {
 		answer(Unavailable, nil)
 		return
 	}
-	if e := rs.entries[c.Key]; e != nil && e.value != nil { // what is known here to hold somebody else's needs no ballot
+	if e := rs.entries[c.Key]; e != nil && e.value != nil { // no ballot is needed if another token is known to hold the key
 		_, state := claim(c, e.value)
 		if state != Claimed && !e.mayHaveEnded(now, state) {
 			answer(state, e.value)
@@ -73,15 +76,15 @@
 	granted := &meshpb.Receipt{Token: c.Token, State: Claimed, Attempt: c.Attempt, Voided: old.GetVoided(), Gate: c.Gate,
 		GateLife: c.GateLife}
 	switch {
-	case slices.Contains(old.GetVoided(), c.Token): // a late one: its client was promised that it never runs
+	case slices.Contains(old.GetVoided(), c.Token): // a late claim: its client was promised that it never runs
 		return nil, Void
 	case old == nil || old.State == Free:
 		return granted, Claimed
-	case old.State == Void && len(old.Voided) >= maxVoidedTokens: // no more can be remembered, so no more may be promised
+	case old.State == Void && len(old.Voided) >= maxVoidedTokens: // no room to void another token, so no claim may be granted
 		return nil, Busy
 	case old.State == Void:
 		return granted, Claimed
-	case old.State == Claimed && old.Token == c.Token && old.Attempt < c.Attempt: // the attempt before it has not run
+	case old.State == Claimed && old.Token == c.Token && old.Attempt < c.Attempt: // the previous attempt has not run
 		return granted, Claimed
 	case old.State == Claimed && isRepeatedClaim(c, old):
 		return old, Claimed
@@ -91,18 +94,19 @@
 	return nil, old.State
 }
 
-// askedAgain reports whether a claim is the one that was granted, asked again by the same process, which may not have heard.
-// Another gate that was sent the same attempt, or the gate's next process, may not run it a second time.
+// isRepeatedClaim reports whether a claim repeats the one that was granted, sent by the same process, which may not have
+// received the answer. Another gate that was sent the same attempt, or a restarted process of the same gate, must not run it a
+// second time.
 func isRepeatedClaim(c *meshpb.Claim, held *meshpb.Receipt) bool {
 	return held.Token == c.Token && held.Attempt == c.Attempt && held.Gate == c.Gate && held.GateLife == c.GateLife
 }
 
-// mayBeOver says whether a claim that stands on this disk may have ended by now.
+// mayHaveEnded reports whether the run of a claim stored on this disk may have ended by now.
 func (e *entry) mayHaveEnded(now float64, state State) bool {
 	return state == Busy && now > e.receivedAt+busyTrustPeriod
 }
 
-// aged says that a claim's holder is gone where that is so.
+// busyOrLost returns Lost instead of Busy if the holder of the claim is considered gone.
 func (rs *Registers) busyOrLost(now float64, e *entry, state State) State {
 	if state == Busy && now > e.receivedAt+claimHolderTimeout {
 		return Lost
@@ -110,7 +114,7 @@
 	return state
 }
 
-// agedHere does so for what this disk has of a key.
+// localBusyOrLost applies busyOrLost to this server's entry of a key.
 func (rs *Registers) localBusyOrLost(now float64, key string, state State) State {
 	if e := rs.entries[key]; e != nil {
 		return rs.busyOrLost(now, e, state)
@@ -118,9 +122,9 @@
 	return state
 }
 
-// Settle records how a claimed run ended. A receipt that is void gives the key back, and keeps late claims of its token out.
-// With ifFree it only does the latter, and only where no claim was granted: so who asked a proxy that has gone silent learns
-// whether the request may still run.
+// Settle records how a claimed run ended. A receipt with the state Void releases the key and rejects late claims of its token.
+// With ifFree, Settle only does the latter, and only if the token has not been granted the claim. A caller whose request went
+// to a proxy that no longer answers uses this to learn whether the request may still run.
 func (rs *Registers) Settle(now float64, key string, r *meshpb.Receipt, ifFree bool,
 	answer func(state State, held *meshpb.Receipt)) {
 	if !rs.voting || rs.overloaded(maxLateShareForSettles) || !isEndState(r) {
@@ -128,22 +132,23 @@
 		return
 	}
 	end := &settlement{r.Token, r.State, ifFree}
-	if c := rs.pendingSettlement(key, end); c != nil { // told again before it was taken
+	if c := rs.pendingSettlement(key, end); c != nil { // repeated while the first settlement is still in progress
 		c.answer = answer
 		return
 	}
-	rs.startChange(now, &change{key: key, answer: answer, settlement: end, linearizable: true, // an end that a retry finds may stand on one disk only
+	// The change is linearizable because an end that a retry reads may be stored on one disk only.
+	rs.startChange(now, &change{key: key, answer: answer, settlement: end, linearizable: true,
 		edit: func(old *meshpb.Receipt) (*meshpb.Receipt, State) { return settle(old, r, ifFree) }})
 }
 
-// settlement is which end of which run a change records.
+// settlement identifies the end of a run that a change records.
 type settlement struct {
 	token  uint64
 	state  State
 	ifFree bool
 }
 
-// sameEnd is a change that is under way, or waits, for the same end.
+// pendingSettlement returns the change, in progress or waiting, that records the same end, or nil.
 func (rs *Registers) pendingSettlement(key string, end *settlement) *change {
 	if c := rs.changes[key]; c != nil && c.settlement != nil && *c.settlement == *end {
 		return c
@@ -156,7 +161,7 @@
 	return nil
 }
 
-// isEnd reports whether a receipt is the end of a run: a garbled message, or a foreign one, may hold none.
+// isEndState reports whether a receipt describes the end of a run. A corrupt message, or one of another origin, may not.
 func isEndState(r *meshpb.Receipt) bool {
 	switch r.GetState() {
 	case Done, Lost, Void:
@@ -174,7 +179,7 @@
 	switch {
 	case old == nil || old.State == Free, old.State == Void && r.State == Void:
 		return r, r.State
-	case r.State == Void && old.State == Claimed && old.Token != r.Token: // another holds it: only that this one never will
+	case r.State == Void && old.State == Claimed && old.Token != r.Token: // only record that this token is voided
 		updated := proto.Clone(old).(*meshpb.Receipt)
 		updated.Voided = r.Voided
 		return updated, Void
@@ -185,9 +190,10 @@
 	return nil, old.State
 }
 
-// Update changes a register that is no operation's, by what it held: a nil body leaves it. The answer is the version that it has then,
-// which grows by one with each change, and its body; ok is false where no quorum said so. It is linearizable: what it answers was
-// chosen, and nothing newer was chosen before it was asked.
+// Update changes a register that belongs to no operation. edit returns the new body for the old one, or nil to leave the
+// register unchanged. The answer is the register's resulting version, which grows by one with each change, and its body. ok is
+// false if no quorum answered in time. Update is linearizable: the value in the answer was chosen, and no newer one had been
+// chosen before Update was called.
 func (rs *Registers) Update(now float64, name string, edit func(old []byte) []byte,
 	answer func(version uint64, body []byte, ok bool)) {
 	if !rs.voting || len(rs.changes) >= maxChanges {
--- a/internal/mesh/register/proposer.go
+++ b/internal/mesh/register/proposer.go
@@ -10,39 +10,40 @@
 	"beechwing/internal/mesh/view"
 )
 
-// change is one under way.
+// change is a change of a register in progress: one proposer's state across its ballots.
 type change struct {
 	id               uint64
 	key              string
 	startedAt        float64
 	phaseStartedAt   float64
-	preparing        bool // the ballot is being prepared
+	preparing        bool // the ballot is in its prepare phase
 	ballot           Ballot
-	votes            map[view.Member]bool // true: yes, false: no
-	newestAccepted   Ballot               // the newest accepted ballot that was told
-	newestAcceptedBy map[view.Member]bool // who told that one
+	votes            map[view.Member]bool // true: accepted or promised, false: rejected
+	newestAccepted   Ballot               // the newest accepted ballot in the promises received
+	newestAcceptedBy map[view.Member]bool // the members that reported that ballot
 	newestValue      *meshpb.Receipt
-	localAccepted    Ballot          // accepted on this disk when the ballot was asked for
-	localValue       *meshpb.Receipt // and its value: members that hold the same do not send it
+	localAccepted    Ballot          // ballot accepted on this disk when the prepare phase started
+	localValue       *meshpb.Receipt // the value at localAccepted; members that hold the same one do not send it
 	proposed         *meshpb.Receipt
 	edit             editFunc
 	answer           func(state State, held *meshpb.Receipt)
 	state            State
-	supersededBy     Ballot          // the newest ballot for whose sake a member refused this one
-	prepares         int             // ballots that were prepared
-	message          *meshpb.Message // of the present phase
-	recipients       []string        // addresses that it went to
-	reserve          []string        // and those that it goes to if these are slow
-	resends          int             // of the message
+	supersededBy     Ballot          // the newest ballot because of which a member rejected this one
+	prepares         int             // number of prepare phases started
+	message          *meshpb.Message // message of the present phase
+	recipients       []string        // addresses to which the message was sent
+	reserve          []string        // addresses to which it is sent if the recipients are slow
+	resends          int             // how often the message was resent
 
-	settlement   *settlement // nil: it records no end of a run
-	linearizable bool        // what is answered has to be made sure of, even where nothing changes
+	settlement   *settlement // nil: the change does not record the end of a run
+	linearizable bool        // the answer must have been chosen by a quorum, even if nothing changes
 }
 
-// edit says what a register is to hold, by what it holds: the new value and the state to answer with. A nil value leaves it.
+// editFunc returns the new value of a register for its old one, and the state to answer with. A nil value leaves the register
+// unchanged.
 type editFunc func(old *meshpb.Receipt) (value *meshpb.Receipt, state State)
 
-// begin starts a change, behind those of the same key that are under way.
+// startChange starts a change, or queues it behind the change of the same key that is in progress.
 func (rs *Registers) startChange(now float64, c *change) {
 	if rs.changes[c.key] != nil {
 		rs.waiting[c.key] = append(rs.waiting[c.key], c)
@@ -65,9 +66,9 @@
 	}
 }
 
-// mayBeginFirst says whether the first ballot of a key in this epoch may go without being prepared: nothing was chosen for it in an
-// earlier epoch, or that is forgotten. Of what is permanent something may have been chosen in any earlier epoch, however long ago:
-// there only the founding view has a first ballot that needs none.
+// mayUseFastPath reports whether the first ballot of a key in this epoch may skip the prepare phase: nothing was chosen for the
+// key in an earlier epoch, or whatever was chosen has expired. A permanent register may hold a value from any earlier epoch,
+// however old, so only the founding view has a first ballot for it that needs no prepare phase.
 func (rs *Registers) mayUseFastPath(now float64, key string) bool {
 	switch {
 	case !rs.isHome(key):
@@ -78,7 +79,7 @@
 	return now >= rs.fastPathFrom || rs.homedKeys.complete && !rs.homedKeys.has(key)
 }
 
-// ask prepares a ballot.
+// prepare starts the prepare phase of a new ballot.
 func (rs *Registers) prepare(now float64, c *change) {
 	superseded := c.supersededBy.compare(c.ballot) >= 0 || c.ballot.Epoch != rs.view.Epoch
 	rs.Checks.Check(invariant.BallotSuperseded, c.prepares == 0 || superseded, "key", c.key, "ballot", c.ballot)
@@ -93,7 +94,8 @@
 	c.prepares++
 	c.localAccepted, c.localValue = Ballot{}, nil
 	request := &meshpb.Prepare{Key: c.key, Ballot: c.ballot.Wire()}
-	if e := rs.entries[c.key]; e != nil && isPermanent(c.key) && e.accepted != (Ballot{}) { // other keys' ballots are used again once they are forgotten
+	// Ballots of other keys are reused after the keys have expired, so they do not identify a value.
+	if e := rs.entries[c.key]; e != nil && isPermanent(c.key) && e.accepted != (Ballot{}) {
 		c.localAccepted, c.localValue = e.accepted, e.value
 		request.Held = c.localAccepted.Wire()
 	}
@@ -102,8 +104,8 @@
 	rs.sendPhase(now, c, m)
 }
 
-// propose has a changed value accepted. Where nothing changes, what is held is made sure of: it is accepted anew unless it is known
-// to be chosen.
+// propose starts the accept phase for the changed value. If nothing changes, a linearizable change still has to confirm the
+// value held: the value is accepted again unless it is known to be chosen.
 func (rs *Registers) propose(now float64, c *change, old *meshpb.Receipt) {
 	value, state := c.edit(old)
 	if value == nil {
@@ -124,7 +126,7 @@
 	c.proposed, c.state, c.preparing, c.phaseStartedAt = value, state, false, now
 	c.votes = map[view.Member]bool{}
 	m := &meshpb.Message{Id: c.id, Accept: &meshpb.Accept{Key: c.key, Ballot: c.ballot.Wire(), Value: value}}
-	if !rs.accept(now, m.Accept) { // this disk first
+	if !rs.accept(now, m.Accept) { // the local acceptor first
 		c.supersededBy = rs.promisedBallot(c.key)
 		rs.prepare(now, c)
 		return
@@ -134,15 +136,17 @@
 		Accepted: &meshpb.Accepted{Yes: true, Promised: c.ballot.Wire()}}})
 }
 
-// known says whether a quorum told one ballot of this epoch: what it accepted there was chosen. Of an earlier epoch that does not
-// follow: a joiner's part in it is a copy, and a quorum of that epoch may have accepted something else.
+// knownChosen reports whether a quorum reported the same ballot of this epoch, in which case its value was chosen. This does
+// not follow for a ballot of an earlier epoch: a joiner holds only a copy of that value, and a quorum of the earlier epoch may
+// have accepted another one.
 func (rs *Registers) knownChosen(c *change) bool {
 	return c.newestAccepted.Epoch == rs.view.Epoch && rs.hasQuorum(c.key, func(m view.Member) bool { return c.newestAcceptedBy[m] })
 }
 
-// spread sends the message of a phase to as many others as make a quorum with this server, and keeps the rest in reserve: answers have
-// bodies, and every copy is bytes between zones and work on another's disk. Who did not answer lately comes last. All get what is permanent, as
-// all need it, and in a joint view all get everything.
+// sendPhase sends the message of a phase to as many other members as form a quorum with this server, and keeps the rest in
+// reserve: answers contain bodies, and every copy costs bandwidth between zones and work on another disk. Members that did not
+// answer recently come last. Messages for permanent registers go to all members, as all of them need the value, and in a joint
+// view all messages go to all members.
 func (rs *Registers) sendPhase(now float64, c *change, m *meshpb.Message) {
 	order := slices.DeleteFunc(HomeOrder(c.key, rs.view.Addresses()), func(a string) bool { return a == rs.self.Address })
 	slices.SortStableFunc(order, func(a, b string) int { return cmp.Compare(rs.reservedUntil(now, a), rs.reservedUntil(now, b)) })
@@ -154,7 +158,7 @@
 	rs.sendPhaseTo(c, c.recipients)
 }
 
-// deliver sends the message of the present phase. A value goes once this disk has it.
+// sendPhaseTo sends the message of the present phase. A value is sent once it is on this server's disk.
 func (rs *Registers) sendPhaseTo(c *change, addresses []string) {
 	for _, address := range addresses {
 		send := transport.Send{To: address, Message: c.message}
@@ -166,7 +170,7 @@
 	}
 }
 
-// slow is until when the member at an address is kept in reserve.
+// reservedUntil returns the time until which the member at an address is kept in reserve.
 func (rs *Registers) reservedUntil(now float64, address string) float64 {
 	until := now
 	for m, at := range rs.slowUntil {
@@ -177,7 +181,7 @@
 	return until
 }
 
-// widen sends the message to the rest.
+// widen sends the message to the members in reserve.
 func (rs *Registers) widen(now float64, c *change) {
 	for _, m := range rs.view.All() {
 		if _, answered := c.votes[m]; !answered && slices.Contains(c.recipients, m.Address) {
@@ -188,9 +192,9 @@
 	c.recipients, c.reserve = slices.Concat(c.recipients, c.reserve), nil
 }
 
-// advance does what is due for a change: a member that does not answer is sent the same message again, and a ballot that was refused is
-// followed by a newer one. Slow answers still count: a ballot that is only slow is never given up for another, as that would ask for
-// the same work once more where there is too much of it already. The pauses grow, as often as either happens.
+// advance takes the steps of a change that are due: members that have not answered are sent the message again, and a ballot
+// that was rejected is followed by a newer one. Slow answers still count: a ballot that is only slow is never replaced, as a
+// new one would repeat the same work on servers that are already overloaded. The delays grow with each resend and each ballot.
 func (rs *Registers) advance(now float64, c *change) {
 	switch {
 	case now > c.startedAt+ChangeTimeout:
@@ -204,7 +208,8 @@
 	}
 }
 
-// resend sends the message again to those that have not answered: it was lost with a connection, or with a process.
+// resend sends the message again to members that have not answered: the message may have been lost with a connection or a
+// process.
 func (rs *Registers) resend(now float64, c *change) {
 	c.resends++
 	unanswered := slices.DeleteFunc(slices.Clone(c.recipients), func(address string) bool {
@@ -232,7 +237,7 @@
 	}
 }
 
-// Abort ends all changes under way: no quorum can be asked from here now.
+// Abort ends all changes in progress as Unsure, because no quorum can be reached from this server.
 func (rs *Registers) Abort(now float64) {
 	waiting := rs.waiting
 	rs.waiting = map[string][]*change{}
@@ -261,7 +266,7 @@
 	switch b := FromWire(p.Accepted); b.compare(c.newestAccepted) {
 	case 1:
 		c.newestAccepted, c.newestValue, c.newestAcceptedBy = b, p.Value, map[view.Member]bool{from: true}
-		if b == c.localAccepted { // it is not sent back
+		if b == c.localAccepted { // the member does not send back a value that this server holds
 			c.newestValue = c.localValue
 		}
 	case 0:
@@ -272,9 +277,9 @@
 	}
 }
 
-// heardNoPromise takes word that a member has promised a newer ballot than the one that is being prepared.
+// handlePrepareRejected handles the answer that a member has promised a newer ballot than the one being prepared.
 func (rs *Registers) handlePrepareRejected(now float64, from view.Member, c *change, newer Ballot) {
-	if newer.compare(c.ballot) < 0 { // of an older ballot of this change
+	if newer.compare(c.ballot) < 0 { // the answer is for an older ballot of this change
 		return
 	}
 	if newer.compare(c.supersededBy) > 0 {
@@ -313,7 +318,7 @@
 }
 
 func (rs *Registers) handleAcceptRejected(now float64, from view.Member, c *change, newer Ballot) {
-	if newer.compare(c.ballot) < 0 { // of an older ballot of this change
+	if newer.compare(c.ballot) < 0 { // the answer is for an older ballot of this change
 		return
 	}
 	if newer.compare(c.supersededBy) > 0 {
@@ -325,12 +330,12 @@
 	if !c.votes[from] {
 		c.votes[from] = false
 	}
-	if rs.quorumImpossible(c) && c.prepares < 2 { // somebody else's ballot is newer; the second try waits
+	if rs.quorumImpossible(c) && c.prepares < 2 { // a newer ballot won: retry at once the first time only
 		rs.prepare(now, c)
 	}
 }
 
-// refused says whether a quorum can no longer come together.
+// quorumImpossible reports whether so many members have rejected the ballot that no quorum can accept it.
 func (rs *Registers) quorumImpossible(c *change) bool {
 	return !rs.hasQuorum(c.key, func(m view.Member) bool {
 		yes, answered := c.votes[m]
--- a/internal/mesh/register/registers.go
+++ b/internal/mesh/register/registers.go
@@ -1,18 +1,21 @@
-// Package register keeps registers: one for each key, on the disks of the control servers. It is a replicated compare-and-set
-// register as CASPaxos describes: there is no log and no leader.
+// Package register implements replicated compare-and-set registers, one per key, stored on the disks of the control servers.
+// The protocol is CASPaxos: there is no log and no leader. Registers is the main type. It does no I/O: its owner passes in
+// messages and the time, and carries out the Effects that TakeEffects returns.
 //
-// A change of a register is a ballot: it is prepared at a quorum of the view, whose members promise to take nothing older and tell
-// what they hold; then the changed value is accepted by a quorum. The first half is left out where its result is known beforehand:
-// every key has a home, named by rendezvous hashing, to which all have promised the first ballot of an epoch, and a server that had
-// a value chosen is promised the next ballot.
+// A change of a register runs a ballot in two phases. In the prepare phase a quorum of the view promises to accept nothing
+// older and reports the values that it holds. In the accept phase a quorum accepts the changed value. The prepare phase is
+// skipped on the fast path, where its result is known beforehand: every key has a home server, chosen by rendezvous hashing, to
+// which all members have promised the first ballot of an epoch, and a server whose value was chosen has been promised the next
+// ballot.
 //
-// Ballots carry the epoch of the view whose quorums they were made for, and an acceptor takes part in the ballots of its own epoch
-// only. Between two stable views stands a joint one, whose quorums are majorities of the old and the new members, so what is
-// chosen in one epoch is seen by the ballots of the next. A joiner votes once it holds what was chosen before it came: see sync.go.
+// Ballots carry the epoch of the view whose quorums they use, and an acceptor only takes part in ballots of its own epoch.
+// Between two stable views there is a joint view, whose quorums are majorities of both the old and the new members, so ballots
+// of one epoch see what was chosen in the epoch before. A joiner votes once it holds everything that was chosen before it
+// joined, see sync.go.
 //
-// After a change of view, values may stand elsewhere that the home of a key has not seen. A server takes the short way for the first
-// ballot of a key once it knows which keys those are, see homed.go, or once the window, after which keys are forgotten, has passed
-// in that epoch.
+// After a change of the view, other members may hold values that the home of a key has not seen. A server takes the fast path
+// for the first ballot of a key once it knows which keys those are, see homed.go, or once the retention window of keys has
+// passed in that epoch.
 package register
 
 import (
@@ -30,38 +33,43 @@
 )
 
 const (
-	widenDelay             = 0.04 // seconds until the members in reserve are asked
-	slowPeriod             = 2.0  // seconds for which one that did not answer is kept in reserve
-	resendDelay            = 0.4  // seconds until who has not answered is sent a message again; twice as long after each time
-	conflictBackoff        = 0.03 // seconds, twice as long with each ballot, until one that was refused is followed by a newer one
-	ChangeTimeout          = 0.8  // seconds until a change is given up; no message of it is sent later
-	maxChanges             = 4096 // changes under way; more are turned away
-	lateThreshold          = 0.12 // seconds under way, beyond the ways there and back, after which a change is late: who asked for it asks elsewhere soon, or gives up
-	maxRoundTrip           = 0.12 // seconds that a way there and back counts for at most
-	roundTripGrowth        = 0.01 // a second: by so much of itself the least time that a change took grows again
-	maxLateShareForClaims  = 0.25 // of the changes under way: with more of them late no claim is begun
-	maxLateShareForSettles = 0.75 // and no end of a run is recorded
-	roundTripsPerChange    = 2    // of a change that is prepared
-	toleratedLateChanges   = 8    // late changes that say nothing yet: their keys may be fought over, or a member may have gone
-	sweepInterval          = 1.0  // seconds
-	// Ages are counted from when a server saw a value, and start anew with it, so they err to the side of keeping.
+	widenDelay      = 0.04 // seconds until the message of a phase is also sent to the members in reserve
+	slowPeriod      = 2.0  // seconds for which a member that did not answer is kept in reserve
+	resendDelay     = 0.4  // seconds until a message is resent to members that have not answered; doubles with each resend
+	conflictBackoff = 0.03 // seconds until a rejected ballot is followed by a newer one; doubles with each ballot
+	// ChangeTimeout is the time in seconds after which a change is given up. None of its messages is sent later.
+	ChangeTimeout = 0.8
+	maxChanges    = 4096 // changes in progress; further ones are rejected
+	// lateThreshold is the time in seconds, in addition to the round trips, after which a change is late. Its caller soon asks
+	// another server or gives up.
+	lateThreshold          = 0.12
+	maxRoundTrip           = 0.12 // upper bound in seconds of the round-trip time used to detect late changes
+	roundTripGrowth        = 0.01 // relative growth per second of the recorded minimum round-trip time
+	maxLateShareForClaims  = 0.25 // share of late changes above which no new claims are accepted
+	maxLateShareForSettles = 0.75 // share of late changes above which no settlements are accepted
+	roundTripsPerChange    = 2    // of a change with a prepare phase
+	// Up to this many late changes are no sign of overload: their keys may be contended, or a member may have failed.
+	toleratedLateChanges = 8
+	sweepInterval        = 1.0 // seconds
+	// windowSlack is added to the retention window, in seconds. A server measures the age of a value from when it received the
+	// value or restored it at a restart, so values are kept too long rather than too short.
 	windowSlack = 15.0
 )
 
-// permanentPrefix begins the names of registers that do not grow old: no key of an operation begins so.
+// permanentPrefix starts the names of registers that never expire. No key of an operation starts with it.
 const permanentPrefix = "\x00"
 
-// Permanent is the name of a register that is never forgotten.
+// Permanent returns the name of a register that never expires.
 func Permanent(name string) string { return permanentPrefix + name }
 
 func isPermanent(key string) bool { return strings.HasPrefix(key, permanentPrefix) }
 
-// ViewKey is the register that names the next view. What follows a joint view is decided by a majority of its old members alone: all
-// joint quorums contain one, so completing and abandoning a change exclude each other, and a joint view can be left for as long as a
-// majority of the old members is there, whoever of the new ones is lost.
+// ViewKey is the register that holds the next view. The successor of a joint view is decided by a majority of its old members
+// alone. Every joint quorum contains such a majority, so completing and abandoning a membership change exclude each other, and
+// a joint view can be left while a majority of the old members is available, whichever new members are lost.
 var ViewKey = Permanent("view")
 
-// quorum says whether some members are enough for a ballot of a register.
+// hasQuorum reports whether the members for which has returns true form a quorum for a ballot of a register.
 func (rs *Registers) hasQuorum(key string, has func(view.Member) bool) bool {
 	if key == ViewKey {
 		return rs.view.OldQuorum(has)
@@ -69,33 +77,34 @@
 	return rs.view.Quorum(has)
 }
 
-// Effects are what a state machine wants done. Sends go at once; Puts go to the disk, and After when they are synced there.
+// Effects are the actions that a state machine requests. Sends are sent at once, Puts are written to disk, and After is sent
+// once the Puts are synced.
 type Effects struct {
 	Sends []transport.Send
 	Puts  []store.Put
 	After []transport.Send
 }
 
-// entry is a register as this server's disk has it.
+// entry is the state of a register on this server's disk.
 type entry struct {
 	promised, accepted Ballot
 	value              *meshpb.Receipt
-	receivedAt         float64 // when it came here
-	position           uint64  // in the order of changes of this life
-	chosen             bool    // in this life, by this server's own ballot, which is the accepted one
+	receivedAt         float64 // when this server received the value
+	position           uint64  // in the order in which entries changed since the process started
+	chosen             bool    // the accepted value was chosen by this server's own ballot since the process started
 }
 
-// Registers is one server's part in all registers. Its methods take the time in seconds on a clock that never jumps.
+// Registers is one server's replica of all registers. Its methods take the time in seconds on a monotonic clock.
 type Registers struct {
 	Checks *invariant.Checks
 
 	self         view.Member
 	view         view.View
-	addresses    []string // of the view's members
-	node         uint32   // this server's number in the view, from 1; 0: it is no member
+	addresses    []string // addresses of the view's members
+	node         uint32   // this server's number in the view, from 1; 0: not a member
 	life         uint32
 	window       float64
-	fastPathFrom float64 // from then on what was chosen in earlier epochs is forgotten
+	fastPathFrom float64 // time from which values chosen in earlier epochs have expired everywhere
 	homedKeys    homedKeys
 	voting       bool
 
@@ -108,23 +117,24 @@
 	lastID       uint64
 	effects      Effects
 	nextSweep    float64
-	lateChanges  int     // changes that were late at the last tick
-	minRoundTrip float64 // seconds that a change took at least, of late: a way to a quorum and back; 0: not known
+	lateChanges  int     // number of late changes at the last tick
+	minRoundTrip float64 // recent minimum time in seconds for a round trip to a quorum; 0: unknown
 	lastTick     float64
 	slowUntil    map[view.Member]float64
 }
 
-// New makes the registers of a server. window is for how long a key's answer is kept, in seconds; life is drawn anew for each start
-// of the process, and is not 0.
+// New returns the registers of a server. window is the retention time of a key's answer in seconds. life is a random number
+// that differs for each start of the process, and is not 0.
 func New(self view.Member, life uint32, window float64) *Registers {
-	return &Registers{Checks: &invariant.Checks{}, self: self, life: life, window: window + windowSlack, lastID: uint64(life) << 32, entries: map[string]*entry{},
+	return &Registers{Checks: &invariant.Checks{}, self: self, life: life, window: window + windowSlack,
+		lastID: uint64(life) << 32, entries: map[string]*entry{},
 		changes: map[string]*change{}, changesByID: map[uint64]*change{}, waiting: map[string][]*change{},
 		slowUntil: map[view.Member]float64{}}
 }
 
-// SetView takes the view in force. fastFrom is the time from which the home of a key may leave out the first half of its first
-// ballot whatever the others hold: at once in the founding view, and after the window in any later one. Changes under way begin anew
-// in the new epoch.
+// SetView sets the view in force. fastPathFrom is the time from which the home of a key may skip the prepare phase of the key's
+// first ballot, whatever the other members hold: immediately in the founding view, and after the retention window in later
+// views. Changes in progress start again in the new epoch.
 func (rs *Registers) SetView(now float64, v view.View, fastPathFrom float64) {
 	if v.Epoch == rs.view.Epoch {
 		return
@@ -144,16 +154,17 @@
 	}
 }
 
-// FastPathDelay is how many seconds an epoch is old when first ballots may go without being prepared again.
+// FastPathDelay returns the age of an epoch in seconds from which first ballots may skip the prepare phase unconditionally.
 func (rs *Registers) FastPathDelay() float64 { return rs.window }
 
-// StartVoting lets this server take part: its disk holds all that it ever promised, and what was chosen before it came.
+// StartVoting lets this server vote. Its disk must hold every promise that it made and everything that was chosen before it
+// joined.
 func (rs *Registers) StartVoting() { rs.voting = rs.node > 0 }
 
-// Voting says whether this server takes part.
+// Voting reports whether this server votes.
 func (rs *Registers) Voting() bool { return rs.voting }
 
-// Reset forgets everything: the disk is another one from here on.
+// Reset deletes all registers and gives the server a new identity: from now on its disk counts as another one.
 func (rs *Registers) Reset(now float64, self view.Member) {
 	for key := range rs.entries {
 		rs.effects.Puts = append(rs.effects.Puts, store.Put{Name: valuePrefix + key})
@@ -167,7 +178,8 @@
 	rs.Abort(now)
 }
 
-// StateCounts counts the registers by the state of their value, and says how old the oldest claim is that nobody has settled.
+// StateCounts returns the number of registers by the state of their value, and the age in seconds of the oldest claim that has
+// not been settled.
 func (rs *Registers) StateCounts(now float64) (byState map[string]int, oldest float64) {
 	byState = map[string]int{}
 	for _, e := range rs.entries {
@@ -183,30 +195,33 @@
 	return byState, oldest
 }
 
-// Size is the number of registers held, and of changes under way.
+// Size returns the number of registers held and of changes in progress.
 func (rs *Registers) Size() (registers, changes int) { return len(rs.entries), len(rs.changes) }
 
-// TakeEffects gives what is to be done since the last call.
+// TakeEffects returns the effects requested since the last call.
 func (rs *Registers) TakeEffects() Effects {
 	effects := rs.effects
 	rs.effects = Effects{}
 	return effects
 }
 
-// HomeOrder is the order of the servers for a key's claims: the first is its home, the others follow where that one is silent.
+// HomeOrder returns the servers in the order in which they are asked for a key's claims. The first is the key's home, and the
+// others follow if it does not answer.
 func HomeOrder(key string, servers []string) []string { return rendezvous.Order(key, servers) }
 
-// home is the member that a key's claims go to first.
+// homeAddress returns the address of the key's home, the member to which its claims are sent first.
 func (rs *Registers) homeAddress(key string) string { return rendezvous.First(key, rs.addresses) }
 
-// isHome says whether this server is the home of a key in this epoch. A joint view has no homes: nobody goes the short way in it.
+// isHome reports whether this server is the home of a key in this epoch. A joint view has no homes, so no server takes the fast
+// path in it.
 func (rs *Registers) isHome(key string) bool {
 	return !rs.view.Joint() && rs.homeAddress(key) == rs.self.Address
 }
 
-// promised is what this server has promised for a key in this epoch, at least the first ballot to its home. Who holds a value of an
-// earlier epoch promises no first ballot: the home may not have seen that value, so it has to ask. What was chosen before is held by
-// at least one member of every quorum, so no first ballot that goes without being prepared replaces it.
+// promisedBallot returns the ballot that this server has promised for a key in this epoch, which is at least the first ballot,
+// promised to the key's home. A server that holds a value of an earlier epoch does not promise the first ballot: the home may
+// not have seen that value, so it has to prepare. At least one member of every quorum holds what was chosen before, so no first
+// ballot without a prepare phase can replace it.
 func (rs *Registers) promisedBallot(key string) Ballot {
 	e := rs.entries[key]
 	if e != nil && e.promised.Epoch == rs.view.Epoch {
@@ -224,7 +239,8 @@
 	return first
 }
 
-// LocalValue is what this disk has of a register, chosen or not.
+// LocalValue returns the value of a register on this server's disk, whether it was chosen or not, and the ballot at which it
+// was accepted.
 func (rs *Registers) LocalValue(name string) (value *meshpb.Receipt, accepted Ballot) {
 	if e := rs.entries[name]; e != nil {
 		return e.value, e.accepted
@@ -232,7 +248,8 @@
 	return nil, Ballot{}
 }
 
-// Tick goes on with what got no quorum yet, gives up what took too long, and forgets what is older than the window.
+// Tick advances changes that have no quorum yet, gives up those that exceeded ChangeTimeout, and deletes registers older than
+// the retention window.
 func (rs *Registers) Tick(now float64) {
 	rs.minRoundTrip *= 1 + roundTripGrowth*(now-rs.lastTick)
 	rs.lastTick = now
@@ -251,7 +268,7 @@
 	}
 }
 
-// overloaded says that more than a share of the changes get no answers in time: more of them would only make all of them later.
+// overloaded reports whether more than the given share of the changes is late. Further changes would only delay all of them.
 func (rs *Registers) overloaded(share float64) bool {
 	return len(rs.changes) >= maxChanges || rs.lateChanges > toleratedLateChanges && float64(rs.lateChanges) > share*float64(len(rs.changes))
 }
--- a/internal/mesh/register/sync.go
+++ b/internal/mesh/register/sync.go
@@ -11,16 +11,22 @@
 	"beechwing/internal/mesh/meshpb"
 )
 
-// A server that joins reads what the others hold, page by page, in the order in which their entries changed. What changed after a
-// page was read comes in a later one, so a second pass costs what changed since the first, and catching up costs what is live and
-// not what has happened. Each member sends the values of a part of the registers, and of the others only which ballot was accepted: what
-// the joiner then lacks it asks for by key, so most values come once. Once it has read, from a quorum of the old members that go by the joint view, everything up to the moment
-// at which they took that view, it holds whatever was chosen before: none of them takes part in older ballots any more.
-
-// pageBytes bounds one page: what a member has to do for one, and what waits behind it on its link, is no more than that.
+// A server that joins reads the registers of the members page by page, in the order in which their entries changed. An entry
+// that changes after its page was read appears in a later page, so a second pass costs only what changed since the first, and
+// the cost of catching up depends on the live entries and not on the history.
+//
+// Each member sends the values of one part of the registers. Of the others it sends only the ballot that was accepted, and the
+// joiner requests the values that it lacks by key, so most values are sent once.
+//
+// The joiner needs, from a quorum of the old members that use the joint view, everything up to the moment at which they adopted
+// that view. Then it holds whatever was chosen before, as none of those members takes part in older ballots any more.
+
+// maxPageBytes is the size at which a page ends. It bounds the work of a member for one request, and the delay of other
+// messages on the same connection.
 const maxPageBytes = 64 << 10
 
-// changeOrder has the keys of entries in the order in which they changed. A key that has changed again stands in it again.
+// changeOrder lists the keys of entries in the order in which the entries changed. A key that changes again is listed again at
+// the end.
 type changeOrder struct {
 	changes []keyChange
 }
@@ -30,20 +36,21 @@
 	key      string
 }
 
-// sparseOrder is how many places the order has beyond twice the entries before those that count no more are taken out.
+// compactionSlack is the number of outdated positions, beyond twice the number of entries, that the order may hold before it is
+// compacted.
 const compactionSlack = 1024
 
 func (o *changeOrder) add(position uint64, key string) {
 	o.changes = append(o.changes, keyChange{position, key})
 }
 
-// after gives the changes behind a position.
+// after returns the changes after a position.
 func (o *changeOrder) after(position uint64) []keyChange {
 	at, _ := slices.BinarySearchFunc(o.changes, position+1, func(c keyChange, p uint64) int { return cmp.Compare(c.position, p) })
 	return o.changes[at:]
 }
 
-// compact takes out what counts no more, once that is most of it: the cost is shared by as many changes.
+// compact removes outdated positions once they are the majority, so that its cost is amortized over as many changes.
 func (o *changeOrder) compact(entries map[string]*entry) {
 	if len(o.changes) <= 2*len(entries)+compactionSlack {
 		return
@@ -51,16 +58,16 @@
 	o.changes = slices.DeleteFunc(o.changes, func(c keyChange) bool { return !c.isCurrent(entries) })
 }
 
-// counts says that the key has not changed since.
+// isCurrent reports whether the key has not changed again since c.
 func (c keyChange) isCurrent(entries map[string]*entry) bool {
 	e := entries[c.key]
 	return e != nil && e.position == c.position
 }
 
-// Part is one of some equal parts of all registers, by their keys. The zero Part is all of them.
+// Part is one of Of equal parts of all registers, divided by the hash of the key. The zero Part contains all registers.
 type Part struct{ Index, Of uint32 }
 
-// has says whether a register belongs to the part. What is permanent belongs to each.
+// has reports whether a register belongs to the part. Permanent registers belong to every part.
 func (p Part) has(key string) bool {
 	if p.Of <= 1 || isPermanent(key) {
 		return true
@@ -70,12 +77,13 @@
 	return h.Sum32()%p.Of == p.Index
 }
 
-// Page gives the entries that changed after a position, oldest first; last says that these are all. It costs what it gives.
+// Page returns the entries that changed after a position, oldest first. position is where the next page starts, and last
+// reports whether no further page follows. The cost is proportional to the entries returned.
 func (rs *Registers) Page(after uint64) (page []*meshpb.Entry, position uint64, last bool) {
 	return rs.PartialPage(after, Part{})
 }
 
-// PartialPage is Page with the values of a part only.
+// PartialPage is like Page, but leaves out the values of registers outside the given part.
 func (rs *Registers) PartialPage(after uint64, part Part) (page []*meshpb.Entry, position uint64, last bool) {
 	size := 0
 	for _, c := range rs.entryOrder.after(after) {
@@ -94,7 +102,7 @@
 	return page, rs.position, true
 }
 
-// EntriesOf gives the registers of some keys, as many of the first as make a page. Of a key that is not held the entry is empty.
+// EntriesOf returns the registers of some keys, up to the size of a page. The entry of a key that is not held is empty.
 func (rs *Registers) EntriesOf(keys []string) (page []*meshpb.Entry) {
 	size := 0
 	for _, key := range keys {
@@ -110,8 +118,8 @@
 	return page
 }
 
-// Merge takes a page of another server's. Of each register the newest accepted value holds. It gives the keys that were told without their
-// value and are newer there than here, with the ballots at which they were accepted.
+// Merge merges a page of another server into the registers, keeping the newest accepted value of each. It returns the keys that
+// came without a value and are newer there than here, with the ballots at which they were accepted.
 func (rs *Registers) Merge(now float64, page []*meshpb.Entry) (missing map[string]Ballot) {
 	for _, w := range page {
 		if accepted := FromWire(w.Accepted); w.Value == nil && accepted != (Ballot{}) {
@@ -128,18 +136,18 @@
 	return missing
 }
 
-// Lacks says whether what was accepted at a ballot is newer than what this server holds of a register.
+// Lacks reports whether the given ballot is newer than the one that this server has accepted for a register.
 func (rs *Registers) Lacks(key string, accepted Ballot) bool {
 	e := rs.entries[key]
 	return e == nil || e.accepted.compare(accepted) < 0
 }
 
-// merge takes one entry. What brings nothing new costs no write: the members tell mostly the same.
+// merge merges one entry. An entry without news causes no write, as the members mostly send the same entries.
 func (rs *Registers) merge(now float64, w *meshpb.Entry) {
 	promised, accepted := FromWire(w.Promised), FromWire(w.Accepted)
 	e := rs.entries[w.Key]
 	switch {
-	case e == nil && promised == (Ballot{}) && accepted == (Ballot{}): // it is not held there
+	case e == nil && promised == (Ballot{}) && accepted == (Ballot{}): // the other server does not hold the register
 		return
 	case e == nil:
 		e = &entry{receivedAt: now}
