--- a/internal/mesh/packed/packed.go
+++ b/internal/mesh/packed/packed.go
@@ -1,5 +1,5 @@
-// Package packed makes large texts small for the way and the disk. A packed text is gzip's, and told from a plain one by its first bytes,
-// with which no configuration begins.
+// Package packed compresses large texts, such as configurations, for transfer and storage. A packed text is in gzip format and
+// is recognized by the first bytes of that format, with which no configuration starts.
 package packed
 
 import (
@@ -11,15 +11,15 @@
 )
 
 const (
-	least = 4 << 10  // bytes of a text that is worth it
-	most  = 64 << 20 // bytes of a text when it is unpacked: what claims to be more is spoilt
+	minPackedSize   = 4 << 10  // smallest text in bytes that is compressed
+	maxUnpackedSize = 64 << 20 // largest text in bytes after decompression: a larger one is treated as corrupt
 )
 
 var magic = []byte{0x1f, 0x8b}
 
-// Pack gives a text as it is kept and sent: a small one, or one that does not get smaller, as it is.
+// Pack returns a text as it is stored and sent. A small text, or one that does not get smaller, is returned unchanged.
 func Pack(text []byte) []byte {
-	if len(text) < least {
+	if len(text) < minPackedSize {
 		return text
 	}
 	var out bytes.Buffer
@@ -36,18 +36,18 @@
 	return out.Bytes()
 }
 
-// Unpack gives the text that was packed. A plain text is given as it is.
+// Unpack returns the original of a packed text. A plain text is returned unchanged.
 func Unpack(text []byte) ([]byte, error) {
 	if !bytes.HasPrefix(text, magic) {
 		return text, nil
 	}
 	r, err := gzip.NewReader(bytes.NewReader(text))
 	if err != nil {
-		return nil, errors.Wrap(err, "packed text")
+		return nil, errors.Wrap(err, "decompress packed text")
 	}
-	plain, err := io.ReadAll(io.LimitReader(r, most+1))
-	if err == nil && len(plain) > most {
-		err = errors.Newf("more than %d bytes", most)
+	plain, err := io.ReadAll(io.LimitReader(r, maxUnpackedSize+1))
+	if err == nil && len(plain) > maxUnpackedSize {
+		err = errors.Newf("decompressed size exceeds %d bytes", maxUnpackedSize)
 	}
-	return plain, errors.Wrap(err, "packed text")
+	return plain, errors.Wrap(err, "decompress packed text")
 }
--- a/internal/mesh/random/random.go
+++ b/internal/mesh/random/random.go
@@ -1,19 +1,19 @@
-// Package random draws numbers from a seed, so that a run can be replayed: the generator is splitmix64.
+// Package random generates pseudo-random numbers from a seed with splitmix64, so that a run can be replayed.
 package random
 
-// step is what the state grows by with each number.
-const step = 0x9e3779b97f4a7c15
+// increment is added to the state for each number.
+const increment = 0x9e3779b97f4a7c15
 
-// Source draws the numbers that its first value, the seed, begins.
+// Source is a generator. Its initial value is the seed.
 type Source uint64
 
-// Next is the next number.
+// Next returns the next number.
 func (s *Source) Next() uint64 {
-	*s += step
+	*s += increment
 	return Mix(uint64(*s))
 }
 
-// Mix spreads the bits of a number over all of them.
+// Mix returns a hash of x in which every bit depends on all bits of x.
 func Mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/mesh/rendezvous/rendezvous.go
+++ b/internal/mesh/rendezvous/rendezvous.go
@@ -1,5 +1,5 @@
-// Package rendezvous ranks nodes by rendezvous hashing (highest random weight). All processes that know the same nodes compute the
-// same order without communication, and a node that leaves changes only the assignments that it was part of.
+// Package rendezvous ranks nodes by rendezvous hashing (highest random weight). All processes that know the same nodes compute
+// the same order without communication, and a node that leaves changes only the assignments that it was part of.
 package rendezvous
 
 import (
@@ -7,43 +7,43 @@
 	"slices"
 )
 
-// The constants of FNV-1a with 64 bits. It is written out as hash/fnv allocates for each hash.
+// The constants of 64-bit FNV-1a. The hash is implemented here because hash/fnv allocates memory for each hash.
 const (
 	fnvOffset = 0xcbf29ce484222325
 	fnvPrime  = 0x100000001b3
 )
 
-// addTo goes on with a hash by the bytes of a text.
-func addTo(hash uint64, text string) uint64 {
+// extendHash continues a hash with the bytes of a text.
+func extendHash(hash uint64, text string) uint64 {
 	for i := range len(text) {
 		hash = (hash ^ uint64(text[i])) * fnvPrime
 	}
 	return hash
 }
 
-// Hash is the hash of a name, for rankings of many keys: it need not be worked out for each.
-func Hash(name string) uint64 { return addTo(fnvOffset, name) }
+// Hash returns the hash of a name. Callers that rank names for many keys compute it once per name.
+func Hash(name string) uint64 { return extendHash(fnvOffset, name) }
 
-// ofKey is the part of a score that all names share: the hash of the key and a zero byte.
-func ofKey(key string) uint64 { return addTo(fnvOffset, key) * fnvPrime }
+// keyHash returns the part of a score that is the same for all names: the hash of the key followed by a zero byte.
+func keyHash(key string) uint64 { return extendHash(fnvOffset, key) * fnvPrime }
 
-// score is the weight of a name for a key.
-func score(key uint64, name string) uint64 {
-	x := addTo(key, name)
-	x ^= x >> 33 // FNV leaves the high bits of names that differ at their ends alike
-	x *= 0xff51afd7ed558ccd
-	x ^= x >> 33
-	return x
+// score returns the weight of a name for a key.
+func score(keyHash uint64, name string) uint64 {
+	hash := extendHash(keyHash, name)
+	hash ^= hash >> 33 // FNV leaves the high bits equal if names differ only at their ends
+	hash *= 0xff51afd7ed558ccd
+	hash ^= hash >> 33
+	return hash
 }
 
-// Order ranks names for a key, by descending score.
+// Order returns the names ranked for a key, by descending score.
 func Order(key string, names []string) []string {
 	type scored struct {
 		name  string
 		score uint64
 	}
 	all := make([]scored, len(names))
-	hash := ofKey(key)
+	hash := keyHash(key)
 	for i, name := range names {
 		all[i] = scored{name, score(hash, name)}
 	}
@@ -55,20 +55,20 @@
 	return order
 }
 
-// First is the first of Order, without ranking the others; empty where there are no names.
+// First returns the first name of Order without ranking the others, or an empty string if there are no names.
 func First(key string, names []string) (first string) {
-	hash, best := ofKey(key), uint64(0)
+	hash, best := keyHash(key), uint64(0)
 	for i, name := range names {
-		if x := score(hash, name); i == 0 || x > best || x == best && name < first {
-			first, best = name, x
+		if nodeScore := score(hash, name); i == 0 || nodeScore > best || nodeScore == best && name < first {
+			first, best = name, nodeScore
 		}
 	}
 	return first
 }
 
-// Watched is the set of at most so many others that a node watches.
-func Watched(self string, all []string, most int) []string {
+// Watched returns up to limit other nodes that a node watches.
+func Watched(self string, all []string, limit int) []string {
 	others := slices.DeleteFunc(slices.Clone(all), func(name string) bool { return name == self })
 	order := Order(self, others)
-	return order[:min(most, len(order))]
+	return order[:min(limit, len(order))]
 }
--- a/internal/mesh/rendezvous/rendezvous_test.go
+++ b/internal/mesh/rendezvous/rendezvous_test.go
@@ -14,17 +14,17 @@
 	return all
 }
 
-// Names that differ only at their ends share the keys about evenly, in whatever order they are listed.
+// Names that differ only at their ends get about equal shares of the keys, in whatever order they are listed.
 func TestOrderIsEvenAndAgreed(t *testing.T) {
 	all := names(5)
-	turned := slices.Clone(all)
-	slices.Reverse(turned)
+	reversed := slices.Clone(all)
+	slices.Reverse(reversed)
 	first := map[string]int{}
 	for i := range 5000 {
 		key := fmt.Sprintf("k-%d", i)
 		order := Order(key, all)
-		if !slices.Equal(order, Order(key, turned)) {
-			t.Fatal("the order of the list matters")
+		if !slices.Equal(order, Order(key, reversed)) {
+			t.Fatal("the result depends on the order of the list")
 		}
 		first[order[0]]++
 	}
@@ -39,25 +39,26 @@
 func TestWatchedChangesLittle(t *testing.T) {
 	all := names(40)
 	gone := all[7]
-	left := slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n == gone })
-	for _, self := range left {
-		before, after := Watched(self, all, 3), Watched(self, left, 3)
+	remaining := slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n == gone })
+	for _, self := range remaining {
+		before, after := Watched(self, all, 3), Watched(self, remaining, 3)
 		if len(before) != 3 || slices.Contains(before, self) {
 			t.Fatalf("%s watches %v", self, before)
 		}
 		if !slices.Contains(before, gone) && !slices.Equal(before, after) {
-			t.Errorf("%s: %v to %v, though %s was none of them", self, before, after, gone)
+			t.Errorf("%s: the set changed from %v to %v although %s was not in it", self, before, after, gone)
 		}
 	}
 }
 
-// The scores are those of FNV-1a, mixed: processes of other versions compute the same, and First is the first of Order.
+// The scores are those of FNV-1a with a finalizer, so processes of other versions compute the same ones. First returns the
+// first name of Order.
 func TestScoresStay(t *testing.T) {
 	for i := range 200 {
 		key, all := fmt.Sprintf("key %d", i), names(1+i%9)
 		order := Order(key, all)
 		if first := First(key, all); first != order[0] {
-			t.Fatalf("first is %s of %v", first, order)
+			t.Fatalf("First returns %s, Order %v", first, order)
 		}
 		for _, name := range all {
 			h := fnv.New64a()
@@ -66,12 +67,12 @@
 			x ^= x >> 33
 			x *= 0xff51afd7ed558ccd
 			x ^= x >> 33
-			if got := score(ofKey(key), name); got != x {
-				t.Fatalf("%s, %s: %x for %x", key, name, got, x)
+			if got := score(keyHash(key), name); got != x {
+				t.Fatalf("score of key %s, name %s: %x, want %x", key, name, got, x)
 			}
 		}
 	}
 	if First("key", nil) != "" {
-		t.Error("the first of nobody")
+		t.Error("First of no names is not empty")
 	}
 }
--- a/internal/mesh/throttle/throttle_test.go
+++ b/internal/mesh/throttle/throttle_test.go
@@ -5,51 +5,51 @@
 	"testing"
 )
 
-// play has a caller ask at a rate for some seconds; the service answers the share of what goes out that answer says. It returns how
-// many were asked for and how many went out.
-func play(t *Throttle, random *rand.Rand, from, seconds, rate, answer float64) (asked, sent int) {
+// simulate makes a caller send requests at a rate for some seconds. The service answers successShare of the requests sent. It
+// returns the number of requests offered and the number sent.
+func simulate(t *Throttle, random *rand.Rand, from, seconds, rate, successShare float64) (offered, sent int) {
 	for i := range int(seconds * rate) {
 		now := from + float64(i)/rate
-		asked++
+		offered++
 		if !t.Allow(now, random.Float64()) {
 			continue
 		}
 		sent++
-		if random.Float64() < answer {
+		if random.Float64() < successShare {
 			t.Accepted(now)
 		} else {
 			t.Failed(now)
 		}
 	}
-	return asked, sent
+	return offered, sent
 }
 
-// What goes out follows what is answered: all of it while most is, a bounded multiple where little is, a trickle where nothing is, and
-// all of it again soon after the service is back.
+// The requests sent follow the answers: all are sent while most are answered, a bounded multiple if few are, a trickle if none
+// are, and all of them again soon after the service has recovered.
 func TestSendsFollowAnswers(t *testing.T) {
 	for _, rate := range []float64{8, 100, 1000} {
 		random := rand.New(rand.NewPCG(1, uint64(rate)))
 		throttle := &Throttle{}
-		if asked, sent := play(throttle, random, 1, 10, rate, 0.8); sent < asked {
-			t.Errorf("rate %v: %d of %d go out though most are answered", rate, sent, asked)
+		if offered, sent := simulate(throttle, random, 1, 10, rate, 0.8); sent < offered {
+			t.Errorf("rate %v: %d of %d requests sent although most are answered", rate, sent, offered)
 		}
-		asked, sent := play(throttle, random, 11, 10, rate, 0)
-		if most := int(2*rate*multiplier) + 10*spare*3; sent > most {
-			t.Errorf("rate %v: %d of %d go out in 10 s without an answer, at most %d", rate, sent, asked, most)
+		offered, sent := simulate(throttle, random, 11, 10, rate, 0)
+		if limit := int(2*rate*multiplier) + 10*minRequests*3; sent > limit {
+			t.Errorf("rate %v: %d of %d requests sent in 10 s without an answer, want at most %d", rate, sent, offered, limit)
 		}
-		play(throttle, random, 21, 4, rate, 1)
-		if asked, sent := play(throttle, random, 25, 4, rate, 1); float64(sent) < 0.9*float64(asked) {
-			t.Errorf("rate %v: %d of %d go out from 4 s after the service is back", rate, sent, asked)
+		simulate(throttle, random, 21, 4, rate, 1)
+		if offered, sent := simulate(throttle, random, 25, 4, rate, 1); float64(sent) < 0.9*float64(offered) {
+			t.Errorf("rate %v: %d of %d requests sent from 4 s after the service recovered", rate, sent, offered)
 		}
 	}
 }
 
-// A burst after a quiet time is not turned away for want of answers that are still on their way.
+// A burst after an idle time is not rejected while its answers are still in transit.
 func TestBurstGoesOut(t *testing.T) {
 	throttle := &Throttle{}
 	for i := range 200 {
 		if !throttle.Allow(100, 0) {
-			t.Fatalf("request %d of a burst is turned away", i)
+			t.Fatalf("request %d of a burst is rejected", i)
 		}
 	}
 	for range 100 { // half of them fail
@@ -57,16 +57,16 @@
 		throttle.Accepted(100.2)
 	}
 	if !throttle.Allow(100.2, 0) {
-		t.Error("a request is turned away though half are answered")
+		t.Error("a request is rejected although half are answered")
 	}
 }
 
-// A caller that has been quiet, or has few requests, is not turned away.
+// A caller that has been idle, or sends few requests, is not throttled.
 func TestFewRequestsGoOut(t *testing.T) {
 	throttle := &Throttle{}
 	for i := range 20 {
 		if !throttle.Allow(float64(i), 0) {
-			t.Fatalf("request %d of one a second is turned away", i)
+			t.Fatalf("request %d at one request per second is rejected", i)
 		}
 		throttle.Failed(float64(i))
 	}
