--- a/internal/mesh/control/configuration.go
+++ b/internal/mesh/control/configuration.go
@@ -213,7 +213,7 @@
 	if chosen.GetVersion() <= c.chosenVersion() {
 		return
 	}
-	s.checks.Check(invariant.ConfigurationRises, chosen.GetVersion() > c.chosenVersion(), "from", c.chosenVersion(), "to", chosen.GetVersion())
+	s.checks.Check(invariant.ConfigurationMonotonic, chosen.GetVersion() > c.chosenVersion(), "from", c.chosenVersion(), "to", chosen.GetVersion())
 	c.setChosen(chosen)
 	c.fetches = 0
 	c.known = max(c.known, chosen.Version)
--- a/internal/mesh/control/ejection.go
+++ b/internal/mesh/control/ejection.go
@@ -50,7 +50,7 @@
 	}
 	all := make([]ejection.Observation, 0, len(observations))
 	for _, w := range observations {
-		all = append(all, ejection.Observation{Station: w.Station, Good: int(w.Good), Bad: int(w.Bad)})
+		all = append(all, ejection.Observation{Host: w.Station, Good: int(w.Good), Bad: int(w.Bad)})
 	}
 	s.ejections.votes.Record(now, observer, all)
 	if tell {
@@ -172,7 +172,7 @@
 	for _, r := range w.Ejections {
 		entry := unwire(now, r)
 		entry.Until = min(entry.Until, now)
-		if at := slices.IndexFunc(b.entries, func(k ejection.Ejection) bool { return k.Station == r.Station }); at >= 0 {
+		if at := slices.IndexFunc(b.entries, func(k ejection.Ejection) bool { return k.Host == r.Station }); at >= 0 {
 			entry.Until = b.entries[at].Until
 		}
 		entries = append(entries, entry)
@@ -189,7 +189,7 @@
 	b.version, b.entries = version, entries
 	s.propagation.changed, s.propagation.digestAt = true, 0
 	for _, r := range entries {
-		s.o.Log("ejection", "carrier", carrier, "station", r.Station, "out", r.InForce(now), "count", r.Count, "by", r.By, "why", r.Why,
+		s.o.Log("ejection", "carrier", carrier, "station", r.Host, "out", r.InForce(now), "count", r.Count, "by", r.By, "why", r.Why,
 			"against", r.Against, "observers", r.Observers)
 	}
 	s.wake(now)
@@ -215,7 +215,7 @@
 func wire(now float64, carrier string, version uint64, entries []ejection.Ejection) *meshpb.EjectionList {
 	w := &meshpb.EjectionList{Carrier: carrier, Version: version}
 	for _, r := range entries {
-		w.Ejections = append(w.Ejections, &meshpb.Ejection{Station: r.Station, LeftMs: uint32(max(0, r.Until-now) * 1000),
+		w.Ejections = append(w.Ejections, &meshpb.Ejection{Station: r.Host, LeftMs: uint32(max(0, r.Until-now) * 1000),
 			EndedMs: uint32(min(1e6, max(0, now-r.Until)) * 1000), Count: uint32(r.Count), Hand: r.Manual, By: r.By, Why: r.Why,
 			Against: uint32(r.Against), Witnesses: uint32(r.Observers)})
 	}
@@ -227,7 +227,7 @@
 	if r.LeftMs == 0 {
 		until = now - float64(r.EndedMs)/1000
 	}
-	return ejection.Ejection{Station: r.Station, Until: until, Count: int(r.Count), Manual: r.Hand, By: r.By, Why: r.Why,
+	return ejection.Ejection{Host: r.Station, Until: until, Count: int(r.Count), Manual: r.Hand, By: r.By, Why: r.Why,
 		Against: int(r.Against), Observers: int(r.Witnesses)}
 }
 
@@ -260,7 +260,7 @@
 	}
 	if carrier == "" {
 		for name, b := range s.ejections.lists { // one that is gone can be called back
-			if slices.ContainsFunc(b.entries, func(r ejection.Ejection) bool { return r.Station == station }) {
+			if slices.ContainsFunc(b.entries, func(r ejection.Ejection) bool { return r.Host == station }) {
 				carrier = name
 			}
 		}
@@ -271,7 +271,7 @@
 	}
 	var refused error
 	s.changeEjections(now, carrier, func(held []ejection.Ejection) ([]ejection.Ejection, bool) {
-		next, err := ejection.Order(now, s.hostsOf(carrier), held, station, out, force, by, why)
+		next, err := ejection.ApplyOrder(now, s.hostsOf(carrier), held, station, out, force, by, why)
 		refused = err
 		return next, err == nil
 	}, func(ok bool) {
--- a/internal/mesh/control/membership.go
+++ b/internal/mesh/control/membership.go
@@ -152,7 +152,7 @@
 	member := slices.Contains(s.view().Members, s.self)
 	if member || joiner == s.self && s.catchup.syncedEpoch == s.view().Epoch {
 		synced := s.membership.restoring || s.view().Epoch == 1 || s.catchup.syncedEpoch+1 >= s.view().Epoch
-		s.checks.Check(invariant.JoinerHolds, synced, "epoch", s.view().Epoch, "synced", s.catchup.syncedEpoch)
+		s.checks.Check(invariant.JoinerCaughtUp, synced, "epoch", s.view().Epoch, "synced", s.catchup.syncedEpoch)
 		s.registers.StartVoting()
 		s.o.Log("voting", "epoch", s.view().Epoch)
 	}
--- a/internal/mesh/control/server.go
+++ b/internal/mesh/control/server.go
@@ -79,7 +79,7 @@
 	if s.self.Incarnation == 0 {
 		s.drawIncarnation()
 	}
-	s.checks.Violated = func(name invariant.Name, args ...any) {
+	s.checks.OnViolation = func(name invariant.Name, args ...any) {
 		s.o.Log(EventViolation, append([]any{"invariant", string(name)}, args...)...)
 	}
 	s.registers = register.New(s.self, o.Life, o.Window)
--- a/internal/mesh/ejection/ejection.go
+++ b/internal/mesh/ejection/ejection.go
@@ -1,8 +1,10 @@
-// Package ejection is outlier ejection by vote: a proxy leaves a host out for requests that must not run twice only once a majority
-// of the proxies that sent to the host agree that it fails, so that one proxy's bad moment does not empty a healthy host.
+// Package ejection implements outlier ejection by majority vote. A proxy stops sending requests that must not run twice to a
+// host once a majority of the proxies that sent to the host agree that it fails. One proxy's temporary problem thus does not
+// take traffic away from a healthy host.
 //
-// A Tally counts the outcomes that one proxy has seen lately. Votes collects the observations of all proxies and decides on a
-// service's ejection list: which hosts are out, until when, and why. Neither does I/O; times are seconds on a monotonic clock.
+// A Tally counts the outcomes that one proxy has seen recently. Votes collects the observations of all proxies and decides on a
+// service's ejection list: which hosts are ejected, until when, and why. Neither does I/O. Times are seconds on a monotonic
+// clock.
 package ejection
 
 import (
@@ -14,273 +16,275 @@
 )
 
 const (
-	window           = 2.0  // seconds over which a tally counts
-	slots            = 4    // into which the window is divided
-	minFailures      = 2    // with fewer a host does not fail for a proxy
-	failureShare     = 0.4  // of a host's outcomes, from which on it fails for a proxy
-	ownPathShare     = 0.5  // of the hosts sent to: if more fail, the proxy's own network path is at fault
-	ownPathHosts     = 3    // hosts sent to, at least, for that
-	observationFor   = 2.5  // seconds for which an observation counts
-	minVotes         = 2    // votes against a host: one alone never suffices
-	baseTime         = 3.0  // seconds of a first ejection without new evidence
-	maxTime          = 24.0 // repeated ejections last longer, up to this
-	forgetAfter      = 60.0 // seconds after which an ejection counts as a first one again
-	hostsPerEjection = 3    // one in so many hosts of a service may be out by vote, and one of two
+	windowSeconds    = 2.0  // sliding window of a tally, in seconds
+	windowSlots      = 4    // number of slots of the window
+	minFailures      = 2    // with fewer failures a host does not count as failing for a proxy
+	failureShare     = 0.4  // share of failed outcomes from which on a host fails for a proxy
+	ownPathShare     = 0.5  // if more than this share of the hosts fails, the proxy's own network path is at fault
+	ownPathMinHosts  = 3    // minimum number of hosts for that conclusion
+	observationTTL   = 2.5  // seconds for which an observation is valid
+	minVotes         = 2    // minimum votes against a host: a single one never suffices
+	baseEjectionTime = 3.0  // duration in seconds of a first ejection without new evidence
+	maxEjectionTime  = 24.0 // upper bound in seconds for repeated ejections, which last longer each time
+	countResetAfter  = 60.0 // seconds after the end of an ejection until the next one counts as a first one
+	hostsPerEjection = 3    // one in so many hosts of a service may be ejected by vote, and one of two
 	maxHosts         = 4096
-	maxObservers     = 256  // of one host
-	maxEjections     = 256  // of one service
-	hopSlack         = 0.05 // seconds by which each process that is told of an ejection takes it as shorter
+	maxObservers     = 256  // limit per host
+	maxEjections     = 256  // limit per service
+	hopSlack         = 0.05 // seconds by which every process that receives an ejection shortens it
 )
 
-// Until is the local time at which an ejection ends that has so many milliseconds left by a message.
+// Until returns the local time at which an ejection ends that has leftMs milliseconds left according to a message.
 func Until(now float64, leftMs uint32) float64 { return now + max(0, float64(leftMs)/1000-hopSlack) }
 
 // Observation is the outcomes of one host in the window of one proxy.
 type Observation struct {
-	Station   string
+	Host      string
 	Good, Bad int
 }
 
-// count is the sliding window of one host's outcomes.
-type count struct {
-	good, bad [slots]int
+// outcomeWindow is the sliding window of one host's outcomes.
+type outcomeWindow struct {
+	good, bad [windowSlots]int
 	slot      int64
 }
 
-// advance moves the window to now.
-func (c *count) advance(now float64) {
-	at := int64(now / (window / slots))
-	for ; c.slot < at; c.slot++ {
-		if at-c.slot > slots {
-			c.slot = at - slots
+// advance moves the window to the given time.
+func (w *outcomeWindow) advance(now float64) {
+	current := int64(now / (windowSeconds / windowSlots))
+	for ; w.slot < current; w.slot++ {
+		if current-w.slot > windowSlots {
+			w.slot = current - windowSlots
 		}
-		c.good[(c.slot+1)%slots], c.bad[(c.slot+1)%slots] = 0, 0
+		w.good[(w.slot+1)%windowSlots], w.bad[(w.slot+1)%windowSlots] = 0, 0
 	}
 }
 
-func (c *count) sum() (good, bad int) {
-	for i := range slots {
-		good, bad = good+c.good[i], bad+c.bad[i]
+func (w *outcomeWindow) sum() (good, bad int) {
+	for i := range windowSlots {
+		good, bad = good+w.good[i], bad+w.bad[i]
 	}
 	return good, bad
 }
 
-// fails reports whether a host with such outcomes fails for a proxy.
+// fails reports whether a host with such outcomes counts as failing for a proxy.
 func fails(good, bad int) bool {
 	return bad >= minFailures && float64(bad) >= failureShare*float64(good+bad)
 }
 
-// Tally counts the outcomes that one proxy has seen in the last two seconds, by host.
-type Tally struct{ hosts map[string]*count }
+// Tally counts the outcomes that one proxy has seen in the last windowSeconds, by host.
+type Tally struct{ hosts map[string]*outcomeWindow }
 
-// Record counts an outcome, and reports whether with it the host begins to fail for this proxy.
-func (t *Tally) Record(now float64, station string, bad bool) (begins bool) {
-	c := t.hosts[station]
-	if c == nil {
+// Record counts an outcome, and reports whether the host starts to fail for this proxy with it.
+func (t *Tally) Record(now float64, host string, bad bool) (startsFailing bool) {
+	w := t.hosts[host]
+	if w == nil {
 		if t.hosts == nil {
-			t.hosts = map[string]*count{}
+			t.hosts = map[string]*outcomeWindow{}
 		}
 		if len(t.hosts) >= maxHosts {
 			return false
 		}
-		c = &count{}
-		t.hosts[station] = c
+		w = &outcomeWindow{}
+		t.hosts[host] = w
 	}
-	c.advance(now)
-	was := fails(c.sum())
+	w.advance(now)
+	wasFailing := fails(w.sum())
 	if bad {
-		c.bad[c.slot%slots]++
+		w.bad[w.slot%windowSlots]++
 	} else {
-		c.good[c.slot%slots]++
+		w.good[w.slot%windowSlots]++
 	}
-	return bad && !was && fails(c.sum())
+	return bad && !wasFailing && fails(w.sum())
 }
 
-// Observations are those of the hosts that fail for this proxy, and of those that it is asked about. A proxy for which many hosts fail
-// reports none, as its own network path is at fault.
+// Observations returns the observations of the hosts that fail for this proxy and of those that it is asked about. A proxy for
+// which many hosts fail returns none, as its own network path is at fault.
 func (t *Tally) Observations(now float64, asked []string) (all []Observation) {
-	hosts, failing := 0, 0
-	for _, station := range slices.Sorted(maps.Keys(t.hosts)) {
-		c := t.hosts[station]
-		c.advance(now)
-		good, bad := c.sum()
+	hosts, failingHosts := 0, 0
+	for _, host := range slices.Sorted(maps.Keys(t.hosts)) {
+		w := t.hosts[host]
+		w.advance(now)
+		good, bad := w.sum()
 		if good+bad == 0 {
-			delete(t.hosts, station)
+			delete(t.hosts, host)
 			continue
 		}
 		hosts++
-		f := fails(good, bad)
-		if f {
-			failing++
+		failing := fails(good, bad)
+		if failing {
+			failingHosts++
 		}
-		if f || slices.Contains(asked, station) {
-			all = append(all, Observation{station, good, bad})
+		if failing || slices.Contains(asked, host) {
+			all = append(all, Observation{host, good, bad})
 		}
 	}
-	if hosts >= ownPathHosts && float64(failing) > ownPathShare*float64(hosts) {
+	if hosts >= ownPathMinHosts && float64(failingHosts) > ownPathShare*float64(hosts) {
 		return nil
 	}
 	return all
 }
 
-// Ejection is an entry of a service's ejection list. One that has ended stays listed for a while with its count.
+// Ejection is an entry of a service's ejection list. An entry that has ended stays listed for a while, to keep its count.
 type Ejection struct {
-	Station            string
-	Until              float64 // on the local clock; not used if Manual
-	Count              int     // ejections in a row
-	Manual             bool    // by an operator, until called back
+	Host               string
+	Until              float64 // on the local clock; unused if Manual
+	Count              int     // consecutive ejections
+	Manual             bool    // ejected by an operator, until restored
 	By, Why            string
-	Against, Observers int // votes for the ejection, of how many observers
+	Against, Observers int // votes for the ejection, and number of observers
 }
 
-// InForce reports whether the host is out.
-func (r *Ejection) InForce(now float64) bool { return r.Manual || now < r.Until }
+// InForce reports whether the host is ejected.
+func (e *Ejection) InForce(now float64) bool { return e.Manual || now < e.Until }
 
-// vote is an observation and the time at which it was received.
+// vote is an observation with the time at which it was received.
 type vote struct {
 	Observation
-	at float64
+	receivedAt float64
 }
 
-// Votes holds the latest observation of each observer on each host.
+// Votes holds the latest observation of each observer for each host.
 type Votes struct{ votes map[string]map[string]vote } // by host and observer
 
-// Record takes an observer's observations. A later one on a host replaces an earlier one.
+// Record records an observer's observations. A later observation of a host replaces an earlier one.
 func (v *Votes) Record(now float64, observer string, observations []Observation) {
 	if v.votes == nil {
 		v.votes = map[string]map[string]vote{}
 	}
 	for _, o := range observations {
-		by := v.votes[o.Station]
-		if by == nil {
+		byObserver := v.votes[o.Host]
+		if byObserver == nil {
 			if len(v.votes) >= maxHosts {
 				continue
 			}
-			by = map[string]vote{}
-			v.votes[o.Station] = by
+			byObserver = map[string]vote{}
+			v.votes[o.Host] = byObserver
 		}
-		if _, known := by[observer]; known || len(by) < maxObservers {
-			by[observer] = vote{o, now}
+		if _, known := byObserver[observer]; known || len(byObserver) < maxObservers {
+			byObserver[observer] = vote{o, now}
 		}
 	}
 }
 
-// Suspects are the hosts that fail for some observer, in order: others are asked about them.
-func (v *Votes) Suspects(now float64) (stations []string) {
-	for station, by := range v.votes {
+// Suspects returns the hosts that fail for at least one observer, sorted. The other observers are asked about them.
+func (v *Votes) Suspects(now float64) (hosts []string) {
+	for host, byObserver := range v.votes {
 		suspect := false
-		for observer, o := range by {
-			if now > o.at+observationFor {
-				delete(by, observer)
+		for observer, o := range byObserver {
+			if now > o.receivedAt+observationTTL {
+				delete(byObserver, observer)
 				continue
 			}
 			suspect = suspect || fails(o.Good, o.Bad)
 		}
-		if len(by) == 0 {
-			delete(v.votes, station)
+		if len(byObserver) == 0 {
+			delete(v.votes, host)
 		}
 		if suspect {
-			stations = append(stations, station)
+			hosts = append(hosts, host)
 		}
 	}
-	slices.Sort(stations)
-	return stations
+	slices.Sort(hosts)
+	return hosts
 }
 
-// count counts the votes against a host, and all observers that sent to it. Where traffic is thin most have sent to it once: one
-// failure is a vote against it if the host fails for some other observer, and none by itself.
-func (v *Votes) count(now float64, station string) (against, observers int) {
-	failing := 0
-	for _, o := range v.votes[station] {
-		if now > o.at+observationFor || o.Good+o.Bad == 0 {
+// countVotes returns the votes against a host and the number of observers that sent to it. With little traffic most observers
+// have sent to the host only once. An observer that saw only failures then counts as a vote against the host if the host fails
+// for some other observer, and never on its own.
+func (v *Votes) countVotes(now float64, host string) (against, observers int) {
+	failingFor := 0
+	for _, o := range v.votes[host] {
+		if now > o.receivedAt+observationTTL || o.Good+o.Bad == 0 {
 			continue
 		}
 		observers++
-		if f := fails(o.Good, o.Bad); f || o.Bad > 0 && o.Good == 0 {
+		if failing := fails(o.Good, o.Bad); failing || o.Bad > 0 && o.Good == 0 {
 			against++
-			if f {
-				failing++
+			if failing {
+				failingFor++
 			}
 		}
 	}
-	if failing == 0 {
+	if failingFor == 0 {
 		against = 0
 	}
 	return against, observers
 }
 
-// majority reports whether votes suffice: those of more than half of the observers, and of two at least.
+// majority reports whether the votes suffice: those of more than half of the observers, and at least minVotes.
 func majority(against, observers int) bool { return against >= minVotes && 2*against > observers }
 
-// Decide computes the next ejection list of a service with these hosts from the one held, and whether it differs: hosts with a
-// majority against them are ejected, up to a share of the service; new evidence prolongs an ejection; one that has ended stays listed
-// for a while, so that a host that is ejected again stays out longer.
+// Decide returns the next ejection list of a service with the given hosts, and whether it differs from the current one. Hosts
+// with a majority against them are ejected, up to a share of the service. New evidence prolongs an ejection. An ejection that
+// has ended stays listed for a while, so that a host that is ejected again stays out longer.
 func (v *Votes) Decide(now float64, hosts []string, held []Ejection) (next []Ejection, changed bool) {
-	out := 0
-	for _, r := range held {
+	ejected := 0
+	for _, e := range held {
 		switch {
-		case !slices.Contains(hosts, r.Station) && !r.Manual, !r.Manual && now > r.Until+forgetAfter:
+		case !slices.Contains(hosts, e.Host) && !e.Manual, !e.Manual && now > e.Until+countResetAfter:
 			changed = true
 			continue
-		case r.Manual:
-		case majority(v.count(now, r.Station)) && r.InForce(now):
-			if until := now + baseTime; until > r.Until+baseTime/3 { // not at every observation
-				r.Until, changed = until, true
+		case e.Manual:
+		case majority(v.countVotes(now, e.Host)) && e.InForce(now):
+			if until := now + baseEjectionTime; until > e.Until+baseEjectionTime/3 { // avoid a change at every observation
+				e.Until, changed = until, true
 			}
 		}
-		if r.InForce(now) && slices.Contains(hosts, r.Station) {
-			out++
+		if e.InForce(now) && slices.Contains(hosts, e.Host) {
+			ejected++
 		}
-		next = append(next, r)
+		next = append(next, e)
 	}
-	most := max(len(hosts)/hostsPerEjection, min(1, len(hosts)/2))
-	for _, station := range hosts {
-		against, observers := v.count(now, station)
-		if out >= most || !majority(against, observers) {
+	maxEjected := max(len(hosts)/hostsPerEjection, min(1, len(hosts)/2))
+	for _, host := range hosts {
+		against, observers := v.countVotes(now, host)
+		if ejected >= maxEjected || !majority(against, observers) {
 			continue
 		}
-		at := slices.IndexFunc(next, func(r Ejection) bool { return r.Station == station })
-		if at >= 0 && next[at].InForce(now) {
+		index := slices.IndexFunc(next, func(e Ejection) bool { return e.Host == host })
+		if index >= 0 && next[index].InForce(now) {
 			continue
 		}
-		if at < 0 {
-			next = append(next, Ejection{Station: station})
-			at = len(next) - 1
+		if index < 0 {
+			next = append(next, Ejection{Host: host})
+			index = len(next) - 1
 		}
-		r := &next[at]
-		r.Count++
-		r.Until = now + min(maxTime, baseTime*float64(int(1)<<min(r.Count-1, 5)))
-		r.By, r.Why, r.Against, r.Observers = "vote", "fails for most proxies that sent to it", against, observers
-		out++
+		e := &next[index]
+		e.Count++
+		e.Until = now + min(maxEjectionTime, baseEjectionTime*float64(int(1)<<min(e.Count-1, 5)))
+		e.By, e.Why, e.Against, e.Observers = "vote", "fails for most proxies that sent to it", against, observers
+		ejected++
 		changed = true
 	}
 	return next, changed
 }
 
-// ErrForceRequired tells that an order without force would leave less than half of a service.
+// ErrForceRequired reports that an order without force would leave less than half of a service's hosts.
 var ErrForceRequired = errors.New("that would leave less than half of the service's hosts: force is required")
 
-// Order computes the ejection list after an operator's order, which takes a host out or calls it back. Leaving less than half of a
-// service requires force.
-func Order(now float64, hosts []string, held []Ejection, station string, out, force bool, by, why string) ([]Ejection, error) {
-	next := slices.DeleteFunc(slices.Clone(held), func(r Ejection) bool { return r.Station == station })
-	if !out {
+// ApplyOrder returns the ejection list after an operator's order, which ejects a host or restores it. Leaving less than half of
+// a service's hosts requires force.
+func ApplyOrder(now float64, hosts []string, held []Ejection, host string, eject, force bool,
+	by, why string) ([]Ejection, error) {
+	next := slices.DeleteFunc(slices.Clone(held), func(e Ejection) bool { return e.Host == host })
+	if !eject {
 		return next, nil
 	}
 	if len(next) >= maxEjections {
-		return nil, errors.Newf("%d hosts of the service are out already: call some back", len(next))
+		return nil, errors.Newf("%d hosts of the service are already on the ejection list: restore some first", len(next))
 	}
-	left := 0
+	remaining := 0
 	for _, h := range hosts {
-		gone := h == station || slices.ContainsFunc(held, func(r Ejection) bool { return r.Station == h && r.InForce(now) })
-		if !gone {
-			left++
+		ejected := h == host || slices.ContainsFunc(held, func(e Ejection) bool { return e.Host == h && e.InForce(now) })
+		if !ejected {
+			remaining++
 		}
 	}
-	if 2*left < len(hosts) && !force {
+	if 2*remaining < len(hosts) && !force {
 		return nil, ErrForceRequired
 	}
-	next = append(next, Ejection{Station: station, Manual: true, By: by, Why: why})
-	slices.SortFunc(next, func(a, b Ejection) int { return cmp.Compare(a.Station, b.Station) })
+	next = append(next, Ejection{Host: host, Manual: true, By: by, Why: why})
+	slices.SortFunc(next, func(a, b Ejection) int { return cmp.Compare(a.Host, b.Host) })
 	return next, nil
 }
--- a/internal/mesh/invariant/invariant.go
+++ b/internal/mesh/invariant/invariant.go
@@ -1,33 +1,35 @@
-// Package invariant counts violations of what must always hold in a state machine. A check runs wherever the machine runs: a violation
-// is counted and told, and the machine goes on, as ending a process would add a loss to a fault. Tests fail on any.
+// Package invariant counts violations of invariants of a state machine at run time. A violation is counted and reported, and
+// the state machine continues, because ending the process would add an outage to the fault. Tests fail on any violation. Checks
+// is the main type.
 package invariant
 
 import "maps"
 
-// Name names what must hold. Names are labels of a metric.
+// Name is the name of an invariant. It is used as a metric label.
 type Name string
 
 // The invariants of the control plane.
 const (
-	// BallotSuperseded: a ballot is followed by a newer one of its change only where a member refused it, the view has changed, or the first one
-	// was not prepared. Slow answers are no reason: what is begun anew because it is late makes all that is late later.
+	// BallotSuperseded: a change replaces a ballot by a newer one only if a member rejected the ballot, the view has changed,
+	// or the first ballot was not prepared. Slow answers are no reason: restarting late work on an overloaded server makes all
+	// other late work later.
 	BallotSuperseded Name = "ballot superseded without a refusal"
 	// BallotUnique: no ballot is used for two values.
 	BallotUnique Name = "two values at one ballot"
-	// PromiseKept: nothing is accepted below what was accepted before.
+	// PromiseKept: no value is accepted at an older ballot than the one accepted before.
 	PromiseKept Name = "accepted below what was accepted"
-	// ConfigurationRises: the version known to be chosen never falls within a life.
-	ConfigurationRises Name = "chosen configuration falls"
-	// ConfirmedIsChosen: an order is confirmed only by a server that knows its version, or a newer one, to be chosen.
+	// ConfigurationMonotonic: the newest configuration version known to be chosen never decreases while a process runs.
+	ConfigurationMonotonic Name = "chosen configuration falls"
+	// ConfirmedIsChosen: an order is confirmed only by a server that knows the order's version, or a newer one, to be chosen.
 	ConfirmedIsChosen Name = "confirmed order is not chosen"
-	// JoinerHolds: a joiner votes only in the epoch for which its disk holds all that was chosen before.
-	JoinerHolds Name = "joiner votes without what was chosen"
+	// JoinerCaughtUp: a joiner votes only in the epoch for which its disk holds everything that was chosen before.
+	JoinerCaughtUp Name = "joiner votes without what was chosen"
 )
 
-// Checks counts violations. The zero value has none, and tells nobody.
+// Checks counts violations. The zero value has none and reports to nobody.
 type Checks struct {
-	Violated func(name Name, args ...any) // hears of each violation; nil: nobody does
-	counts   map[Name]uint64
+	OnViolation func(name Name, args ...any) // called for each violation, unless nil
+	counts      map[Name]uint64
 }
 
 // Check counts a violation unless the invariant holds.
@@ -39,10 +41,10 @@
 		c.counts = map[Name]uint64{}
 	}
 	c.counts[name]++
-	if c.Violated != nil {
-		c.Violated(name, args...)
+	if c.OnViolation != nil {
+		c.OnViolation(name, args...)
 	}
 }
 
-// Counts gives the violations so far, by invariant.
+// Counts returns the number of violations so far, by invariant.
 func (c *Checks) Counts() map[Name]uint64 { return maps.Clone(c.counts) }
--- a/internal/mesh/outcome/outcome.go
+++ b/internal/mesh/outcome/outcome.go
@@ -1,26 +1,26 @@
-// Package outcome tells whether a request whose attempt ended may have run at a host.
+// Package outcome classifies how an attempt of a request ended, and in particular whether the request may have run at a host.
 //
-// Every error that can end an attempt carries an outcome, so that one place decides what may be sent again.
+// Every error that can end an attempt carries an Outcome, so that what may be sent again is decided in one place.
 package outcome
 
 import "github.com/cockroachdb/errors"
 
-// Outcome is how an attempt ended, and so what is known of the request's run at a host.
+// Outcome is how an attempt ended, and therefore what is known about the request's run at a host.
 type Outcome uint8
 
-// The outcomes. Their numbers go over the wire and into the registers: only add at the end.
+// The outcomes. Their numbers are sent over the wire and stored in registers: only add new ones at the end.
 const (
-	Answered   Outcome = iota // the host's whole answer came
-	Turned                    // turned away before a byte went to the host: no arrival there, never runs
-	HostTurned                // the host said that it did not run it: an arrival, never runs
-	Broken                    // sent, and no whole answer: it may have run
-	Busy                      // its key's request is in progress elsewhere
-	Kept                      // the recorded answer of an earlier run of its key
-	Lost                      // a run of its key ended without a known result: it may have run
-	Expired                   // its deadline passed before a byte went to the host
-	Late                      // its deadline passed after it was sent: it may have run
-	Unclaimed                 // its key could not be claimed in time: nothing was sent
-	Cancelled                 // its client left while the host ran it: broken off
+	Answered       Outcome = iota // the host's complete answer was received
+	TurnedAway                    // rejected before a byte was sent to the host: did not arrive, never runs
+	HostTurnedAway                // the host reported that it did not run the request: arrived, never runs
+	Broken                        // sent, but no complete answer received: may have run
+	Busy                          // a request with its key is in progress elsewhere
+	Kept                          // answered with the recorded answer of an earlier run of its key
+	Lost                          // a run of its key ended without a known result: may have run
+	Expired                       // its deadline passed before a byte was sent to the host
+	Late                          // its deadline passed after it was sent: may have run
+	Unclaimed                     // its key could not be claimed in time: nothing was sent
+	Cancelled                     // cancelled at the host because its client disconnected
 )
 
 var names = [...]string{"answered", "turned away", "turned away by the host", "broken", "busy", "kept", "lost", "expired",
@@ -35,39 +35,39 @@
 
 // NeverRan reports whether this attempt has not run the request and never will.
 func (o Outcome) NeverRan() bool {
-	return o == Turned || o == HostTurned || o == Expired || o == Unclaimed
+	return o == TurnedAway || o == HostTurnedAway || o == Expired || o == Unclaimed
 }
 
-// Arrived reports whether the attempt reached a host, so that it counts for the retry budget.
+// Arrived reports whether the attempt reached a host, so that it counts towards the retry budget.
 func (o Outcome) Arrived() bool {
-	return o == Answered || o == HostTurned || o == Broken || o == Late || o == Cancelled
+	return o == Answered || o == HostTurnedAway || o == Broken || o == Late || o == Cancelled
 }
 
-type marked struct {
+type outcomeError struct {
 	error
 	outcome Outcome
 }
 
-func (m *marked) Unwrap() error { return m.error }
+func (e *outcomeError) Unwrap() error { return e.error }
 
-// Mark gives an error its outcome. A nil error stays nil.
+// Mark attaches an outcome to an error. A nil error stays nil.
 func Mark(err error, o Outcome) error {
 	if err == nil {
 		return nil
 	}
-	return &marked{err, o}
+	return &outcomeError{err, o}
 }
 
-// Newf makes an error with an outcome.
+// Newf returns a new error with an outcome.
 func Newf(o Outcome, format string, args ...any) error { return Mark(errors.Newf(format, args...), o) }
 
-// Of is an error's outcome. An error without one counts as Broken: the request may have run, so it is not sent twice.
+// Of returns an error's outcome. An error without one counts as Broken: the request may have run, so it is not sent twice.
 func Of(err error) Outcome {
 	if err == nil {
 		return Answered
 	}
-	if m := (*marked)(nil); errors.As(err, &m) {
-		return m.outcome
+	if marked := (*outcomeError)(nil); errors.As(err, &marked) {
+		return marked.outcome
 	}
 	return Broken
 }
--- a/internal/mesh/register/model_cluster_test.go
+++ b/internal/mesh/register/model_cluster_test.go
@@ -157,7 +157,7 @@
 	s.syncedEpoch = decodeUint64(s.disk[modelSyncedName])
 	s.registers = New(s.self, s.life, modelWindow)
 	if c.fault == noFault { // an injected fault is for the history checker to find
-		s.registers.Checks.Violated = func(name invariant.Name, args ...any) {
+		s.registers.Checks.OnViolation = func(name invariant.Name, args ...any) {
 			c.history.fail("invariant violated", "%s by %s: %v", name, s.address, args)
 		}
 	}
--- a/internal/mesh/register/register_test.go
+++ b/internal/mesh/register/register_test.go
@@ -56,7 +56,7 @@
 
 func (b *testCluster) start(name string) {
 	rs := New(b.member(name), b.random.Uint32()|1, 60)
-	rs.Checks.Violated = func(name invariant.Name, args ...any) { panic(fmt.Sprint("invariant violated: ", name, args)) }
+	rs.Checks.OnViolation = func(name invariant.Name, args ...any) { panic(fmt.Sprint("invariant violated: ", name, args)) }
 	rs.SetView(b.now, b.view, b.now)
 	if err := rs.Restore(b.now, b.disks[name]); err != nil {
 		panic(err)
--- a/internal/mesh/retrybudget/budget_test.go
+++ b/internal/mesh/retrybudget/budget_test.go
@@ -5,57 +5,57 @@
 	"testing"
 )
 
-// Whatever proxies do, and though some restart in between, in no window do all together send more retries than the bound allows: a
-// fifth of the requests and the slack.
+// In no time window do all proxies together send more retries than allowed, a fifth of the requests plus the slack, even if
+// they spend whatever they can and some of them restart.
 func TestSumStaysInsideTheRule(t *testing.T) {
 	const proxies, seconds, window, ratio, slack = 15, 120, 10, 0.2, 60.0
 	rng := rand.New(rand.NewPCG(1, 1))
 	budgets := make([]*Budget, proxies)
-	fresh := func() *Budget {
+	newBudget := func() *Budget {
 		p := New(ratio, slack)
-		p.Share(proxies)
+		p.SetProxies(proxies)
 		return p
 	}
 	for i := range budgets {
-		budgets[i] = fresh()
+		budgets[i] = newBudget()
 	}
-	var asked, again [seconds]int
+	var requestsAt, retriesAt [seconds]int
 	spent := 0
 	for s := range seconds {
 		for i, p := range budgets {
-			for range rng.IntN(2 * (i + 1)) { // some are asked much, some hardly ever
-				asked[s]++
+			for range rng.IntN(2 * (i + 1)) { // request rates differ widely between proxies
+				requestsAt[s]++
 				p.Earn("a")
 			}
-			for range rng.IntN(20) { // and all would spend what they can
+			for range rng.IntN(20) { // every proxy spends what it can
 				if p.Spend("a") {
-					again[s]++
+					retriesAt[s]++
 					spent++
 				}
 			}
 			if rng.IntN(40) == 0 {
-				budgets[i] = fresh()
+				budgets[i] = newBudget()
 			}
 		}
 	}
 	for at := 0; at+window <= seconds; at++ {
 		requests, retries := 0, 0
 		for s := at; s < at+window; s++ {
-			requests, retries = requests+asked[s], retries+again[s]
+			requests, retries = requests+requestsAt[s], retries+retriesAt[s]
 		}
 		if float64(retries) > ratio*float64(requests)+slack {
-			t.Fatalf("from %d s: %d retries for %d requests", at, retries, requests)
+			t.Fatalf("window from %d s: %d retries for %d requests", at, retries, requests)
 		}
 	}
 	if spent < 500 {
-		t.Fatalf("%d retries in all: this shows nothing", spent)
+		t.Fatalf("only %d retries in all: too few to be meaningful", spent)
 	}
 }
 
-// A retry that arrived nowhere is refunded, and a balance holds no more than the proxy's part of the slack.
+// A retry that arrived nowhere is refunded, and a balance holds no more than the proxy's share of the slack.
 func TestBackAndBound(t *testing.T) {
 	p := New(0.2, 10)
-	p.Share(2)
+	p.SetProxies(2)
 	for range 1000 {
 		p.Earn("a")
 	}
@@ -64,10 +64,10 @@
 		n++
 	}
 	if n != 3 {
-		t.Fatalf("balance of %d retries", n)
+		t.Fatalf("balance of %d retries, want 3", n)
 	}
-	p.Back("a")
+	p.Refund("a")
 	if !p.Spend("a") || p.Spend("a") || p.Spend("b") {
-		t.Fatal("one was refunded, to one service")
+		t.Fatal("want exactly one retry refunded, for one service")
 	}
 }
--- a/internal/mesh/sidecar/admission.go
+++ b/internal/mesh/sidecar/admission.go
@@ -309,7 +309,7 @@
 // if the host is full, and 0 if it is gone.
 func (adm *admission) reject(j *job, why string, backMs uint32) {
 	adm.sidecar.counts.Rejected[why]++
-	adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Turned), Why: why, BackMs: backMs})
+	adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.TurnedAway), Why: why, BackMs: backMs})
 }
 
 // finish ends a job and sends its outcome to the sidecar that sent the request.
--- a/internal/mesh/sidecar/admission_test.go
+++ b/internal/mesh/sidecar/admission_test.go
@@ -117,7 +117,7 @@
 		n := f.forward(0, 1)
 		if f.results[n] == nil {
 			waiting = append(waiting, n)
-		} else if outcome.Outcome(f.results[n].Verdict) != outcome.Turned || f.results[n].BackMs == 0 {
+		} else if outcome.Outcome(f.results[n].Verdict) != outcome.TurnedAway || f.results[n].BackMs == 0 {
 			t.Errorf("response %v", f.results[n])
 		}
 	}
@@ -132,7 +132,7 @@
 	}
 	f.advance(0.1)
 	for _, n := range waiting {
-		if forwarded := f.results[n]; forwarded == nil || outcome.Outcome(forwarded.Verdict) != outcome.Turned {
+		if forwarded := f.results[n]; forwarded == nil || outcome.Outcome(forwarded.Verdict) != outcome.TurnedAway {
 			t.Errorf("%d was not rejected before its deadline: %v", n, forwarded)
 		}
 	}
--- a/internal/mesh/sidecar/attempts.go
+++ b/internal/mesh/sidecar/attempts.go
@@ -48,7 +48,7 @@
 	if verdict.Arrived() {
 		req.arrivals++
 	} else if a.budgetSpent {
-		p.retryBudget.Back(req.service)
+		p.retryBudget.Refund(req.service)
 	}
 	req.mayHoldClaim = req.mayHoldClaim || verdict.NeverRan() && forwarded.Claimed
 	if req.clientLeft && verdict.NeverRan() || verdict == outcome.Cancelled {
@@ -66,13 +66,13 @@
 		} else {
 			p.endAttempt(a, balancer.OK, forwarded, why)
 		}
-	case outcome.Turned:
+	case outcome.TurnedAway:
 		if forwarded.BackMs > 0 { // the host is full
 			p.endAttempt(a, balancer.Rejected, nil, why)
 		} else {
 			p.endAttempt(a, balancer.ConnectFailed, nil, why)
 		}
-	case outcome.HostTurned:
+	case outcome.HostTurnedAway:
 		p.endAttempt(a, balancer.Rejected, nil, why)
 	case outcome.Unclaimed:
 		if p.now > p.discovery.serverHeardAt+controlSilentAfter || a.number > 0 || forwarded.BackMs > 0 {
@@ -183,7 +183,7 @@
 // endUnsent ends an attempt of which nothing was sent.
 func (p *Sidecar) endUnsent(a *attempt, why string) {
 	if a.budgetSpent {
-		p.retryBudget.Back(a.request.service)
+		p.retryBudget.Refund(a.request.service)
 	}
 	p.endAttempt(a, balancer.ConnectFailed, nil, why)
 }
--- a/internal/mesh/sidecar/cancellation_test.go
+++ b/internal/mesh/sidecar/cancellation_test.go
@@ -32,7 +32,7 @@
 	}
 	left, next := f.forward(1, 2), f.forward(1, 2)
 	f.cancel(left)
-	f.wantOutcome(left, outcome.Turned)
+	f.wantOutcome(left, outcome.TurnedAway)
 	f.cancel(running[1])
 	f.wantOutcome(running[1], outcome.Cancelled)
 	if n := f.runs[len(f.runs)-1]; n != next {
@@ -53,7 +53,7 @@
 	first := []uint64{f.forward(1, 2), f.forward(1, 2), f.forward(1, 2), f.forward(1, 2)}
 	late := f.forward(0, 2)
 	f.cancel(late)
-	f.wantOutcome(late, outcome.Turned)
+	f.wantOutcome(late, outcome.TurnedAway)
 	for _, n := range first {
 		f.hostAnswers(n)
 	}
--- a/internal/mesh/sidecar/discovery.go
+++ b/internal/mesh/sidecar/discovery.go
@@ -235,7 +235,7 @@
 	for _, name := range p.serviceNames() {
 		p.services[name].balancer.UpdateHosts(p.now, balancer.ListFull, hosts[name])
 	}
-	p.retryBudget.Share(len(d.records))
+	p.retryBudget.SetProxies(len(d.records))
 }
 
 // serviceNames returns the names of the services in order, so that a run can be replayed from its seed.
--- a/internal/mesh/sidecar/duplicates_test.go
+++ b/internal/mesh/sidecar/duplicates_test.go
@@ -40,7 +40,7 @@
 	other := forwardMessage(2, someIncarnation)
 	other.Forward.Station = "i-9"
 	f.receive(other)
-	if f.results[2] == nil || outcome.Outcome(f.results[2].Verdict) != outcome.Turned {
+	if f.results[2] == nil || outcome.Outcome(f.results[2].Verdict) != outcome.TurnedAway {
 		t.Fatalf("for another host: response %v", f.results[2])
 	}
 	delete(f.results, 2)
--- a/internal/mesh/sidecar/ejections.go
+++ b/internal/mesh/sidecar/ejections.go
@@ -53,7 +53,7 @@
 	switch verdict := outcome.Outcome(forwarded.Verdict); {
 	case verdict == outcome.Answered:
 		p.recordResult(instance, forwarded.Status >= 500 && forwarded.Status != 504)
-	case verdict == outcome.Broken, verdict == outcome.Turned && forwarded.Refused:
+	case verdict == outcome.Broken, verdict == outcome.TurnedAway && forwarded.Refused:
 		p.recordResult(instance, true)
 	}
 }
@@ -114,7 +114,7 @@
 // observations returns the observations that this sidecar reports in a pull.
 func (e *ejections) observations(now float64) (observations []*meshpb.Observation) {
 	for _, observation := range e.tally.Observations(now, e.suspects) {
-		observations = append(observations, &meshpb.Observation{Station: observation.Station,
+		observations = append(observations, &meshpb.Observation{Station: observation.Host,
 			Good: uint32(observation.Good), Bad: uint32(observation.Bad)})
 	}
 	return observations
--- a/internal/mesh/sidecar/heldattempts_test.go
+++ b/internal/mesh/sidecar/heldattempts_test.go
@@ -52,7 +52,7 @@
 	if to != peer || rpc.Forward.GateLife != peerIncarnation || c.countForwards(peer) != 1 {
 		t.Fatalf("%d attempts, the last one to %s for incarnation %d", c.countForwards(peer), to, rpc.Forward.GateLife)
 	}
-	turned := &meshpb.Forwarded{Verdict: uint32(outcome.Turned)}
+	turned := &meshpb.Forwarded{Verdict: uint32(outcome.TurnedAway)}
 	c.receive(peer, meshpb.Answer(rpc, &meshpb.Message{Responder: peerIncarnation + 2, Forwarded: turned}))
 	if n := c.sidecar.counts.Dropped[dropOtherResponder]; n != 1 {
 		t.Errorf("%d responses of another process dropped, want 1", n)
--- a/internal/mesh/sidecar/pause_test.go
+++ b/internal/mesh/sidecar/pause_test.go
@@ -86,7 +86,7 @@
 	f.advance(0.1)
 	f.freeze(6)
 	old, long := f.forward(1, 1.5), f.forward(1, 10)
-	if forwarded := f.results[old]; forwarded == nil || outcome.Outcome(forwarded.Verdict) != outcome.Turned ||
+	if forwarded := f.results[old]; forwarded == nil || outcome.Outcome(forwarded.Verdict) != outcome.TurnedAway ||
 		forwarded.BackMs == 0 {
 		t.Errorf("1.5 s left, 6 s frozen: response %v", forwarded)
 	}
--- a/internal/mesh/simulation/people.go
+++ b/internal/mesh/simulation/people.go
@@ -101,16 +101,16 @@
 		})
 	}
 	if st == nil || st.dead {
-		back(0.0005, &meshpb.Forwarded{Verdict: uint32(outcome.Turned), Why: "refused", Refused: true})
+		back(0.0005, &meshpb.Forwarded{Verdict: uint32(outcome.TurnedAway), Why: "refused", Refused: true})
 		return
 	}
 	if st.id != c.Station { // another host has the address: it says so and does not run it
-		back(0.0005, &meshpb.Forwarded{Verdict: uint32(outcome.HostTurned), Why: "421"})
+		back(0.0005, &meshpb.Forwarded{Verdict: uint32(outcome.HostTurnedAway), Why: "421"})
 		return
 	}
 	key, sharded := shardKey(c)
 	if sharded && !st.held.has(s.w.Now, key) {
-		back(0.0005, &meshpb.Forwarded{Verdict: uint32(outcome.HostTurned), Why: "421: not its key"})
+		back(0.0005, &meshpb.Forwarded{Verdict: uint32(outcome.HostTurnedAway), Why: "421: not its key"})
 		return
 	}
 	id := field(c.Fields, sidecar.HeaderID)
--- a/internal/mesh/upstream/calls_test.go
+++ b/internal/mesh/upstream/calls_test.go
@@ -27,7 +27,7 @@
 		}
 		return good(id, "ran")
 	})
-	if got := ask(p, "q1"); outcome.Outcome(got.Verdict) != outcome.HostTurned {
+	if got := ask(p, "q1"); outcome.Outcome(got.Verdict) != outcome.HostTurnedAway {
 		t.Fatalf("refused: %v", outcome.Outcome(got.Verdict))
 	}
 	if got := ask(p, "q2"); string(got.Body) != "ran" {
--- a/internal/mesh/upstream/keys.go
+++ b/internal/mesh/upstream/keys.go
@@ -43,7 +43,7 @@
 	}
 	result, err := p.post(path, body, until)
 	if err != nil {
-		return sidecar.KeyResult{Refused: errors.Is(err, syscall.ECONNREFUSED) && outcome.Of(err) == outcome.Turned}
+		return sidecar.KeyResult{Refused: errors.Is(err, syscall.ECONNREFUSED) && outcome.Of(err) == outcome.TurnedAway}
 	}
 	return result
 }
--- a/internal/mesh/upstream/upstream.go
+++ b/internal/mesh/upstream/upstream.go
@@ -123,7 +123,7 @@
 	d := net.Dialer{Timeout: dialWithin, KeepAlive: -1} // on one machine nobody goes silent without the other
 	nc, err := d.DialContext(ctx, "tcp", p.addr)
 	if err != nil {
-		return nil, outcome.Mark(err, outcome.Turned)
+		return nil, outcome.Mark(err, outcome.TurnedAway)
 	}
 	p.mu.Lock()
 	p.opened++
@@ -140,7 +140,7 @@
 func (p *Host) Run(ctx context.Context, r *meshpb.Forward, until time.Time) *meshpb.Forwarded {
 	answer, err := p.run(ctx, r, until)
 	if err != nil {
-		return &meshpb.Forwarded{Verdict: uint32(outcome.Of(err)), Why: short(err), Refused: outcome.Of(err) == outcome.Turned}
+		return &meshpb.Forwarded{Verdict: uint32(outcome.Of(err)), Why: short(err), Refused: outcome.Of(err) == outcome.TurnedAway}
 	}
 	return answer
 }
@@ -285,7 +285,7 @@
 func judge(a answer, res *http.Response, id string) error {
 	switch {
 	case res.Header.Get(sidecar.HeaderNotRun) != "", res.StatusCode == http.StatusMisdirectedRequest:
-		a.Verdict = uint32(outcome.HostTurned)
+		a.Verdict = uint32(outcome.HostTurnedAway)
 		a.Fields, a.Body = nil, nil
 		a.Why = fmt.Sprintf("the host says %d, not run", a.Status)
 	case res.Header.Get("Content-Encoding") != "":
--- a/internal/mesh/upstream/upstream_test.go
+++ b/internal/mesh/upstream/upstream_test.go
@@ -75,8 +75,8 @@
 		{"its own failure", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", outcome.Answered},
 		{"after 100", "HTTP/1.1 100 Continue\r\n\r\n" + good("q", "hello"), outcome.Answered},
 		{"chunks", "HTTP/1.1 200 OK\r\n" + sidecar.HeaderID + ": q\r\n" + sidecar.HeaderPostmark + ": p\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", outcome.Answered},
-		{"not run", "HTTP/1.1 503 Full\r\n" + sidecar.HeaderNotRun + ": 1\r\nContent-Length: 0\r\n\r\n", outcome.HostTurned},
-		{"another host", "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n", outcome.HostTurned},
+		{"not run", "HTTP/1.1 503 Full\r\n" + sidecar.HeaderNotRun + ": 1\r\nContent-Length: 0\r\n\r\n", outcome.HostTurnedAway},
+		{"another host", "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n", outcome.HostTurnedAway},
 		{"closed", "", outcome.Broken},
 		{"cut in the head", "HTTP/1.1 200 OK\r\ncut", outcome.Broken},
 		{"cut in the body", "HTTP/1.1 200 OK\r\n" + sidecar.HeaderID + ": q\r\n" + sidecar.HeaderPostmark + ": p\r\nContent-Length: 9\r\n\r\ncut", outcome.Broken},
@@ -102,7 +102,7 @@
 		}
 	}
 	p := New("127.0.0.1:1", wire.NewPool())
-	if got := ask(p, "q"); outcome.Outcome(got.Verdict) != outcome.Turned {
+	if got := ask(p, "q"); outcome.Outcome(got.Verdict) != outcome.TurnedAway {
 		t.Errorf("no connection: %v, nothing was sent", outcome.Outcome(got.Verdict))
 	}
 }
