--- a/internal/mesh/register/ballot.go
+++ b/internal/mesh/register/ballot.go
@@ -7,7 +7,7 @@
 )
 
 // Ballot is a ballot number. Ballots order the changes of a register, and any ballot of a later epoch is newer than all ballots
-// of an earlier one.
+// of an earlier one. Node is the proposer's number in the view, and Life identifies the proposer's process.
 type Ballot struct {
 	Epoch       uint64
 	Round, Node uint32
--- a/internal/mesh/register/model_cluster_test.go
+++ b/internal/mesh/register/model_cluster_test.go
@@ -179,6 +179,7 @@
 	s.queuedBatch.puts = append(s.queuedBatch.puts, store.Put{Name: name, Value: value})
 }
 
+// whenSynced calls f once everything written so far is synced to disk.
 func (s *modelServer) whenSynced(f func()) {
 	s.queuedBatch.afterSync = append(s.queuedBatch.afterSync, f)
 }
@@ -190,16 +191,16 @@
 // collectEffects carries out the effects that the registers request.
 func (s *modelServer) collectEffects() {
 	for {
-		out := s.registers.TakeEffects()
-		s.queuedBatch.puts = append(s.queuedBatch.puts, out.Puts...)
-		for _, send := range out.After {
+		effects := s.registers.TakeEffects()
+		s.queuedBatch.puts = append(s.queuedBatch.puts, effects.Puts...)
+		for _, send := range effects.After {
 			m := s.newMessage(send.To, send.Message)
 			s.whenSynced(func() { s.post(m) })
 		}
-		for _, send := range out.Sends {
+		for _, send := range effects.Sends {
 			s.post(s.newMessage(send.To, send.Message))
 		}
-		if len(out.Sends) == 0 {
+		if len(effects.Sends) == 0 {
 			break
 		}
 	}
@@ -302,7 +303,7 @@
 	}
 }
 
-// voteByVersionOnly is an injected fault: it accepts a value whose version is the one held.
+// voteByVersionOnly is an injected fault: it accepts a value whose version is the one held. It reports whether it did.
 func (s *modelServer) voteByVersionOnly(m modelMessage) bool {
 	accept := m.message.Accept
 	held, _ := s.registers.LocalValue(accept.Key)
@@ -314,7 +315,7 @@
 	return true
 }
 
-// voteInOtherEpoch is an injected fault: it votes in an epoch that this server has left.
+// voteInOtherEpoch is an injected fault: it votes in an epoch that this server has left. It reports whether it did.
 func (s *modelServer) voteInOtherEpoch(m modelMessage) bool {
 	answer := &meshpb.Message{Id: m.message.Id}
 	switch {
@@ -362,6 +363,7 @@
 	s.cluster.trace("%s adopts epoch %d %v -> %v, voting %v", s.address, v.Epoch, v.Members, v.Next, s.registers.Voting())
 }
 
+// fence deletes the registers and makes the server another member, with a new incarnation.
 func (s *modelServer) fence() {
 	s.drawIncarnation()
 	s.registers.Reset(s.cluster.now, s.self)
@@ -371,11 +373,11 @@
 
 func (s *modelServer) setView(v view.View) {
 	s.view, s.syncFinishing = v, false
-	fastFrom := s.cluster.now
+	fastPathFrom := s.cluster.now
 	if v.Epoch > 1 {
-		fastFrom += s.registers.FastPathDelay()
+		fastPathFrom += s.registers.FastPathDelay()
 	}
-	s.registers.SetView(s.cluster.now, v, fastFrom)
+	s.registers.SetView(s.cluster.now, v, fastPathFrom)
 	s.startVotingIfAllowed()
 }
 
--- a/internal/mesh/register/model_exhaustive_test.go
+++ b/internal/mesh/register/model_exhaustive_test.go
@@ -34,9 +34,9 @@
 // searchChange is one of the changes.
 type searchChange struct {
 	key          string
-	server       int // index of the server that makes the change
-	body         string
-	editedBody   string
+	server       int    // index of the server that makes the change
+	body         string // body that the change writes
+	editedBody   string // body that the change was made from
 	started      bool
 	minVersion   uint64 // newest version that had been answered when the change started
 	version      uint64 // version in the answer; 0: not answered yet
@@ -174,8 +174,8 @@
 		copied := *c
 		copied.votes, copied.newestAcceptedBy = maps.Clone(c.votes), maps.Clone(c.newestAcceptedBy)
 		copied.reserve, copied.recipients = slices.Clone(c.reserve), slices.Clone(c.recipients)
-		w.bindChange(&copied, slices.IndexFunc(w.changes, func(small searchChange) bool {
-			return small.server == int(rs.life)-1 && small.key == c.key
+		w.bindChange(&copied, slices.IndexFunc(w.changes, func(other searchChange) bool {
+			return other.server == int(rs.life)-1 && other.key == c.key
 		}))
 		next.changes[key], next.changesByID[c.id] = &copied, &copied
 	}
@@ -325,8 +325,8 @@
 func (x *stateSearch) collectEffects(w *searchState, i int) {
 	rs := w.servers[i].registers
 	for {
-		out := rs.TakeEffects()
-		sends := append(out.Sends, out.After...)
+		effects := rs.TakeEffects()
+		sends := append(effects.Sends, effects.After...)
 		for _, send := range sends {
 			if send.To == rs.self.Address {
 				rs.HandleMessage(1, rs.self, send.Message)
@@ -393,7 +393,7 @@
 	return ""
 }
 
-// ---- the key of a state
+// ---- hash of a state
 
 // stateHash returns a hash of everything that determines what can follow.
 func (x *stateSearch) stateHash(w *searchState) uint64 {
--- a/internal/mesh/register/model_test.go
+++ b/internal/mesh/register/model_test.go
@@ -62,7 +62,7 @@
 	stepsLeft     int
 	lossy         bool            // messages are lost, duplicated and delayed
 	slowDisks     bool            // batches are synced late
-	interruptRate int             // of a thousand steps, how many stop or start a process
+	interruptRate int             // twice the number of steps in a thousand that stop or start a process
 	isolated      map[string]bool // addresses of servers without network
 }
 
--- a/internal/mesh/register/operation.go
+++ b/internal/mesh/register/operation.go
@@ -18,7 +18,7 @@
 	Done                 // the run has ended, and its answer is recorded
 	Lost                 // the run may have happened, and its result is unknown
 	Void                 // the claim was released without a run, and its token may not claim again
-	Unsure               // no quorum answered in time, so nothing is known to be claimed
+	Unsure               // no quorum was reached, so no claim was granted
 	Stored               // the register belongs to no operation, and its body is the value
 )
 
@@ -33,11 +33,11 @@
 	// its run is still in progress. With a larger value, a repeated request is told that the run is in progress for longer
 	// after its end. With a smaller one, more repeats that arrive during the run cost a ballot.
 	busyTrustPeriod   = 0.7
-	heldByOtherOffset = 100 // added to Claimed if the claim is held by another token
+	heldByOtherOffset = 100 // added to Claimed if the claim is held by another caller
 	notStartedOffset  = 200 // added to Unsure if no change was started
 )
 
-// Busy is the state of a key that is claimed by another token.
+// Busy is the state of a key whose claim is held by another caller.
 const Busy = Claimed + heldByOtherOffset
 
 // Answers to claims for which no change was started. They are not sent over the wire as states.
@@ -53,14 +53,14 @@
 		answer(Unavailable, nil)
 		return
 	}
-	if e := rs.entries[c.Key]; e != nil && e.value != nil { // no ballot is needed if another token is known to hold the key
+	if e := rs.entries[c.Key]; e != nil && e.value != nil { // no ballot is needed if another caller is known to hold the key
 		_, state := claim(c, e.value)
 		if state != Claimed && !e.mayHaveEnded(now, state) {
 			answer(state, e.value)
 			return
 		}
 	}
-	if w := rs.changes[c.Key]; w != nil && w.proposed != nil && w.proposed.Token != c.Token {
+	if pending := rs.changes[c.Key]; pending != nil && pending.proposed != nil && pending.proposed.Token != c.Token {
 		answer(Busy, nil)
 		return
 	}
@@ -72,6 +72,7 @@
 		edit: func(old *meshpb.Receipt) (*meshpb.Receipt, State) { return claim(c, old) }})
 }
 
+// claim returns the value of a key after a claim of it, nil if the claim is not granted, and the state to answer with.
 func claim(c *meshpb.Claim, old *meshpb.Receipt) (*meshpb.Receipt, State) {
 	granted := &meshpb.Receipt{Token: c.Token, State: Claimed, Attempt: c.Attempt, Voided: old.GetVoided(), Gate: c.Gate,
 		GateLife: c.GateLife}
@@ -95,8 +96,8 @@
 }
 
 // isRepeatedClaim reports whether a claim repeats the one that was granted, sent by the same process, which may not have
-// received the answer. Another gate that was sent the same attempt, or a restarted process of the same gate, must not run it a
-// second time.
+// received the answer. The gate of a claim is the proxy that sent it. Another proxy that was sent the same attempt, or a
+// restarted process of the same proxy, must not run it a second time.
 func isRepeatedClaim(c *meshpb.Claim, held *meshpb.Receipt) bool {
 	return held.Token == c.Token && held.Attempt == c.Attempt && held.Gate == c.Gate && held.GateLife == c.GateLife
 }
@@ -106,7 +107,8 @@
 	return state == Busy && now > e.receivedAt+busyTrustPeriod
 }
 
-// busyOrLost returns Lost instead of Busy if the holder of the claim is considered gone.
+// busyOrLost returns Lost instead of Busy if the holder of the claim is considered lost, because the claim is older than
+// claimHolderTimeout.
 func (rs *Registers) busyOrLost(now float64, e *entry, state State) State {
 	if state == Busy && now > e.receivedAt+claimHolderTimeout {
 		return Lost
@@ -170,6 +172,7 @@
 	return false
 }
 
+// settle returns the value of a key after the end of a run, nil if the end changes nothing, and the state to answer with.
 func settle(old, end *meshpb.Receipt, ifFree bool) (*meshpb.Receipt, State) {
 	r := proto.Clone(end).(*meshpb.Receipt)
 	r.Voided = old.GetVoided()
--- a/internal/mesh/register/proposer.go
+++ b/internal/mesh/register/proposer.go
@@ -18,16 +18,16 @@
 	phaseStartedAt   float64
 	preparing        bool // the ballot is in its prepare phase
 	ballot           Ballot
-	votes            map[view.Member]bool // true: accepted or promised, false: rejected
+	votes            map[view.Member]bool // by member: true if it promised or accepted, false if it rejected
 	newestAccepted   Ballot               // the newest accepted ballot in the promises received
 	newestAcceptedBy map[view.Member]bool // the members that reported that ballot
-	newestValue      *meshpb.Receipt
-	localAccepted    Ballot          // ballot accepted on this disk when the prepare phase started
-	localValue       *meshpb.Receipt // the value at localAccepted; members that hold the same one do not send it
-	proposed         *meshpb.Receipt
+	newestValue      *meshpb.Receipt      // the value at newestAccepted
+	localAccepted    Ballot               // ballot accepted on this disk when the prepare phase started
+	localValue       *meshpb.Receipt      // the value at localAccepted; members that hold the same one do not send it
+	proposed         *meshpb.Receipt      // value of the accept phase
 	edit             editFunc
 	answer           func(state State, held *meshpb.Receipt)
-	state            State
+	state            State           // to answer with once proposed is chosen
 	supersededBy     Ballot          // the newest ballot because of which a member rejected this one
 	prepares         int             // number of prepare phases started
 	message          *meshpb.Message // message of the present phase
@@ -223,6 +223,7 @@
 	rs.sendPhaseTo(c, unanswered)
 }
 
+// finish answers a change and starts the next one that waits for the same key.
 func (rs *Registers) finish(now float64, c *change, state State, held *meshpb.Receipt) {
 	delete(rs.changes, c.key)
 	delete(rs.changesByID, c.id)
@@ -317,6 +318,7 @@
 	rs.finish(now, c, c.state, c.proposed)
 }
 
+// handleAcceptRejected handles the answer that a member has promised a newer ballot than the one being accepted.
 func (rs *Registers) handleAcceptRejected(now float64, from view.Member, c *change, newer Ballot) {
 	if newer.compare(c.ballot) < 0 { // the answer is for an older ballot of this change
 		return
--- a/internal/mesh/register/register_test.go
+++ b/internal/mesh/register/register_test.go
@@ -69,20 +69,20 @@
 // synced the batch.
 func (b *testCluster) applyEffects(name string, synced bool) {
 	for {
-		out := b.servers[name].TakeEffects()
-		if len(out.Sends)+len(out.After)+len(out.Puts) == 0 {
+		effects := b.servers[name].TakeEffects()
+		if len(effects.Sends)+len(effects.After)+len(effects.Puts) == 0 {
 			return
 		}
-		for _, s := range out.Sends {
+		for _, s := range effects.Sends {
 			b.post(name, s)
 		}
 		if !synced {
 			return
 		}
-		for _, p := range out.Puts {
+		for _, p := range effects.Puts {
 			b.applyPut(name, p)
 		}
-		for _, s := range out.After {
+		for _, s := range effects.After {
 			b.post(name, s)
 		}
 	}
--- a/internal/mesh/register/registers.go
+++ b/internal/mesh/register/registers.go
@@ -102,25 +102,25 @@
 	view         view.View
 	addresses    []string // addresses of the view's members
 	node         uint32   // this server's number in the view, from 1; 0: not a member
-	life         uint32
-	window       float64
-	fastPathFrom float64 // time from which values chosen in earlier epochs have expired everywhere
+	life         uint32   // random number of this start of the process
+	window       float64  // retention time of values in seconds, including windowSlack
+	fastPathFrom float64  // time from which values chosen in earlier epochs have expired everywhere
 	homedKeys    homedKeys
 	voting       bool
 
 	entries      map[string]*entry
-	position     uint64
+	position     uint64 // position of the newest entry in entryOrder
 	entryOrder   changeOrder
-	changes      map[string]*change
+	changes      map[string]*change // in progress, by key
 	changesByID  map[uint64]*change
-	waiting      map[string][]*change
-	lastID       uint64
+	waiting      map[string][]*change // by key, behind the change in progress
+	lastID       uint64               // of the changes started
 	effects      Effects
 	nextSweep    float64
 	lateChanges  int     // number of late changes at the last tick
 	minRoundTrip float64 // recent minimum time in seconds for a round trip to a quorum; 0: unknown
 	lastTick     float64
-	slowUntil    map[view.Member]float64
+	slowUntil    map[view.Member]float64 // time until which a member is kept in reserve
 }
 
 // New returns the registers of a server. window is the retention time of a key's answer in seconds. life is a random number
@@ -283,6 +283,7 @@
 	}
 }
 
+// orderedChanges returns the changes in progress in the order in which they started.
 func (rs *Registers) orderedChanges() []*change {
 	all := make([]*change, 0, len(rs.changes))
 	for _, c := range rs.changesByID {
--- a/internal/mesh/register/slow_test.go
+++ b/internal/mesh/register/slow_test.go
@@ -46,8 +46,8 @@
 
 func (c *delayedCluster) applyEffects(name string) {
 	for {
-		out := c.servers[name].TakeEffects()
-		sends := slices.Concat(out.Sends, out.After)
+		effects := c.servers[name].TakeEffects()
+		sends := slices.Concat(effects.Sends, effects.After)
 		if len(sends) == 0 {
 			return
 		}
