--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -21,20 +21,20 @@
 	if timeout != 0 {
 		until = min(until, now+timeout)
 	}
-	a := &attempt{request: f.request, number: len(f.attempts), host: host, sent: now, tally: o.tally, post: o.post,
-		within: seconds(timeout), zone: o.sight.zoneOf(host)}
+	a := &attempt{request: f.request, number: len(f.attempts), host: host, sentAt: now, tally: o.tally, post: o.post,
+		timeout: seconds(timeout), zone: o.sight.zoneOf(host)}
 	f.attempts = append(f.attempts, a)
 	f.out++
 	up := o.hosts.find(host)
 	switch {
-	case f.answered, f.bound(), until <= now && f.request.up == nil, f.most > 0 && a.number >= f.most:
-		o.local = append(o.local, outcome{attempt: a, result: balancer.Skipped})
+	case f.answered, f.bodyBound(), until <= now && f.request.upload == nil, f.most > 0 && a.number >= f.most:
+		o.local = append(o.local, attemptEnded{attempt: a, result: balancer.Skipped})
 	case up == nil:
-		o.local = append(o.local, outcome{attempt: a, result: balancer.ConnectFailed})
+		o.local = append(o.local, attemptEnded{attempt: a, result: balancer.ConnectFailed})
 	default:
 		a.ctx, a.cancel = context.WithCancelCause(o.ctx)
-		if f.request.up == nil {
-			a.expire(o.clock.at(until))
+		if f.request.upload == nil {
+			a.setDeadline(o.clock.at(until))
 		}
 		go func() { o.post(a.run(up)) }()
 	}
@@ -42,22 +42,22 @@
 
 // Refuse answers that trying again is harmless.
 func (o *owner) Refuse(id balancer.RequestID, coolDown float64) {
-	o.give(id, answer{status: http.StatusServiceUnavailable, text: "refused\n", coolDown: coolDown})
+	o.respondTo(id, clientResponse{status: http.StatusServiceUnavailable, text: "refused\n", retryAfterSeconds: coolDown})
 }
 
 // Fail answers that nothing is promised.
 func (o *owner) Fail(id balancer.RequestID) {
-	o.give(id, answer{status: http.StatusBadGateway, text: "failed\n"})
+	o.respondTo(id, clientResponse{status: http.StatusBadGateway, text: "failed\n"})
 }
 
 // give answers a request.
-func (o *owner) give(id balancer.RequestID, a answer) {
+func (o *owner) respondTo(id balancer.RequestID, a clientResponse) {
 	f := o.flights[id]
 	if f == nil {
 		return
 	}
 	o.conclude(f, a)
-	o.local = append(o.local, dropped{f})
+	o.local = append(o.local, dropCheck{f})
 }
 
 // Cancel stops waiting for an attempt.
@@ -66,13 +66,13 @@
 	if f == nil || n < 0 || n >= len(f.attempts) {
 		return
 	}
-	f.attempts[n].callOff()
+	f.attempts[n].abort()
 }
 
 // Probe asks a host for its state.
 func (o *owner) Probe(host balancer.HostID) {
 	o.probes++
-	p := probed{host: host, sent: o.clock.now(), result: balancer.ConnectFailed}
+	p := probeEnded{host: host, sent: o.clock.now(), result: balancer.ConnectFailed}
 	up := o.hosts.find(host)
 	if up == nil {
 		o.local = append(o.local, p)
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -11,80 +11,80 @@
 )
 
 // answer is the final word on a request. A status of zero means that nobody is there to hear one.
-type answer struct {
-	status   int
-	kind     string    // content type of a served body
-	body     wire.Body // of a host's answer
-	long     *stream   // a long one, in body's place
-	length   int64
-	old      bool   // its client knows no chunks
-	text     string // of an answer of our own
-	coolDown float64
-	last     bool       // the connection ends after it
-	bad      bool       // it answers what is not a request
-	stopped  []*attempt // called off with it
+type clientResponse struct {
+	status            int
+	contentType       string    // content type of a served body
+	body              wire.Body // of a host's answer
+	stream            *stream   // a long one, in body's place
+	contentLength     int64
+	noChunks          bool   // its client knows no chunks
+	text              string // of an answer of our own
+	retryAfterSeconds float64
+	closeAfter        bool       // the connection ends after it
+	protocolError     bool       // it answers what is not a request
+	abortedAttempts   []*attempt // called off with it
 }
 
 // respond waits for the owner's answer and writes it. It says whether the connection may go on.
-func (c *client) respond(q *request, class *classTally, last bool) bool {
-	a := <-q.answer
+func (c *clientConn) respond(q *request, class *classTally, last bool) bool {
+	a := <-q.response
 	defer c.front.bufs.FreeBody(&a.body)
 	defer func() { c.front.owner.tally.end(class, a.status) }()
-	if a.long != nil {
-		defer a.long.leave()
+	if a.stream != nil {
+		defer a.stream.abandon()
 	}
-	for _, at := range a.stopped { // nothing may be sent for a request once it is answered
-		at.quiet()
+	for _, at := range a.abortedAttempts { // nothing may be sent for a request once it is answered
+		at.awaitWrites()
 	}
 	if a.status == 0 {
 		return false
 	}
-	if a.bad {
-		c.finish(&a)
+	if a.protocolError {
+		c.writeFinal(&a)
 		return false
 	}
-	a.old = q.old
+	a.noChunks = q.noChunks
 	return c.deliver(&a, last)
 }
 
 // deliver writes the answer to a whole request. last says that the client wants no further one; the result, whether the
 // connection goes on.
-func (c *client) deliver(a *answer, last bool) bool {
-	a.last = last || c.last()
-	a.last = a.last || a.long != nil && a.old && a.length < 0 // only the end of the connection ends it
+func (c *clientConn) deliver(a *clientResponse, last bool) bool {
+	a.closeAfter = last || c.isLast()
+	a.closeAfter = a.closeAfter || a.stream != nil && a.noChunks && a.contentLength < 0 // only the end of the connection ends it
 	err := c.write(a)
 	if err == nil {
-		err = c.pass(a)
+		err = c.relayResponse(a)
 	}
 	if err != nil { // what the client got is not whole, and it can tell; its reader waits for nothing more
 		a.status = http.StatusBadGateway
 		c.conn.Close()
 		return false
 	}
-	c.setIdle()
-	return !a.last
+	c.markIdle()
+	return !a.closeAfter
 }
 
 // write sends an answer in one gathered write.
-func (c *client) write(a *answer) error {
+func (c *clientConn) write(a *clientResponse) error {
 	buf := c.front.bufs.Buffer()
 	defer c.front.bufs.PutBuffer(buf)
 	w := &wire.FixedWriter{Buf: buf[:0]}
 	fmt.Fprintf(w, "HTTP/1.1 %d %s\r\n%s", a.status, http.StatusText(a.status), a.framing())
-	if a.kind != "" {
-		fmt.Fprintf(w, "Content-Type: %s\r\n", a.kind)
+	if a.contentType != "" {
+		fmt.Fprintf(w, "Content-Type: %s\r\n", a.contentType)
 	}
-	if a.coolDown > 0 {
-		fmt.Fprintf(w, "Retry-After: %s\r\n", strconv.FormatFloat(a.coolDown, 'f', 3, 64))
+	if a.retryAfterSeconds > 0 {
+		fmt.Fprintf(w, "Retry-After: %s\r\n", strconv.FormatFloat(a.retryAfterSeconds, 'f', 3, 64))
 	}
-	if a.last {
+	if a.closeAfter {
 		fmt.Fprint(w, "Connection: close\r\n")
 	}
 	fmt.Fprintf(w, "\r\n%s", a.text)
 	if w.Full { // only a host's content type can be that long
 		return wire.ErrTooLarge
 	}
-	c.conn.SetWriteDeadline(time.Now().Add(c.front.times.answer))
+	c.conn.SetWriteDeadline(time.Now().Add(c.front.times.responseTimeout))
 	parts := a.body.Parts(net.Buffers{w.Buf})
 	_, err := parts.WriteTo(c.conn)
 	return err
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -39,8 +39,8 @@
 		{"broken chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", balancer.Malformed, false},
 		{"body over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc", balancer.Malformed, false},
 		{"ended by the close, as announced", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok", balancer.OK, false},
-		{"head over the limit", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHead), balancer.Malformed, false},
-		{"endless interim answers", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxHead/4), balancer.Malformed, false},
+		{"head over the limit", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeadBytes), balancer.Malformed, false},
+		{"endless interim answers", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxHeadBytes/4), balancer.Malformed, false},
 		{"many interim answers", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", 20) + ok, balancer.OK, true},
 		{"a length beside chunks", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"2\r\nok\r\n0\r\n\r\n", balancer.Malformed, false},
@@ -64,10 +64,10 @@
 				io.WriteString(conn, c.raw)
 				return c.reused
 			})
-			s := newScript()
-			s.request = sends("h1")
-			g := one(t, h, s.decides)
-			a := g.raw(message("write", "x"))
+			s := newFakeBalancer()
+			s.onRequest = sendsOnceTo("h1")
+			g := startOneHost(t, h, s.install)
+			a := g.raw(requestText("write", "x"))
 			o := s.outcomes.next(t, "the outcome")
 			if o.Result != c.result || o.Final != (c.result == balancer.OK) || o.Host != hostID("h1") || o.Took <= 0 {
 				t.Fatalf("outcome %+v, want %v", o, c.result)
@@ -76,7 +76,7 @@
 				t.Fatalf("the client got %d", a.status)
 			}
 			h.seen.next(t, "the request")
-			if a := g.raw(message("read", "")); a.status != http.StatusOK {
+			if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
 				t.Fatalf("the next request got %d", a.status)
 			}
 			if again := h.seen.next(t, "the next request").again; again != c.reused {
@@ -92,10 +92,10 @@
 func TestRequestAtFault(t *testing.T) {
 	for _, status := range []int{400, 404, 413} {
 		h := newHost(t, says(fmt.Sprintf("HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n", status)))
-		s := newScript()
-		s.request = sends("h1")
-		g := one(t, h, s.decides)
-		if a := g.raw(message("read", "")); a.status != status {
+		s := newFakeBalancer()
+		s.onRequest = sendsOnceTo("h1")
+		g := startOneHost(t, h, s.install)
+		if a := g.raw(requestText("read", "")); a.status != status {
 			t.Errorf("host said %d, the client got %d", status, a.status)
 		}
 		if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.Cancelled || !o.Final {
@@ -111,10 +111,10 @@
 		_, err := c.Read(make([]byte, 1)) // the end is the proxy's
 		return err == nil
 	})
-	s := newScript()
-	s.request = sends("h1")
-	g := one(t, h, s.decides)
-	if a := g.raw(message("write", "x", "X-Remaining: 60000m")); a.status != http.StatusBadGateway {
+	s := newFakeBalancer()
+	s.onRequest = sendsOnceTo("h1")
+	g := startOneHost(t, h, s.install)
+	if a := g.raw(requestText("write", "x", "X-Remaining: 60000m")); a.status != http.StatusBadGateway {
 		t.Fatalf("the client got %d", a.status)
 	}
 	if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.Malformed {
@@ -152,10 +152,10 @@
 		})
 	}
 	h := newHost(t, says(strings.Replace(ok, "\r\n\r\n", "\r\nX-Pressure: {\"util\":0.25}\r\n\r\n", 1)))
-	s := newScript()
-	s.request = sends("h1")
-	g := one(t, h, s.decides)
-	g.raw(message("read", ""))
+	s := newFakeBalancer()
+	s.onRequest = sendsOnceTo("h1")
+	g := startOneHost(t, h, s.install)
+	g.raw(requestText("read", ""))
 	if o := s.outcomes.next(t, "the outcome"); len(o.Report) != 3 || o.Report[2] != 0.25 {
 		t.Fatalf("report %v", o.Report)
 	}
@@ -166,8 +166,8 @@
 func TestReusedConnectionBreaks(t *testing.T) {
 	t.Run("before its last byte", func(t *testing.T) {
 		h := newHost(t, says(ok))
-		g := one(t, h)
-		if a := g.raw(message("write", "first")); a.status != http.StatusOK {
+		g := startOneHost(t, h)
+		if a := g.raw(requestText("write", "first")); a.status != http.StatusOK {
 			t.Fatalf("the first got %d", a.status)
 		}
 		h.seen.next(t, "the first")
@@ -176,7 +176,7 @@
 			resets(c)
 		}
 		h.mu.Unlock()
-		if a := g.raw(message("write", "second")); a.status != http.StatusOK {
+		if a := g.raw(requestText("write", "second")); a.status != http.StatusOK {
 			t.Fatalf("the second got %d", a.status)
 		}
 		if r := h.seen.next(t, "the second"); r.again || r.text != "second" {
@@ -192,10 +192,10 @@
 			}
 			return says(ok)(c, r)
 		})
-		g := one(t, h)
-		g.raw(message("write", "first"))
+		g := startOneHost(t, h)
+		g.raw(requestText("write", "first"))
 		h.seen.next(t, "the first")
-		a := g.raw(message("write", "second"))
+		a := g.raw(requestText("write", "second"))
 		if a.status != http.StatusBadGateway {
 			t.Fatalf("answered %d: after a reset nothing is promised", a.status)
 		}
@@ -208,7 +208,7 @@
 // before is replaced; a new one is an outcome that proves that nothing ran.
 func TestResetAtOnce(t *testing.T) {
 	var resetFirst atomic.Bool
-	whole := make(watched[bool], 16) // for each connection that carried whole requests: whether it had before
+	whole := make(eventChan[bool], 16) // for each connection that carried whole requests: whether it had before
 	h := newToy(t, func(c net.Conn, br *bufio.Reader) {
 		for again := false; ; again = true {
 			if _, err := br.Peek(1); err != nil {
@@ -227,13 +227,13 @@
 			io.WriteString(c, ok)
 		}
 	})
-	s := newScript()
-	s.request = sends("h1")
+	s := newFakeBalancer()
+	s.onRequest = sendsOnceTo("h1")
 	l := newList(t, entry("h1", h.addr()))
-	g := start(t, l.addr(), "null", s.decides, func(p *Proxy) { p.times.settle = time.Second })
+	g := startProxy(t, l.addr(), "null", s.install, func(p *Proxy) { p.times.lastByteDelay = time.Second })
 	g.waitReady()
 	for _, text := range []string{"first", "second"} {
-		if a := g.raw(message("write", text, "X-Remaining: 9000m")); a.status != http.StatusOK {
+		if a := g.raw(requestText("write", text, "X-Remaining: 9000m")); a.status != http.StatusOK {
 			t.Fatalf("the %s got %d", text, a.status)
 		}
 		whole.next(t, text)
@@ -242,7 +242,7 @@
 		}
 	}
 	resetFirst.Store(true)
-	if a := g.raw(message("write", "third", "X-Remaining: 9000m")); a.status != http.StatusBadGateway {
+	if a := g.raw(requestText("write", "third", "X-Remaining: 9000m")); a.status != http.StatusBadGateway {
 		t.Fatalf("the third got %d", a.status) // the script gives every request up
 	}
 	if o := s.outcomes.next(t, "the outcome"); !o.Result.NeverRan() {
@@ -258,24 +258,24 @@
 		br.ReadByte()
 		resets(c)
 	})
-	s := newScript()
-	s.request = sends("h1")
+	s := newFakeBalancer()
+	s.onRequest = sendsOnceTo("h1")
 	l := newList(t, entry("h1", h.addr()))
-	g := start(t, l.addr(), "null", s.decides)
+	g := startProxy(t, l.addr(), "null", s.install)
 	g.waitReady()
 	up := g.p.hosts.find(hostID("h1"))
 	// A request larger than both sockets hold together, so that writing it cannot end before the host breaks off.
-	_, result := up.exchange(t.Context(), flood{})
+	_, result := up.exchange(t.Context(), largeMessage{})
 	if result != balancer.ConnectFailed || !result.NeverRan() {
 		t.Fatalf("result %v", result)
 	}
 }
 
 // flood is a message of 16 MB.
-type flood struct{}
+type largeMessage struct{}
 
-func (flood) begun(reply) bool { return false }
-func (flood) write(l line) error {
+func (largeMessage) responseStarted(hostResponse) bool { return false }
+func (largeMessage) write(l messageConn) error {
 	l.Conn.(*net.TCPConn).SetWriteBuffer(2048)
 	_, err := l.Write(make([]byte, 16<<20))
 	return err
@@ -284,23 +284,23 @@
 // TestRefusedConnection: nothing listens, so nothing has run; the request goes elsewhere or is refused.
 func TestRefusedConnection(t *testing.T) {
 	h := newHost(t, says(ok))
-	l := newList(t, entry("h1", h.addr()), entry("h2", nobody))
-	g := start(t, l.addr(), "null")
+	l := newList(t, entry("h1", h.addr()), entry("h2", refusingAddr))
+	g := startProxy(t, l.addr(), "null")
 	g.waitReady()
 	for n := range 20 {
-		if a := g.raw(message("write", "x", "X-Entity: k"+string(rune('a'+n)))); a.status != http.StatusOK {
+		if a := g.raw(requestText("write", "x", "X-Entity: k"+string(rune('a'+n)))); a.status != http.StatusOK {
 			t.Fatalf("answered %d", a.status)
 		}
 	}
-	l.set(entry("h2", nobody))
-	g.settled(l)
-	if a := g.raw(message("write", "x")); a.status != http.StatusServiceUnavailable {
+	l.set(entry("h2", refusingAddr))
+	g.awaitListApplied(l)
+	if a := g.raw(requestText("write", "x")); a.status != http.StatusServiceUnavailable {
 		t.Fatalf("with no host left: %d, want a refusal", a.status)
 	}
 }
 
 // settled waits until the proxy has taken the newest list: its next call says so.
-func (g *rig) settled(l *toyList) {
+func (g *testProxy) awaitListApplied(l *toyList) {
 	g.t.Helper()
 	l.mu.Lock()
 	want := "since=" + strconv.Itoa(l.version) + "&"
@@ -308,7 +308,7 @@
 	for !strings.Contains(l.calls.next(g.t, "a call with "+want), want) {
 	}
 	// The event was queued before that call went out, and the owner plays its queue in order.
-	g.raw(message("read", "", "X-Remaining: 0m"))
+	g.raw(requestText("read", "", "X-Remaining: 0m"))
 }
 
 // TestTimeouts: an attempt ends with the time that the client has left, and its connection with it, whether the host
@@ -319,12 +319,12 @@
 		{"endless head", "HTTP/1.1 200 OK\r\n", "X: y\r\n"},
 		{"endless body", "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n", "x"},
 	} {
-		t.Run(c.name, func(t *testing.T) { runsOut(t, c.first, c.rest) })
+		t.Run(c.name, func(t *testing.T) { checkTimesOut(t, c.first, c.rest) })
 	}
 }
 
 // runsOut plays a host that begins an answer and goes on with it for ever.
-func runsOut(t *testing.T, first, rest string) {
+func checkTimesOut(t *testing.T, first, rest string) {
 	h := newHost(t, func(c net.Conn, r seenRequest) bool {
 		for text := first; text != ""; text = rest {
 			if _, err := io.WriteString(c, text); err != nil {
@@ -334,11 +334,11 @@
 		}
 		return true
 	})
-	s := newScript()
-	s.request = func(s *script, r balancer.Request) { s.act.Send(r.ID, hostID("h1"), 60) }
-	g := one(t, h, s.decides)
+	s := newFakeBalancer()
+	s.onRequest = func(s *fakeBalancer, r balancer.Request) { s.act.Send(r.ID, hostID("h1"), 60) }
+	g := startOneHost(t, h, s.install)
 	began := time.Now()
-	a := g.raw(message("write", "x", "X-Remaining: 80m"))
+	a := g.raw(requestText("write", "x", "X-Remaining: 80m"))
 	took := time.Since(began)
 	if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.TimedOut || o.Result.NeverRan() || o.Final {
 		t.Fatalf("outcome %+v", o)
@@ -354,8 +354,8 @@
 // TestNoTimeLeft: a request that comes with no time left is answered at once, and not sent.
 func TestNoTimeLeft(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h)
-	if a := g.raw(message("write", "x", "X-Remaining: 0u")); a.status != http.StatusServiceUnavailable {
+	g := startOneHost(t, h)
+	if a := g.raw(requestText("write", "x", "X-Remaining: 0u")); a.status != http.StatusServiceUnavailable {
 		t.Fatalf("answered %d", a.status)
 	}
 	h.seen.none(t, "it was sent")
@@ -372,9 +372,9 @@
 	other := entry("h2", h2.addr())
 	other.Zone = "b"
 	l := newList(t, entry("h1", h1.addr()), other)
-	g := start(t, l.addr(), "null")
+	g := startProxy(t, l.addr(), "null")
 	g.waitReady()
-	if a := g.raw(message("log", "x")); a.status != http.StatusBadGateway {
+	if a := g.raw(requestText("log", "x")); a.status != http.StatusBadGateway {
 		t.Fatalf("answered %d", a.status)
 	}
 	if n := len(h1.seen) + len(h2.seen); n != 1 {
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -15,59 +15,59 @@
 	"beechwing/internal/wire"
 )
 
-const lingerMost = 256 << 10 // bytes of a malformed request's rest that are taken and thrown away
+const maxLingerBytes = 256 << 10 // bytes of a malformed request's rest that are taken and thrown away
 
 // client is one connection of a client. It is parked while it brings nothing. Otherwise a goroutine reads requests and,
 // while one is being worked on, watches for the client's leaving; respond writes the answer.
-type client struct {
-	front    *front
-	conn     net.Conn
-	accepted time.Time
-	meter    wire.Meter
-	br       *bufio.Reader  // nil while it is parked
-	served   bool           // it has brought a whole request
-	graced   bool           // the request at hand was read past its time
-	verdict  places.Verdict // on the request at hand
-	waited   time.Duration  // of the request at hand, before it was read
+type clientConn struct {
+	front        *frontend
+	conn         net.Conn
+	accepted     time.Time
+	meter        wire.Meter
+	br           *bufio.Reader  // nil while it is parked
+	hasRequested bool           // it has brought a whole request
+	graceUsed    bool           // the request at hand was read past its time
+	verdict      places.Verdict // on the request at hand
+	queueTime    time.Duration  // of the request at hand, before it was read
 
 	// Guarded by front.mu.
-	seat   places.Seat
-	turn   places.Turn
-	spot   park.Spot
-	parked bool
-	warm   bool // it counts among those that wait unparked
+	entry     places.Seat
+	admission places.Turn
+	pollEntry park.Spot
+	parked    bool
+	warm      bool // it counts among those that wait unparked
 }
 
 // giveWay ends a connection whose place is wanted and that has a goroutine, but for a request that is whole in its socket
 // already. front.mu is held, so that no change of the connection's use can move the deadline.
-func (c *client) giveWay() { c.conn.SetReadDeadline(time.Now()) }
+func (c *clientConn) interrupt() { c.conn.SetReadDeadline(time.Now()) }
 
 // Read reads off the connection. A deadline that has passed says nothing about bytes that have come: once for each
 // request, what is there counts.
-func (c *client) Read(b []byte) (int, error) {
+func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.conn.Read(b)
-	if n > 0 || c.graced || !errors.Is(err, os.ErrDeadlineExceeded) {
+	if n > 0 || c.graceUsed || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
 	}
 	if bytes, _ := wire.Arrived(c.conn); !bytes {
 		return n, err
 	}
-	c.graced = true
-	c.conn.SetReadDeadline(time.Now().Add(c.front.times.late))
+	c.graceUsed = true
+	c.conn.SetReadDeadline(time.Now().Add(c.front.times.lateGrace))
 	return c.conn.Read(b)
 }
 
 // mark tells the book what the connection is at. within bounds what is to be read in it.
-func (c *client) mark(tell func(now time.Duration, s *places.Seat), within time.Duration) {
-	c.front.seat(func(now time.Duration) {
-		c.cool()
-		c.limitRead(within)
-		tell(now, &c.seat)
+func (c *clientConn) updateState(tell func(now time.Duration, s *places.Seat), within time.Duration) {
+	c.front.updateTable(func(now time.Duration) {
+		c.endWarm()
+		c.setReadTimeout(within)
+		tell(now, &c.entry)
 	})
 }
 
 // limitRead bounds what is read next; 0: not.
-func (c *client) limitRead(within time.Duration) {
+func (c *clientConn) setReadTimeout(within time.Duration) {
 	var until time.Time
 	if within > 0 {
 		until = time.Now().Add(within)
@@ -76,7 +76,7 @@
 }
 
 // cool ends the connection's waiting unparked, if it did. front.mu is held.
-func (c *client) cool() {
+func (c *clientConn) endWarm() {
 	if c.warm {
 		c.warm = false
 		c.front.warm--
@@ -84,112 +84,112 @@
 }
 
 // setReading marks the first byte of a request. The limit of a connection's first one runs since it was accepted.
-func (c *client) setReading() {
+func (c *clientConn) markReading() {
 	t := &c.front.times
-	within := t.head
-	if !c.served {
-		within = max(t.late, time.Until(c.accepted.Add(t.fresh)))
+	within := t.requestTimeout
+	if !c.hasRequested {
+		within = max(t.lateGrace, time.Until(c.accepted.Add(t.firstRequestTimeout)))
 	}
 	if c.verdict == places.Refuse { // those that wait to be refused behind it have waited for long enough
-		within = min(within, t.refuse)
+		within = min(within, t.refuseTimeout)
 	}
-	c.mark(c.front.book.Begin, within)
+	c.updateState(c.front.connTable.Begin, within)
 }
 
 // setTaken marks a request that has come whole: from here on only its own time bounds it.
-func (c *client) setTaken() {
-	c.served, c.graced = true, false
-	c.mark(c.front.book.Work, 0)
+func (c *clientConn) markReceived() {
+	c.hasRequested, c.graceUsed = true, false
+	c.updateState(c.front.connTable.Work, 0)
 }
 
 // setIdle marks the end of a request. For a moment the goroutine waits for the next one, if not too many do so and none
 // waits for its turn; then the connection is parked. The book may end it at once.
-func (c *client) setIdle() {
+func (c *clientConn) markIdle() {
 	f := c.front
-	f.seat(func(now time.Duration) {
+	f.updateTable(func(now time.Duration) {
 		within := time.Nanosecond // over at once
-		if f.warm < f.limits.warm && f.desk.Waiting() == 0 && c.verdict == places.Serve {
+		if f.warm < f.limits.maxWarm && f.admission.Waiting() == 0 && c.verdict == places.Serve {
 			c.warm = true
 			f.warm++
-			within = f.times.warm
+			within = f.times.warmWait
 		}
-		c.limitRead(within)
-		f.book.Rest(now, &c.seat)
+		c.setReadTimeout(within)
+		f.connTable.Rest(now, &c.entry)
 	})
 }
 
 // last says whether the connection ends with the request at hand.
-func (c *client) last() bool {
+func (c *clientConn) isLast() bool {
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
-	return c.front.book.Last(&c.seat)
+	return c.front.connTable.Last(&c.entry)
 }
 
 // over says whether the connection is beyond the bound.
-func (c *client) over() bool {
+func (c *clientConn) overLimit() bool {
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
-	return c.seat.Kind() == places.Over
+	return c.entry.Kind() == places.Over
 }
 
 // serve reads what has come and goes on until nothing comes for a moment, or the connection ends.
-func (c *client) serve(v places.Verdict, waited time.Duration) {
+func (c *clientConn) serve(v places.Verdict, waited time.Duration) {
 	c.br = c.front.bufs.Reader(&c.meter)
-	c.verdict, c.waited = v, waited
-	c.limitRead(c.front.times.fresh) // the last limit may be over; that of a request is set with its first byte
+	c.verdict, c.queueTime = v, waited
+	c.setReadTimeout(c.front.times.firstRequestTimeout) // the last limit may be over; that of a request is set with its first byte
 	goesOn := true
-	for goesOn && c.await() {
-		c.setReading()
-		goesOn = c.next()
-		c.waited = 0
+	for goesOn && c.awaitRequest() {
+		c.markReading()
+		goesOn = c.serveRequest()
+		c.queueTime = 0
 	}
 	c.front.mu.Lock()
-	c.cool()
+	c.endWarm()
 	c.front.mu.Unlock()
-	c.settle(goesOn && c.meter.Err != nil && errors.Is(c.meter.Err, os.ErrDeadlineExceeded))
+	c.parkOrClose(goesOn && c.meter.Err != nil && errors.Is(c.meter.Err, os.ErrDeadlineExceeded))
 }
 
 // await waits for the first byte of a request.
-func (c *client) await() bool {
-	c.meter.Allow(maxHead)
+func (c *clientConn) awaitRequest() bool {
+	c.meter.Allow(maxHeadBytes)
 	_, err := c.br.Peek(1)
 	return err == nil
 }
 
 // next takes one request and sees to its answer; it says whether the connection goes on.
-func (c *client) next() bool {
+func (c *clientConn) serveRequest() bool {
 	r, err := c.readHead()
 	if err != nil {
-		c.reject(c.errorFor(err))
+		c.reject(c.readError(err))
 		return false
 	}
 	if r.Method == http.MethodGet && r.URL.Path == healthPath {
-		return c.health(r)
+		return c.answerHealthCheck(r)
 	}
 	q, bad := c.parse(r)
 	if line := c.front.log.Check(zap.DebugLevel, "request read"); line != nil && bad == nil {
-		line.Write(zap.String("id", q.name), zap.Stringer("from", c.conn.RemoteAddr()))
+		line.Write(zap.String("id", q.txnID), zap.Stringer("from", c.conn.RemoteAddr()))
 	}
-	if bad == nil && c.over() {
+	if bad == nil && c.overLimit() {
 		freeRequest(c.front.bufs, q)
 		bad = &badRequest{http.StatusInternalServerError, "too many connections"}
 		c.front.owner.tally.begin()
-		defer c.front.owner.tally.end(q.names.tally[q.Class], bad.status)
+		defer c.front.owner.tally.end(q.names.tallies[q.Class], bad.status)
 	}
 	if bad != nil {
 		c.reject(bad)
 		return false
 	}
 	if c.verdict == places.Refuse {
-		return c.turnDown(q, r.Close)
+		return c.refuse(q, r.Close)
 	}
-	return c.handOver(q, r.Close)
+	return c.dispatch(q, r.Close)
 }
 
 // readHead reads a request up to its body.
-func (c *client) readHead() (*http.Request, error) {
-	c.meter.Allow(maxHead)
-	head, err := wire.PeekHead(c.br, maxHead)
+func (c *clientConn) readHead() (*http.Request, error) {
+	c.meter.Allow(maxHeadBytes)
+	head, err := wire.PeekHead(c.br, maxHeadBytes)
 	if err == nil {
 		err = wire.CheckHead(head, singleInRequests)
 	}
@@ -203,25 +203,25 @@
 }
 
 // handOver gives the request to the owner and waits for the answer to be written, or for the client to leave.
-func (c *client) handOver(q *request, last bool) bool {
+func (c *clientConn) dispatch(q *request, last bool) bool {
 	written := make(chan bool, 1)
-	c.setTaken()
+	c.markReceived()
 	c.front.owner.tally.begin()
-	class := q.names.tally[q.Class] // from now on the owner may number it anew
+	class := q.names.tallies[q.Class] // from now on the owner may number it anew
 	go func() { written <- c.respond(q, class, last) }()
-	c.front.owner.post(arrival{q})
-	if q.up != nil && !c.pump(q) {
+	c.front.owner.post(requestReceived{q})
+	if q.upload != nil && !c.pumpBody(q) {
 		return <-written && false
 	}
-	c.meter.Allow(maxHead)
+	c.meter.Allow(maxHeadBytes)
 	_, err := c.br.Peek(1)
 	var goesOn bool
 	select {
 	case goesOn = <-written: // the usual case: the answer is out, and now the next request comes
 	default:
-		early := departure{request: q} // no news to the owner if the answer is on its way
+		early := requestAborted{request: q} // no news to the owner if the answer is on its way
 		if err == nil {
-			early.answer = errBehind.answer()
+			early.response = badPipelined.response()
 		}
 		c.front.owner.post(early)
 		if goesOn = <-written; err == nil && !goesOn {
@@ -232,38 +232,38 @@
 }
 
 // turnDown refuses a request that has waited for too long to be read. Nothing has been sent for it.
-func (c *client) turnDown(q *request, last bool) bool {
+func (c *clientConn) refuse(q *request, last bool) bool {
 	freeRequest(c.front.bufs, q)
-	c.setTaken()
+	c.markReceived()
 	c.front.owner.tally.begin()
-	defer c.front.owner.tally.end(q.names.tally[q.Class], http.StatusServiceUnavailable)
-	a := answer{status: http.StatusServiceUnavailable, text: "busy\n", coolDown: q.names.coolDown}
+	defer c.front.owner.tally.end(q.names.tallies[q.Class], http.StatusServiceUnavailable)
+	a := clientResponse{status: http.StatusServiceUnavailable, text: "busy\n", retryAfterSeconds: q.names.retryAfterSeconds}
 	return c.deliver(&a, last)
 }
 
 // health answers the client's question whether it may begin.
-func (c *client) health(r *http.Request) bool {
-	a := answer{status: http.StatusOK}
+func (c *clientConn) answerHealthCheck(r *http.Request) bool {
+	a := clientResponse{status: http.StatusOK}
 	if !c.front.owner.ready.Load() {
 		a.status = http.StatusInternalServerError // not 503, which would be a refusal
 	}
-	c.setTaken()
+	c.markReceived()
 	return c.deliver(&a, r.Close)
 }
 
 // reject answers what is not a request with a plain error and ends the connection.
-func (c *client) reject(bad *badRequest) {
+func (c *clientConn) reject(bad *badRequest) {
 	if bad == nil || bad.status == 0 {
 		return
 	}
-	a := bad.answer()
-	if c.finish(&a) {
+	a := bad.response()
+	if c.writeFinal(&a) {
 		c.linger()
 	}
 }
 
 // finish writes the last answer of a connection that a client has spoilt.
-func (c *client) finish(a *answer) bool {
+func (c *clientConn) writeFinal(a *clientResponse) bool {
 	c.front.log.Debug("request rejected", zap.Int("status", a.status), zap.String("why", a.text))
 	if c.write(a) != nil {
 		return false
@@ -276,9 +276,9 @@
 
 // linger takes what the client still sends for a moment: closing at once would reset the connection and with it the
 // answer.
-func (c *client) linger() {
-	c.mark(c.front.book.Linger, c.front.times.linger)
-	c.meter.Allow(lingerMost)
+func (c *clientConn) linger() {
+	c.updateState(c.front.connTable.Linger, c.front.times.lingerTimeout)
+	c.meter.Allow(maxLingerBytes)
 	for {
 		if _, err := c.br.Discard(wire.BufferSize); err != nil {
 			return
--- a/internal/proxy/client_test.go
+++ b/internal/proxy/client_test.go
@@ -30,8 +30,8 @@
 					fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(r.text), r.text))
 				return err == nil
 			})
-			g := one(t, h)
-			a := g.raw(message(c.class, c.text, "X-Txn: id-1", "X-Own: kept", "X-Hop: x", "Connection: X-Hop"))
+			g := startOneHost(t, h)
+			a := g.raw(requestText(c.class, c.text, "X-Txn: id-1", "X-Own: kept", "X-Hop: x", "Connection: X-Hop"))
 			if a.status != http.StatusOK || a.text != c.text || a.header.Get("Content-Type") != "text/x" {
 				t.Fatalf("answer %d, %d bytes, %v", a.status, len(a.text), a.header)
 			}
@@ -40,7 +40,7 @@
 				r.Header.Get("X-Own") != "kept" || r.Header.Get("X-Hop") != "" || r.Host != "api.internal" {
 				t.Errorf("the host got %s %s %v", r.Method, r.RequestURI, r.Header)
 			}
-			left, err := parseSpan(r.Header.Get(headerRemaining))
+			left, err := parseSeconds(r.Header.Get(headerRemaining))
 			if err != nil || left <= 0 || left > 1.4 {
 				t.Errorf("remaining %q", r.Header.Get(headerRemaining))
 			}
@@ -51,8 +51,8 @@
 // TestChunked: a body without a length goes on with one.
 func TestChunked(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h)
-	a := g.raw(message("write", "3\r\nabc\r\n0\r\n\r\n", "Content-Length: ", "Transfer-Encoding: chunked"))
+	g := startOneHost(t, h)
+	a := g.raw(requestText("write", "3\r\nabc\r\n0\r\n\r\n", "Content-Length: ", "Transfer-Encoding: chunked"))
 	if r := h.seen.next(t, "the request"); a.status != http.StatusOK || r.text != "abc" || r.ContentLength != 3 {
 		t.Fatalf("answer %d, the host got %q", a.status, r.text)
 	}
@@ -61,21 +61,21 @@
 // TestExpect: a client that waits for leave to send its body gets it.
 func TestExpect(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h, func(p *Proxy) { p.times.answer = 200 * time.Millisecond })
+	g := startOneHost(t, h, func(p *Proxy) { p.times.responseTimeout = 200 * time.Millisecond })
 	c := g.dial()
 	br := bufio.NewReader(c)
-	io.WriteString(c, message("read", "")) // the time to take this answer is long over when the next request comes
-	hear(t, br)
+	io.WriteString(c, requestText("read", "")) // the time to take this answer is long over when the next request comes
+	readResponse(t, br)
 	h.seen.next(t, "the first request")
 	time.Sleep(250 * time.Millisecond)
-	head, text, _ := strings.Cut(message("write", "abc", "Expect: 100-continue"), "\r\n\r\n")
+	head, text, _ := strings.Cut(requestText("write", "abc", "Expect: 100-continue"), "\r\n\r\n")
 	io.WriteString(c, head+"\r\n\r\n")
 	if line, _ := br.ReadString('\n'); !strings.Contains(line, "100") {
 		t.Fatalf("got %q", line)
 	}
 	br.ReadString('\n')
 	io.WriteString(c, text)
-	if a := hear(t, br); a.status != http.StatusOK || h.seen.next(t, "the request").text != "abc" {
+	if a := readResponse(t, br); a.status != http.StatusOK || h.seen.next(t, "the request").text != "abc" {
 		t.Fatalf("answer %d", a.status)
 	}
 }
@@ -83,7 +83,7 @@
 // TestBadRequests: what is not a request gets one plain answer, neither 429 nor 503, and a close; nothing is sent.
 func TestBadRequests(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h)
+	g := startOneHost(t, h)
 	for _, c := range []struct {
 		name, text string
 		status     int // 0: closed without a word
@@ -91,51 +91,51 @@
 		{"garbage", "\x16\x03\x01\x02\r\n\r\n", 400},
 		{"bad version", "GET / HTTP/9\r\n\r\n", 400},
 		{"header without colon", "GET / HTTP/1.1\r\nnonsense\r\n\r\n", 400},
-		{"huge header", "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maxHead) + "\r\n\r\n", 431},
-		{"endless request line", strings.Repeat("G", 2*maxHead), 431},
-		{"no id", message("read", "", "X-Txn: "), 400},
-		{"endless id", message("read", "", "X-Txn: "+strings.Repeat("i", 300)), 400},
-		{"unknown class", message("novel", ""), 400},
-		{"no class", message("read", "", "X-Lane: "), 400},
-		{"unknown tenant", message("read", "", "X-Org: nobody"), 400},
-		{"no time", message("read", "", "X-Remaining: "), 400},
-		{"time without unit", message("read", "", "X-Remaining: 480"), 400},
-		{"negative time", message("read", "", "X-Remaining: -480m"), 400},
-		{"time not a number", message("read", "", "X-Remaining: NaNm"), 400},
-		{"endless time", message("read", "", "X-Remaining: Infm"), 400},
-		{"absurd time", message("read", "", "X-Remaining: 99999999999m"), 400},
-		{"GET for an unsafe class", strings.Replace(message("write", ""), "POST", "GET", 1), 405},
-		{"POST for a safe class", strings.Replace(message("read", ""), "GET", "POST", 1), 405},
-		{"DELETE", strings.Replace(message("write", ""), "POST", "DELETE", 1), 405},
-		{"GET with a body", message("read", "abc", "Content-Length: 3"), 400},
-		{"body over the limit", message("write", "x", "Content-Length: 60000000"), 413},
-		{"broken chunks", message("write", "zz\r\nabc", "Content-Length: ", "Transfer-Encoding: chunked"), 400},
-		{"two lengths", message("write", "abc", "Content-Length: 3\r\nContent-Length: 4"), 400},
-		{"two lengths alike", message("write", "abc", "Content-Length: 3\r\nContent-Length: 3"), 400},
-		{"negative length", message("write", "abc", "Content-Length: -3"), 400},
-		{"length and chunks", message("write", "0\r\n\r\n"+message("read", ""), "Transfer-Encoding: chunked"), 400},
-		{"chunks and length", strings.Replace(message("write", "0\r\n\r\n"+message("read", ""), "Content-Length: "),
+		{"huge header", "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maxHeadBytes) + "\r\n\r\n", 431},
+		{"endless request line", strings.Repeat("G", 2*maxHeadBytes), 431},
+		{"no id", requestText("read", "", "X-Txn: "), 400},
+		{"endless id", requestText("read", "", "X-Txn: "+strings.Repeat("i", 300)), 400},
+		{"unknown class", requestText("novel", ""), 400},
+		{"no class", requestText("read", "", "X-Lane: "), 400},
+		{"unknown tenant", requestText("read", "", "X-Org: nobody"), 400},
+		{"no time", requestText("read", "", "X-Remaining: "), 400},
+		{"time without unit", requestText("read", "", "X-Remaining: 480"), 400},
+		{"negative time", requestText("read", "", "X-Remaining: -480m"), 400},
+		{"time not a number", requestText("read", "", "X-Remaining: NaNm"), 400},
+		{"endless time", requestText("read", "", "X-Remaining: Infm"), 400},
+		{"absurd time", requestText("read", "", "X-Remaining: 99999999999m"), 400},
+		{"GET for an unsafe class", strings.Replace(requestText("write", ""), "POST", "GET", 1), 405},
+		{"POST for a safe class", strings.Replace(requestText("read", ""), "GET", "POST", 1), 405},
+		{"DELETE", strings.Replace(requestText("write", ""), "POST", "DELETE", 1), 405},
+		{"GET with a body", requestText("read", "abc", "Content-Length: 3"), 400},
+		{"body over the limit", requestText("write", "x", "Content-Length: 60000000"), 413},
+		{"broken chunks", requestText("write", "zz\r\nabc", "Content-Length: ", "Transfer-Encoding: chunked"), 400},
+		{"two lengths", requestText("write", "abc", "Content-Length: 3\r\nContent-Length: 4"), 400},
+		{"two lengths alike", requestText("write", "abc", "Content-Length: 3\r\nContent-Length: 3"), 400},
+		{"negative length", requestText("write", "abc", "Content-Length: -3"), 400},
+		{"length and chunks", requestText("write", "0\r\n\r\n"+requestText("read", ""), "Transfer-Encoding: chunked"), 400},
+		{"chunks and length", strings.Replace(requestText("write", "0\r\n\r\n"+requestText("read", ""), "Content-Length: "),
 			"\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n", 1), 400},
-		{"chunks twice", message("write", "0\r\n\r\n", "Content-Length: ",
+		{"chunks twice", requestText("write", "0\r\n\r\n", "Content-Length: ",
 			"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked"), 400},
-		{"another coding", message("write", "abc", "Content-Length: ", "Transfer-Encoding: gzip"), 400},
-		{"folded length", message("write", "abc", "Content-Length: 3\r\n 4"), 400},
-		{"a name with a space", message("write", "abc", "Content-Length : 3"), 400},
-		{"control character", message("read", "", "X-Own: a\x00b"), 400},
-		{"bare carriage return", message("read", "", "X-Own: a\rX-Txn: b"), 400},
-		{"two ids", message("read", "", "X-Txn: a\r\nX-Txn: b"), 400},
-		{"two classes", message("read", "", "X-Lane: read\r\nX-Lane: write"), 400},
-		{"one request behind another", message("read", "") + message("write", "x"), 400},
-		{"body beyond its length", message("write", "abc", "Content-Length: 2"), 400},
+		{"another coding", requestText("write", "abc", "Content-Length: ", "Transfer-Encoding: gzip"), 400},
+		{"folded length", requestText("write", "abc", "Content-Length: 3\r\n 4"), 400},
+		{"a name with a space", requestText("write", "abc", "Content-Length : 3"), 400},
+		{"control character", requestText("read", "", "X-Own: a\x00b"), 400},
+		{"bare carriage return", requestText("read", "", "X-Own: a\rX-Txn: b"), 400},
+		{"two ids", requestText("read", "", "X-Txn: a\r\nX-Txn: b"), 400},
+		{"two classes", requestText("read", "", "X-Lane: read\r\nX-Lane: write"), 400},
+		{"one request behind another", requestText("read", "") + requestText("write", "x"), 400},
+		{"body beyond its length", requestText("write", "abc", "Content-Length: 2"), 400},
 		{"HTTP/2", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 400},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			conn := g.dial()
 			io.WriteString(conn, c.text)
 			br := bufio.NewReader(conn)
-			a := hear(t, br)
-			if a.status != c.status || !a.last {
-				t.Fatalf("answered %d, last %v; want %d", a.status, a.last, c.status)
+			a := readResponse(t, br)
+			if a.status != c.status || !a.closes {
+				t.Fatalf("answered %d, last %v; want %d", a.status, a.closes, c.status)
 			}
 			if _, err := br.ReadByte(); err == nil {
 				t.Fatal("more came after the answer")
@@ -144,7 +144,7 @@
 		})
 	}
 	h.seen.none(t, "the host got a request")
-	if a := g.raw(message("read", "")); a.status != http.StatusOK {
+	if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
 		t.Fatalf("after all that a good request got %d", a.status)
 	}
 }
@@ -152,13 +152,13 @@
 // TestTruncated: a request that never came whole was not taken; its connection ends without an answer.
 func TestTruncated(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h)
-	whole := message("write", "0123456789")
+	g := startOneHost(t, h)
+	whole := requestText("write", "0123456789")
 	for _, cut := range []int{1, len(whole) / 2, len(whole) - 1} {
 		c := g.dial()
 		io.WriteString(c, whole[:cut])
 		c.(*net.TCPConn).CloseWrite()
-		if a := hear(t, bufio.NewReader(c)); a.status != 0 {
+		if a := readResponse(t, bufio.NewReader(c)); a.status != 0 {
 			t.Errorf("cut at %d: answered %d", cut, a.status)
 		}
 	}
@@ -168,8 +168,8 @@
 // TestSilentClients: a connection that brings nothing, or stops within a request, is closed in time.
 func TestSilentClients(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h, func(p *Proxy) { p.times.fresh = 20 * time.Millisecond })
-	for _, text := range []string{"", "GET /api", message("write", "ab", "Content-Length: 5")} {
+	g := startOneHost(t, h, func(p *Proxy) { p.times.firstRequestTimeout = 20 * time.Millisecond })
+	for _, text := range []string{"", "GET /api", requestText("write", "ab", "Content-Length: 5")} {
 		c := g.dial()
 		io.WriteString(c, text)
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
@@ -184,13 +184,13 @@
 // off, and the host gets nothing more.
 func TestSentEarly(t *testing.T) {
 	h := newHost(t, func(c net.Conn, r seenRequest) bool { return true }) // answers nothing
-	g := one(t, h)
+	g := startOneHost(t, h)
 	c := g.dial()
-	io.WriteString(c, message("read", ""))
+	io.WriteString(c, requestText("read", ""))
 	h.seen.next(t, "the request")
-	io.WriteString(c, message("read", ""))
+	io.WriteString(c, requestText("read", ""))
 	br := bufio.NewReader(c)
-	if a := hear(t, br); a.status != http.StatusBadRequest || !a.last {
+	if a := readResponse(t, br); a.status != http.StatusBadRequest || !a.closes {
 		t.Fatalf("answer %+v", a)
 	}
 	if _, err := br.ReadByte(); err != io.EOF {
@@ -206,27 +206,27 @@
 	release := newGate()
 	defer release.open()
 	h := newHost(t, release.says(ok))
-	g := one(t, h)
+	g := startOneHost(t, h)
 	first := g.dial()
-	io.WriteString(first, message("read", "", "X-Txn: a"))
+	io.WriteString(first, requestText("read", "", "X-Txn: a"))
 	h.seen.next(t, "the first request")
 	for range 3 {
-		if a := g.raw(message("write", "x", "X-Txn: a")); a.status != http.StatusConflict || !a.last {
+		if a := g.raw(requestText("write", "x", "X-Txn: a")); a.status != http.StatusConflict || !a.closes {
 			t.Fatalf("the same id got %+v", a)
 		}
 	}
 	h.seen.none(t, "the same id was sent on")
 	release.open()
-	if a := hear(t, bufio.NewReader(first)); a.status != http.StatusOK {
+	if a := readResponse(t, bufio.NewReader(first)); a.status != http.StatusOK {
 		t.Fatalf("the first got %d", a.status)
 	}
-	if a := g.raw(message("write", "x", "X-Txn: a")); a.status != http.StatusOK {
+	if a := g.raw(requestText("write", "x", "X-Txn: a")); a.status != http.StatusOK {
 		t.Fatalf("once it was free the id got %d", a.status)
 	}
 }
 
 // ended says whether the proxy ends a connection: by a close or a reset, and not after a time limit of the test's own.
-func ended(c net.Conn) bool {
+func closedByProxy(c net.Conn) bool {
 	_, err := c.Read(make([]byte, 1))
 	var ne net.Error
 	return err != nil && !(errors.As(err, &ne) && ne.Timeout())
@@ -235,12 +235,14 @@
 // TestDripFed: bytes sent one by one renew no time limit, neither in a connection's first request nor in a further one.
 func TestDripFed(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h, func(p *Proxy) { p.times.fresh, p.times.head = 200*time.Millisecond, 200*time.Millisecond })
+	g := startOneHost(t, h, func(p *Proxy) {
+		p.times.firstRequestTimeout, p.times.requestTimeout = 200*time.Millisecond, 200*time.Millisecond
+	})
 	for _, served := range []bool{false, true} {
 		c := g.dial()
 		if served {
-			io.WriteString(c, message("read", ""))
-			if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK {
+			io.WriteString(c, requestText("read", ""))
+			if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
 				t.Fatalf("the first request got %d", a.status)
 			}
 			h.seen.next(t, "it")
@@ -253,7 +255,7 @@
 				time.Sleep(5 * time.Millisecond)
 			}
 		}()
-		if !ended(c) {
+		if !closedByProxy(c) {
 			t.Errorf("served before %v: still open", served)
 		}
 	}
@@ -271,17 +273,17 @@
 		}
 		return says(ok)(c, r)
 	})
-	s := newScript()
-	s.request = sends("h1")
-	g := one(t, h, s.decides, func(p *Proxy) {
+	s := newFakeBalancer()
+	s.onRequest = sendsOnceTo("h1")
+	g := startOneHost(t, h, s.install, func(p *Proxy) {
 		p.cfg.Site.Connections.Limit = 4
-		p.times.fresh, p.times.late = patience, 0
+		p.times.firstRequestTimeout, p.times.lateGrace = testTimeout, 0
 	})
 	busy, idle, begun, silent := g.dial(), g.dial(), g.dial(), g.dial()
-	io.WriteString(busy, message("write", "x", "X-Remaining: 9000m"))
+	io.WriteString(busy, requestText("write", "x", "X-Remaining: 9000m"))
 	h.seen.next(t, "the request worked on")
-	io.WriteString(idle, message("read", ""))
-	hear(t, bufio.NewReader(idle))
+	io.WriteString(idle, requestText("read", ""))
+	readResponse(t, bufio.NewReader(idle))
 	h.seen.next(t, "the request before")
 	io.WriteString(begun, "GET /api HTTP/1.1\r\n")
 	for g.p.front.figures().Places.Held[places.Partial] == 0 { // until its first bytes are read
@@ -292,14 +294,14 @@
 		conn net.Conn
 	}{{"silent", silent}, {"begun", begun}, {"idle", idle}} {
 		next := g.dial()
-		io.WriteString(next, message("write", "x", "X-Remaining: 9000m"))
-		if !ended(c.conn) {
+		io.WriteString(next, requestText("write", "x", "X-Remaining: 9000m"))
+		if !closedByProxy(c.conn) {
 			t.Fatalf("the %s one is still open", c.name)
 		}
 		h.seen.next(t, "the request that took its place")
 	}
 	release.open()
-	if a := hear(t, bufio.NewReader(busy)); a.status != http.StatusOK {
+	if a := readResponse(t, bufio.NewReader(busy)); a.status != http.StatusOK {
 		t.Errorf("the one worked on got %d", a.status)
 	}
 }
@@ -307,9 +309,9 @@
 // TestFlood: hundreds that connect and say nothing, or send what is no request, keep usual clients from nothing.
 func TestFlood(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h, func(p *Proxy) {
+	g := startOneHost(t, h, func(p *Proxy) {
 		p.cfg.Site.Connections.Limit = 8
-		p.times.linger = 50 * time.Millisecond
+		p.times.lingerTimeout = 50 * time.Millisecond
 	})
 	for n := range 30 {
 		for range 10 {
@@ -318,7 +320,7 @@
 				io.WriteString(bad, "nonsense\r\n\r\n")
 			}
 		}
-		if a := g.raw(message("write", "x")); a.status != http.StatusOK {
+		if a := g.raw(requestText("write", "x")); a.status != http.StatusOK {
 			t.Fatalf("usual request %d got %d", n, a.status)
 		}
 	}
@@ -327,17 +329,17 @@
 // TestKeepAlive: a connection carries one request after another.
 func TestKeepAlive(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h)
+	g := startOneHost(t, h)
 	c := g.dial()
 	br := bufio.NewReader(c)
-	for n, text := range []string{message("read", ""), message("write", "x")} {
+	for n, text := range []string{requestText("read", ""), requestText("write", "x")} {
 		io.WriteString(c, text)
-		if a := hear(t, br); a.status != http.StatusOK || a.last {
+		if a := readResponse(t, br); a.status != http.StatusOK || a.closes {
 			t.Fatalf("answer %d: %+v", n, a)
 		}
 	}
-	io.WriteString(c, message("read", "", "Connection: close"))
-	if a := hear(t, br); a.status != http.StatusOK || !a.last {
+	io.WriteString(c, requestText("read", "", "Connection: close"))
+	if a := readResponse(t, br); a.status != http.StatusOK || !a.closes {
 		t.Fatalf("last answer %+v", a)
 	}
 }
@@ -347,32 +349,32 @@
 	release := newGate()
 	defer release.open()
 	h := newHost(t, release.says(ok))
-	g := one(t, h, func(p *Proxy) { p.cfg.Site.Connections.Limit = 2 })
+	g := startOneHost(t, h, func(p *Proxy) { p.cfg.Site.Connections.Limit = 2 })
 	idle := g.dial()
 	busy := []net.Conn{g.dial(), g.dial()}
 	for _, c := range busy {
-		io.WriteString(c, message("read", "", "X-Remaining: 9000m"))
+		io.WriteString(c, requestText("read", "", "X-Remaining: 9000m"))
 		h.seen.next(t, "a request")
 	}
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the idle connection: %v", err)
 	}
-	if a := g.raw(message("write", "x")); a.status != http.StatusInternalServerError || !a.last {
+	if a := g.raw(requestText("write", "x")); a.status != http.StatusInternalServerError || !a.closes {
 		t.Errorf("the one over the bound got %d", a.status)
 	}
 	h.seen.none(t, "it was sent")
 	release.open()
 	for _, c := range busy {
-		if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK {
+		if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
 			t.Errorf("a busy one got %d", a.status)
 		}
 	}
 }
 
 // narrow hands out connections whose socket holds little of what is written to them.
-type narrow struct{ net.Listener }
+type smallBufferListener struct{ net.Listener }
 
-func (n narrow) Accept() (net.Conn, error) {
+func (n smallBufferListener) Accept() (net.Conn, error) {
 	c, err := n.Listener.Accept()
 	if err == nil {
 		c.(*net.TCPConn).SetWriteBuffer(4096)
@@ -384,19 +386,19 @@
 func TestSlowReader(t *testing.T) {
 	large := strings.Repeat("x", wire.MaxBody)
 	h := newHost(t, says(httpOK(large)))
-	g := one(t, h, func(p *Proxy) {
-		p.times.answer = 100 * time.Millisecond
+	g := startOneHost(t, h, func(p *Proxy) {
+		p.times.responseTimeout = 100 * time.Millisecond
 		listen := p.listen
 		p.listen = func(network, addr string) (net.Listener, error) {
 			ln, err := listen(network, addr)
-			return narrow{ln}, err
+			return smallBufferListener{ln}, err
 		}
 	})
 	c := g.dial()
 	c.(*net.TCPConn).SetReadBuffer(4096)
-	io.WriteString(c, message("read", ""))
+	io.WriteString(c, requestText("read", ""))
 	h.seen.next(t, "the request")
-	eventually(t, "the client that takes nothing is cut off", g.nobodyHeld)
+	eventually(t, "the client that takes nothing is cut off", g.noClientConns)
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return
@@ -409,9 +411,9 @@
 // TestClientLeaves: when a client hangs up its attempt is called off by closing the connection to the host.
 func TestClientLeaves(t *testing.T) {
 	h := newHost(t, func(c net.Conn, r seenRequest) bool { return true }) // answers nothing
-	g := one(t, h)
+	g := startOneHost(t, h)
 	c := g.dial()
-	io.WriteString(c, message("write", "x"))
+	io.WriteString(c, requestText("write", "x"))
 	h.seen.next(t, "the request")
 	c.Close()
 	if err := h.ended.next(t, "the end of the connection"); err == nil {
@@ -424,17 +426,17 @@
 func TestAskOnceAndKeep(t *testing.T) {
 	const own, asked = 40, 300
 	h := newHost(t, says(ok))
-	g := one(t, h, func(p *Proxy) { p.cfg.Site.Connections.Limit = 48 })
+	g := startOneHost(t, h, func(p *Proxy) { p.cfg.Site.Connections.Limit = 48 })
 	places := make(chan struct{}, own)
 	for n := range asked {
 		select {
 		case places <- struct{}{}:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("request %d finds no place: %+v", n, g.p.front.figures())
 		}
 		c := g.dial()
-		io.WriteString(c, message("read", ""))
-		if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK {
+		io.WriteString(c, requestText("read", ""))
+		if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
 			t.Fatalf("request %d got %d", n, a.status)
 		}
 		go func() {
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -88,7 +88,7 @@
 func TestClock(t *testing.T) {
 	start := time.Now()
 	c := newClock(start)
-	if got := c.now(); got < float64(start.UnixMilli())/1000-0.01 || got > float64(start.UnixMilli())/1000+patience.Seconds() {
+	if got := c.now(); got < float64(start.UnixMilli())/1000-0.01 || got > float64(start.UnixMilli())/1000+testTimeout.Seconds() {
 		t.Fatalf("clock says %f", got)
 	}
 	if d := c.at(c.unix + 1.5).Sub(start); d < 1499*time.Millisecond || d > 1501*time.Millisecond {
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -152,7 +152,7 @@
 func (d *discovery) once(ctx context.Context) {
 	conn, err := d.dial(ctx)
 	if err == nil {
-		err = d.call(conn, true, 0, d.times.call)
+		err = d.call(conn, true, 0, d.times.listCallTimeout)
 		conn.close()
 	}
 	d.failed(ctx, err)
@@ -209,12 +209,12 @@
 func (d *discovery) next(conn *listConn, wait time.Duration) error {
 	select {
 	case <-d.fetch:
-		return d.call(conn, true, 0, d.times.call)
+		return d.call(conn, true, 0, d.times.listCallTimeout)
 	default:
 	}
-	within := d.times.call
+	within := d.times.listCallTimeout
 	if wait > shortWait {
-		within = wait + d.times.watch
+		within = wait + d.times.watchGrace
 	}
 	return d.call(conn, !d.held, wait, within)
 }
@@ -227,7 +227,7 @@
 		if conn, err = d.ready(ctx, conn); err != nil {
 			return nil, err
 		}
-		switch err = d.call(conn, false, d.wait, d.times.stepOut); {
+		switch err = d.call(conn, false, d.wait, d.times.watchHold); {
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return conn, nil
 		case err != nil:
@@ -271,7 +271,7 @@
 		d.failing = true
 		d.log.Warn("calls for the list fail, the last one serves on", zap.Error(err))
 	}
-	d.post(members{kind: balancer.ListFailed})
+	d.post(hostListReceived{kind: balancer.ListFailed})
 }
 
 // call asks once and hands the answer on.
@@ -283,7 +283,7 @@
 	began := time.Now()
 	text, err := conn.get(d.place(), path, within)
 	if line := d.log.Check(zap.DebugLevel, "list call"); line != nil {
-		left := within == d.times.stepOut && errors.Is(err, os.ErrDeadlineExceeded)
+		left := within == d.times.watchHold && errors.Is(err, os.ErrDeadlineExceeded)
 		line.Write(zap.Bool("whole", whole), zap.Duration("wait", wait), zap.Duration("took", time.Since(began)),
 			zap.Int("bytes", len(text)), zap.Bool("left", left), zap.Error(err))
 	}
@@ -317,7 +317,7 @@
 		d.log.Info("the list is told again", zap.Uint64("version", c.version))
 	}
 	d.version, d.held = c.version, true
-	d.post(members{kind: kind, list: c})
+	d.post(hostListReceived{kind: kind, list: c})
 	return nil
 }
 
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -59,8 +59,8 @@
 func TestWatch(t *testing.T) {
 	h := newHost(t, says(ok))
 	l := newList(t, entry("h1", h.addr()))
-	s := newScript()
-	start(t, l.addr(), listText(1, true, entry("old", h.addr())), s.decides)
+	s := newFakeBalancer()
+	startProxy(t, l.addr(), listText(1, true, entry("old", h.addr())), s.install)
 	if e := s.lists.next(t, "the cached list"); e.kind != balancer.ListCached || e.hosts[0].ID != hostID("old") {
 		t.Fatalf("event %+v", e)
 	}
@@ -90,8 +90,8 @@
 func TestFetch(t *testing.T) {
 	h := newHost(t, says(ok))
 	l := newList(t, entry("h1", h.addr()))
-	s := newScript()
-	g := start(t, l.addr(), "null", func(p *Proxy) {
+	s := newFakeBalancer()
+	g := startProxy(t, l.addr(), "null", func(p *Proxy) {
 		p.decide = func(_ float64, _ balancer.Config, act balancer.Actions) balancer.Handler { return s }
 	})
 	s.lists.next(t, "the cached list")
@@ -129,14 +129,14 @@
 			h := newHost(t, says(ok))
 			l := newList(t, entry("h1", h.addr()))
 			l.version, l.raw = 5, []string{c.raw}
-			s := newScript()
-			s.request = sends("h1")
-			g := start(t, l.addr(), listText(5, true, entry("h1", h.addr())), s.decides)
+			s := newFakeBalancer()
+			s.onRequest = sendsOnceTo("h1")
+			g := startProxy(t, l.addr(), listText(5, true, entry("h1", h.addr())), s.install)
 			s.lists.next(t, "the cached list")
 			if e := s.lists.next(t, "word of the failure"); e.kind != balancer.ListFailed || len(e.hosts) != 0 {
 				t.Fatalf("event %+v", e)
 			}
-			if a := g.raw(message("read", "")); a.status != 200 {
+			if a := g.raw(requestText("read", "")); a.status != 200 {
 				t.Fatalf("with the list held before: answered %d", a.status)
 			}
 			g.p.owner.post(inside(func(o *owner) { o.Watch() }))
@@ -150,15 +150,15 @@
 // TestSilentDiscovery: a call that is not answered fails in time; one that cannot connect fails too.
 func TestSilentDiscovery(t *testing.T) {
 	quiet := newToy(t, func(c net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) })
-	s := newScript()
-	start(t, quiet.addr(), listText(5, true, entry("h1", "127.0.0.1:1")), s.decides,
-		func(p *Proxy) { p.times.call = 50 * time.Millisecond })
+	s := newFakeBalancer()
+	startProxy(t, quiet.addr(), listText(5, true, entry("h1", "127.0.0.1:1")), s.install,
+		func(p *Proxy) { p.times.listCallTimeout = 50 * time.Millisecond })
 	s.lists.next(t, "the cached list")
 	if e := s.lists.next(t, "word of the failure"); e.kind != balancer.ListFailed {
 		t.Fatalf("event %+v", e)
 	}
-	s2 := newScript()
-	start(t, nobody, listText(5, true, entry("h1", "127.0.0.1:1")), s2.decides)
+	s2 := newFakeBalancer()
+	startProxy(t, refusingAddr, listText(5, true, entry("h1", "127.0.0.1:1")), s2.install)
 	s2.lists.next(t, "the cached list")
 	if e := s2.lists.next(t, "word of the failure"); e.kind != balancer.ListFailed {
 		t.Fatalf("event %+v", e)
@@ -170,8 +170,8 @@
 	h := newHost(t, says(ok))
 	l := newList(t, entry("h1", h.addr()))
 	l.raw = []string{strings.Replace(httpOK(listText(1, true, entry("h1", h.addr()))), "\r\n", "\r\nConnection: close\r\n", 1)}
-	s := newScript()
-	start(t, l.addr(), "null", s.decides)
+	s := newFakeBalancer()
+	startProxy(t, l.addr(), "null", s.install)
 	s.lists.next(t, "the cached list")
 	s.lists.next(t, "the first answer")
 	l.calls.next(t, "the first call")
@@ -189,8 +189,8 @@
 	l := newList(t, entry("h1", h.addr()))
 	l.raw = []string{"HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n",
 		strings.Replace(httpOK(listText(1, true, entry("h1", h.addr()))), "\r\n", "\r\nConnection: close\r\n", 1)}
-	s := newScript()
-	g := start(t, l.addr(), "null", s.decides, func(p *Proxy) { p.cfg.Balancer.Balancers, p.cfg.Balancer.AskWithin = 80, 1 })
+	s := newFakeBalancer()
+	g := startProxy(t, l.addr(), "null", s.install, func(p *Proxy) { p.cfg.Balancer.Balancers, p.cfg.Balancer.AskWithin = 80, 1 })
 	s.lists.next(t, "the cached list")
 	if e := s.lists.next(t, "word of the failure"); e.kind != balancer.ListFailed {
 		t.Fatalf("event %+v", e)
@@ -208,7 +208,7 @@
 	h := newHost(t, says(ok))
 	l := newList(t, entry("h1", h.addr()))
 	l.raw = []string{"", "nonsense\r\n\r\n"}
-	g := start(t, l.addr(), "null", func(p *Proxy) { p.cfg.Balancer.AskWithin = 0.2 })
+	g := startProxy(t, l.addr(), "null", func(p *Proxy) { p.cfg.Balancer.AskWithin = 0.2 })
 	g.waitReady()
 	for range 3 {
 		l.calls.next(t, "a call")
@@ -220,9 +220,9 @@
 func TestSilentWatch(t *testing.T) {
 	h := newHost(t, says(ok))
 	l := newList(t, entry("h1", h.addr()))
-	s := newScript()
-	start(t, l.addr(), listText(1, true, entry("h1", h.addr())), s.decides, func(p *Proxy) {
-		p.cfg.Balancer.AskWithin, p.times.watch = 0.001, 50*time.Millisecond // waits a second
+	s := newFakeBalancer()
+	startProxy(t, l.addr(), listText(1, true, entry("h1", h.addr())), s.install, func(p *Proxy) {
+		p.cfg.Balancer.AskWithin, p.times.watchGrace = 0.001, 50*time.Millisecond // waits a second
 		l.deaf = 1
 	})
 	for _, want := range []balancer.ListKind{balancer.ListCached, balancer.ListChanges, balancer.ListFailed,
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -16,23 +16,23 @@
 type event interface{ apply(o *owner) }
 
 // arrival is a request that has come whole.
-type arrival struct{ request *request }
+type requestReceived struct{ request *request }
 
 // departure is word that a request's client has left, or has broken the protocol and gets an answer for that.
-type departure struct {
-	request *request
-	answer  answer
+type requestAborted struct {
+	request  *request
+	response clientResponse
 }
 
 // outcome is the end of an attempt.
-type outcome struct {
-	attempt *attempt
-	result  balancer.Result
-	reply   reply
+type attemptEnded struct {
+	attempt  *attempt
+	result   balancer.Result
+	response hostResponse
 }
 
 // probed is the end of a probe.
-type probed struct {
+type probeEnded struct {
 	host   balancer.HostID
 	sent   float64
 	result balancer.Result
@@ -40,34 +40,34 @@
 }
 
 // members is word on the list.
-type members struct {
+type hostListReceived struct {
 	kind balancer.ListKind
 	list catalog
 }
 
 // stop ends the owner once nothing is in flight.
-type stop struct{}
+type stopRequested struct{}
 
 // An id that is open already is some other request's: with both out, a host could not tell them apart.
-func (e arrival) apply(o *owner) {
+func (e requestReceived) apply(o *owner) {
 	q := e.request
-	if o.open[q.name] {
-		q.answer <- badRequest{http.StatusConflict, "a request with this id is open"}.answer()
+	if o.open[q.txnID] {
+		q.response <- badRequest{http.StatusConflict, "a request with this id is open"}.response()
 		freeRequest(o.bufs, q)
 		return
 	}
 	if q.names != o.names { // other settings came between
-		if bad := o.names.adopt(q); bad != nil {
-			q.answer <- bad.answer()
+		if bad := o.names.reindex(q); bad != nil {
+			q.response <- bad.response()
 			freeRequest(o.bufs, q)
 			return
 		}
 	}
-	o.open[q.name] = true
+	o.open[q.txnID] = true
 	o.lastID++
 	q.ID = o.lastID
 	now := o.clock.now()
-	q.Budget = max(0, q.Budget-time.Since(q.taken).Seconds()) // it may have waited in the queue
+	q.Budget = max(0, q.Budget-time.Since(q.receivedAt).Seconds()) // it may have waited in the queue
 	if o.endBy > 0 {
 		q.Budget = max(0, min(q.Budget, o.endBy-now))
 	}
@@ -76,55 +76,55 @@
 	o.bal.Request(now, q.Request)
 }
 
-func (e departure) apply(o *owner) {
+func (e requestAborted) apply(o *owner) {
 	f := o.flights[e.request.ID]
 	if f == nil {
 		return
 	}
 	if f.answered {
-		f.leave()
+		f.abandonResponse()
 		return
 	}
-	o.conclude(f, e.answer)
+	o.conclude(f, e.response)
 	o.bal.ClientLeft(o.clock.now(), e.request.ID)
 	o.drop(f)
 }
 
-func (e outcome) apply(o *owner) {
+func (e attemptEnded) apply(o *owner) {
 	a := e.attempt
 	f := o.flights[a.request.ID]
 	if line := o.log.Check(zap.DebugLevel, "attempt"); line != nil {
-		line.Write(zap.String("id", a.request.name), zap.Int("class", a.request.Class), zap.Int("attempt", a.number),
-			zap.String("host", fmt.Sprintf("%x", a.host)), zap.Stringer("result", e.result), zap.Int("status", e.reply.status),
-			zap.Float64("took", o.clock.now()-a.sent), zap.NamedError("cause", e.reply.err))
+		line.Write(zap.String("id", a.request.txnID), zap.Int("class", a.request.Class), zap.Int("attempt", a.number),
+			zap.String("host", fmt.Sprintf("%x", a.host)), zap.Stringer("result", e.result), zap.Int("status", e.response.status),
+			zap.Float64("took", o.clock.now()-a.sentAt), zap.NamedError("cause", e.response.err))
 	}
-	a.over = true
+	a.ended = true
 	f.out--
 	switch {
 	case f.answered:
 	case e.result == balancer.OK:
-		o.conclude(f, answer{status: http.StatusOK, kind: e.reply.kind, body: e.reply.body})
-		e.reply.body = wire.Body{}
-	case e.result == balancer.Errored && atFault(e.reply.status):
-		o.conclude(f, answer{status: e.reply.status, text: "a host cannot use the request\n"})
+		o.conclude(f, clientResponse{status: http.StatusOK, contentType: e.response.contentType, body: e.response.body})
+		e.response.body = wire.Body{}
+	case e.result == balancer.Errored && blamesRequest(e.response.status):
+		o.conclude(f, clientResponse{status: e.response.status, text: "a host cannot use the request\n"})
 		e.result = balancer.Cancelled // says nothing about the host, and no other would take it
 	}
-	o.bufs.FreeBody(&e.reply.body)
+	o.bufs.FreeBody(&e.response.body)
 	now := o.clock.now()
-	took := cmp.Or(a.begunAt, now) - a.sent
+	took := cmp.Or(a.responseStartedAt, now) - a.sentAt
 	o.sight.ended(now, took, a, e.result, o.cfg.Classes)
 	o.bal.Outcome(now, balancer.Outcome{ID: a.request.ID, Attempt: a.number, Host: a.host, Result: e.result,
-		Took: took, Final: f.answered, Report: e.reply.report})
+		Took: took, Final: f.answered, Report: e.response.loadReport})
 	o.drop(f)
 }
 
-func (e probed) apply(o *owner) {
+func (e probeEnded) apply(o *owner) {
 	o.probes--
 	now := o.clock.now()
 	o.bal.Probed(now, balancer.ProbeResult{Host: e.host, Result: e.result, Took: now - e.sent, Report: e.report})
 }
 
-func (e members) apply(o *owner) {
+func (e hostListReceived) apply(o *owner) {
 	now := o.clock.now()
 	list := e.list
 	if e.kind != balancer.ListFailed {
@@ -138,12 +138,12 @@
 		close(o.known)
 	}
 	if e.kind == balancer.ListFull || e.kind == balancer.ListChanges {
-		o.told()
+		o.markListFresh()
 	}
 }
 
 // told notes that discovery has told of the list.
-func (o *owner) told() {
+func (o *owner) markListFresh() {
 	select {
 	case <-o.fresh:
 	default:
@@ -153,27 +153,27 @@
 	}
 }
 
-func (stop) apply(o *owner) { o.stopping = true }
+func (stopRequested) apply(o *owner) { o.stopping = true }
 
 // configured is word of other settings. Requests that are open keep the deadline, effect and attempts that they came with.
-type configured struct {
+type configChanged struct {
 	cfg     balancer.Config
-	names   *names
+	names   *nameIndex
 	applied chan struct{}
 }
 
-func (e configured) apply(o *owner) {
-	o.bal.Configure(o.clock.now(), e.cfg, e.names.kept(o.names))
+func (e configChanged) apply(o *owner) {
+	o.bal.Configure(o.clock.now(), e.cfg, e.names.previousClasses(o.names))
 	o.cfg, o.names = e.cfg, e.names
 	close(e.applied)
 }
 
 // ending is word that the process ends at a time: what it still takes has to be answered by then.
-type ending struct{ by float64 }
+type shutdownScheduled struct{ at float64 }
 
-func (e ending) apply(o *owner) { o.endBy = e.by }
+func (e shutdownScheduled) apply(o *owner) { o.endBy = e.at }
 
 // dropped looks, once the module has returned, whether a flight has ended.
-type dropped struct{ flight *flight }
+type dropCheck struct{ flight *flight }
 
-func (e dropped) apply(o *owner) { o.drop(e.flight) }
+func (e dropCheck) apply(o *owner) { o.drop(e.flight) }
--- a/internal/proxy/figures.go
+++ b/internal/proxy/figures.go
@@ -20,11 +20,11 @@
 	Hosts  int // connections to hosts
 }
 
-func (f *front) figures() frontFigures {
+func (f *frontend) figures() frontFigures {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return frontFigures{Places: f.book.Figures(), Desk: f.desk.Figures(), Warm: f.warm,
-		Limit: min(f.limits.connections, f.room.limit(places.Callers)), Hosts: f.room.hostCount()}
+	return frontFigures{Places: f.connTable.Figures(), Desk: f.admission.Figures(), Warm: f.warm,
+		Limit: min(f.limits.maxConns, f.budget.limit(places.Callers)), Hosts: f.budget.hostCount()}
 }
 
 // MarshalLogObject words the figures for the log. Counters run from the start.
@@ -55,7 +55,7 @@
 
 // reporter logs figures now and then, if anything has happened.
 type reporter struct {
-	front *front
+	front *frontend
 	last  frontFigures
 	due   time.Time
 }
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -13,38 +13,38 @@
 )
 
 // mute is a connection whose other side takes everything and says nothing.
-type mute struct{ net.Conn }
+type silentConn struct{ net.Conn }
 
-func (mute) Write(b []byte) (int, error)      { return len(b), nil }
-func (mute) SetWriteDeadline(time.Time) error { return nil }
+func (silentConn) Write(b []byte) (int, error)      { return len(b), nil }
+func (silentConn) SetWriteDeadline(time.Time) error { return nil }
 
 // FuzzRequest: whatever a client sends is a request, a plain 4xx or a close, and nothing stays taken from the pool.
 func FuzzRequest(f *testing.F) {
-	for _, text := range []string{"", "GET", message("read", ""), message("write", "abc"),
-		message("write", "3\r\nabc\r\n0\r\n\r\n", "Content-Length: ", "Transfer-Encoding: chunked"),
-		message("log", "x", "Expect: 100-continue"), "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n",
-		message("read", "", "Connection: X-Txn, X-Entity"), message("novel", ""), message("read", "", "X-Remaining: 1e999m")} {
+	for _, text := range []string{"", "GET", requestText("read", ""), requestText("write", "abc"),
+		requestText("write", "3\r\nabc\r\n0\r\n\r\n", "Content-Length: ", "Transfer-Encoding: chunked"),
+		requestText("log", "x", "Expect: 100-continue"), "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n",
+		requestText("read", "", "Connection: X-Txn, X-Entity"), requestText("novel", ""), requestText("read", "", "X-Remaining: 1e999m")} {
 		f.Add([]byte(text))
 	}
-	n := &names{classes: map[string]int{"read": 0, "write": 1, "log": 2}, tenants: map[string]int{"acme": 0},
+	n := &nameIndex{classes: map[string]int{"read": 0, "write": 1, "log": 2}, tenants: map[string]int{"acme": 0},
 		effects: []balancer.Effect{balancer.Safe, balancer.Unsafe, balancer.Keyed}}
 	f.Fuzz(func(t *testing.T, in []byte) {
 		bufs := wire.NewPool()
-		c := &client{front: &front{bufs: bufs, times: quickTiming()}, conn: mute{}, meter: wire.Meter{R: bytes.NewReader(in)}}
+		c := &clientConn{front: &frontend{bufs: bufs, times: testTiming()}, conn: silentConn{}, meter: wire.Meter{R: bytes.NewReader(in)}}
 		c.front.names.Store(n)
 		c.br = bufio.NewReaderSize(&c.meter, wire.BufferSize)
-		c.meter.Allow(maxHead)
+		c.meter.Allow(maxHeadBytes)
 		r, err := http.ReadRequest(c.br)
 		var q *request
-		bad := c.errorFor(err)
+		bad := c.readError(err)
 		if err == nil {
 			if q, bad = c.parse(r); (q == nil) == (bad == nil) {
 				t.Fatal("neither a request nor an answer, or both")
 			}
 		}
 		if q != nil {
-			if q.Budget < 0 || q.Budget > mostRemaining || q.Work < 0 || q.body.Size > wire.MaxBody ||
-				!bytes.Contains(q.head[:q.headed], []byte("\r\n"+headerID+": ")) {
+			if q.Budget < 0 || q.Budget > maxRemainingSeconds || q.Work < 0 || q.body.Size > wire.MaxBody ||
+				!bytes.Contains(q.head[:q.headLen], []byte("\r\n"+headerID+": ")) {
 				t.Fatalf("request %+v", q.Request)
 			}
 			freeRequest(bufs, q)
@@ -70,9 +70,9 @@
 		near, far := net.Pipe()
 		defer far.Close()
 		defer near.Close()
-		of := &hosts{bufs: bufs}
-		of.by.Store(&hostSettings{columns: []string{"cpu"}})
-		c := &hostConn{up: &upstream{hosts: of}, conn: near,
+		of := &hostPool{bufs: bufs}
+		of.settings.Store(&hostSettings{reportColumns: []string{"cpu"}})
+		c := &hostConn{upstream: &upstream{pool: of}, conn: near,
 			meter: wire.Meter{R: bytes.NewReader(in)}}
 		c.br = bufio.NewReaderSize(&c.meter, wire.BufferSize)
 		call := newCall()
@@ -80,12 +80,12 @@
 		go func() { // takes nothing of a long one
 			defer close(over)
 			select {
-			case b := <-call.begun:
-				b.long.leave()
+			case b := <-call.started:
+				b.stream.abandon()
 			case <-read:
 			}
 		}()
-		r := c.readReply(call)
+		r := c.readResponse(call)
 		close(read)
 		<-over
 		if r.err == nil && r.result.NeverRan() && !bytes.Contains(bytes.ToLower(in), []byte("x-turned-away")) {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -20,10 +20,10 @@
 )
 
 // patience bounds every wait of the tests; nothing that passes comes near it.
-const patience = 40 * time.Second
+const testTimeout = 40 * time.Second
 
 // nobody is an address that refuses connections. One that a test has freed could be given to the next listener.
-const nobody = "127.0.0.1:1"
+const refusingAddr = "127.0.0.1:1"
 
 const testSettings = `{"Balancers": 2, "Me": 0, "Zone": 0, "Dcs": ["a", "b"], "Discovery": "ask",
  "Classes": [
@@ -39,20 +39,20 @@
   "TipAfterS": 2.0}}`
 
 // watched is a channel of what a toy saw, with waiting that fails the test.
-type watched[T any] chan T
+type eventChan[T any] chan T
 
-func (w watched[T]) next(t testing.TB, what string) T {
+func (w eventChan[T]) next(t testing.TB, what string) T {
 	t.Helper()
 	select {
 	case v := <-w:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("waited in vain for %s", what)
 		panic("unreachable")
 	}
 }
 
-func (w watched[T]) none(t testing.TB, what string) {
+func (w eventChan[T]) none(t testing.TB, what string) {
 	t.Helper()
 	select {
 	case v := <-w:
@@ -62,24 +62,24 @@
 }
 
 // rig is a running client proxy.
-type rig struct {
-	t     testing.TB
-	p     *Proxy
-	addr  string
-	tell  context.CancelFunc // as SIGTERM does
-	ended chan error
+type testProxy struct {
+	t        testing.TB
+	p        *Proxy
+	addr     string
+	shutDown context.CancelFunc // as SIGTERM does
+	ended    chan error
 }
 
 // quickTiming is short where a test would only wait, and long where it would race.
-func quickTiming() timing {
+func testTiming() timing {
 	q := defaultTiming()
 	q.set(site.Default().Connections)
-	q.drain, q.backlog, q.last, q.linger = 20*time.Millisecond, 20*time.Millisecond, 20*time.Millisecond, patience
+	q.drainPeriod, q.backlogPeriod, q.lastRequestPeriod, q.lingerTimeout = 20*time.Millisecond, 20*time.Millisecond, 20*time.Millisecond, testTimeout
 	return q
 }
 
 // start runs a client proxy with the list that discovery has. known is what it held before.
-func start(t testing.TB, discovery string, known string, change ...func(*Proxy)) *rig {
+func startProxy(t testing.TB, discovery string, known string, change ...func(*Proxy)) *testProxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -93,33 +93,33 @@
 		t.Fatal(err)
 	}
 	p := New(cfg, zap.NewNop())
-	p.times = quickTiming()
+	p.times = testTiming()
 	p.listen = func(string, string) (net.Listener, error) { return ln, nil }
 	for _, f := range change {
 		f(p)
 	}
 	ctx, tell := context.WithCancel(context.Background())
-	g := &rig{t: t, p: p, addr: ln.Addr().String(), tell: tell, ended: make(chan error, 1)}
+	g := &testProxy{t: t, p: p, addr: ln.Addr().String(), shutDown: tell, ended: make(chan error, 1)}
 	go func() { g.ended <- p.Run(ctx) }()
 	t.Cleanup(g.stop)
 	return g
 }
 
 // stop ends the proxy and checks that nothing of it is left.
-func (g *rig) stop() {
+func (g *testProxy) stop() {
 	g.t.Helper()
-	g.tell()
+	g.shutDown()
 	select {
 	case err := <-g.ended:
 		if err != nil {
 			g.t.Errorf("the proxy ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		g.t.Fatal("the proxy does not end")
 	}
 	g.ended <- nil // for a second stop
 	// Attempts and connections of the last requests end on their own; wait for the pool to be whole again.
-	for end := time.Now().Add(patience); g.p.bufs.Live() != 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); g.p.bufs.Live() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			g.t.Fatalf("%d buffers left", g.p.bufs.Live())
 		}
@@ -127,10 +127,10 @@
 }
 
 // one starts a proxy with a single host.
-func one(t testing.TB, h *toyHost, change ...func(*Proxy)) *rig {
+func startOneHost(t testing.TB, h *toyHost, change ...func(*Proxy)) *testProxy {
 	t.Helper()
 	l := newList(t, entry("h1", h.addr()))
-	g := start(t, l.addr(), "null", change...)
+	g := startProxy(t, l.addr(), "null", change...)
 	g.waitReady()
 	return g
 }
@@ -138,20 +138,20 @@
 // TestMain checks after all tests that no goroutine is left.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func (g *rig) dial() net.Conn {
+func (g *testProxy) dial() net.Conn {
 	g.t.Helper()
 	c, err := net.Dial("tcp", g.addr)
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	g.t.Cleanup(func() { c.Close() })
 	return c
 }
 
-func (g *rig) waitReady() {
+func (g *testProxy) waitReady() {
 	g.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if a := g.raw("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"); a.status == http.StatusOK {
 			break
 		}
@@ -159,11 +159,11 @@
 			g.t.Fatal("the proxy does not get ready")
 		}
 	}
-	eventually(g.t, "the connections that asked are gone", g.nobodyHeld)
+	eventually(g.t, "the connections that asked are gone", g.noClientConns)
 }
 
 // nobodyHeld says whether the proxy holds no connection of a client.
-func (g *rig) nobodyHeld() bool {
+func (g *testProxy) noClientConns() bool {
 	n := 0
 	for _, held := range g.p.front.figures().Places.Held {
 		n += held
@@ -172,45 +172,45 @@
 }
 
 // heard is an answer as a client got it.
-type heard struct {
+type receivedResponse struct {
 	status int
 	header http.Header
 	text   string
-	last   bool // the connection ends
+	closes bool // the connection ends
 }
 
 // hear reads an answer. A status of zero means that the connection ended without one.
-func hear(t testing.TB, br *bufio.Reader) heard {
+func readResponse(t testing.TB, br *bufio.Reader) receivedResponse {
 	t.Helper()
 	r, err := http.ReadResponse(br, nil)
 	if err != nil {
-		return heard{last: true}
+		return receivedResponse{closes: true}
 	}
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
 		t.Fatalf("answer cut short: %v", err)
 	}
-	return heard{r.StatusCode, r.Header, string(text), r.Close}
+	return receivedResponse{r.StatusCode, r.Header, string(text), r.Close}
 }
 
 // raw sends bytes on a new connection and returns the answer.
-func (g *rig) raw(text string) heard {
+func (g *testProxy) raw(text string) receivedResponse {
 	g.t.Helper()
 	c := g.dial()
 	defer c.Close()
 	io.WriteString(c, text)
-	return hear(g.t, bufio.NewReader(c))
+	return readResponse(g.t, bufio.NewReader(c))
 }
 
-var lastTxn atomic.Int64
+var lastTxnID atomic.Int64
 
 // message words a request of a class under an id of its own; further headers may replace the usual ones.
-func message(class, text string, headers ...string) string {
+func requestText(class, text string, headers ...string) string {
 	method := http.MethodPost
 	if class == "read" {
 		method = http.MethodGet
 	}
-	lines := map[string]string{"Host": "api.internal", headerID: fmt.Sprint("id-", lastTxn.Add(1)), headerClass: class, headerTenant: "acme",
+	lines := map[string]string{"Host": "api.internal", headerID: fmt.Sprint("id-", lastTxnID.Add(1)), headerClass: class, headerTenant: "acme",
 		headerKey: "k", headerRemaining: "1400m"}
 	if method == http.MethodPost {
 		lines["Content-Length"] = strconv.Itoa(len(text))
--- a/internal/proxy/hosts_test.go
+++ b/internal/proxy/hosts_test.go
@@ -15,21 +15,21 @@
 // TestDrainWhileQueued: word of a drain comes while attempts wait for a connection. Past the grace none is written.
 func TestDrainWhileQueued(t *testing.T) {
 	h := newHost(t, says(ok))
-	s := newScript()
-	s.request = sends("h1")
-	g := one(t, h, s.decides)
+	s := newFakeBalancer()
+	s.onRequest = sendsOnceTo("h1")
+	g := startOneHost(t, h, s.install)
 	up := g.p.hosts.find(hostID("h1"))
 	up.mu.Lock() // attempts stop on their way to a connection
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
-			if a := g.raw(message("write", "x")); a.status != http.StatusBadGateway {
+			if a := g.raw(requestText("write", "x")); a.status != http.StatusBadGateway {
 				t.Errorf("answered %d", a.status)
 			}
 		})
 	}
 	// Told so long ago that the grace is over.
-	up.drained = g.p.hosts.clock.now() - g.p.hosts.by.Load().grace - 1
+	up.drainedAt = g.p.hosts.clock.now() - g.p.hosts.settings.Load().drainGraceSeconds - 1
 	up.mu.Unlock()
 	for range 8 {
 		if o := s.outcomes.next(t, "an outcome"); !o.Result.NeverRan() {
@@ -44,9 +44,9 @@
 func TestDrained(t *testing.T) {
 	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
 	l := newList(t, entry("h1", h1.addr()))
-	g := start(t, l.addr(), "null", func(p *Proxy) { p.cfg.Settings.Limits.ConnIdleS = 1000 })
+	g := startProxy(t, l.addr(), "null", func(p *Proxy) { p.cfg.Settings.Limits.ConnIdleS = 1000 })
 	g.waitReady()
-	g.raw(message("read", ""))
+	g.raw(requestText("read", ""))
 	h1.seen.next(t, "a request")
 	drains := entry("h1", h1.addr())
 	drains.State = "draining"
@@ -54,9 +54,9 @@
 	if err := h1.ended.next(t, "the end of the idle connection"); !errors.Is(err, io.EOF) {
 		t.Fatalf("it ended with %v", err)
 	}
-	g.settled(l)
+	g.awaitListApplied(l)
 	for n := range 20 {
-		if a := g.raw(message("read", "", fmt.Sprintf("X-Entity: k%d", n))); a.status != http.StatusOK {
+		if a := g.raw(requestText("read", "", fmt.Sprintf("X-Entity: k%d", n))); a.status != http.StatusOK {
 			t.Fatalf("answered %d", a.status)
 		}
 	}
@@ -67,13 +67,13 @@
 func TestMovedHost(t *testing.T) {
 	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
 	l := newList(t, entry("h", h1.addr()))
-	g := start(t, l.addr(), "null")
+	g := startProxy(t, l.addr(), "null")
 	g.waitReady()
-	g.raw(message("read", ""))
+	g.raw(requestText("read", ""))
 	h1.seen.next(t, "a request at the first address")
 	l.set(entry("h", h2.addr()))
-	g.settled(l)
-	if a := g.raw(message("read", "")); a.status != http.StatusOK {
+	g.awaitListApplied(l)
+	if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
 		t.Fatalf("answered %d", a.status)
 	}
 	h2.seen.next(t, "a request at the second address")
@@ -83,8 +83,8 @@
 // TestIdleRetired: an idle connection is closed before the host would.
 func TestIdleRetired(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h, func(p *Proxy) { p.cfg.Settings.Limits.ConnIdleS = 0.02 })
-	g.raw(message("read", ""))
+	g := startOneHost(t, h, func(p *Proxy) { p.cfg.Settings.Limits.ConnIdleS = 0.02 })
+	g.raw(requestText("read", ""))
 	if err := h.ended.next(t, "the end of the idle connection"); !errors.Is(err, io.EOF) {
 		t.Fatalf("it ended with %v", err)
 	}
@@ -93,18 +93,18 @@
 // TestFewDescriptors: with all places for connections to hosts taken by idle ones, the oldest makes room.
 func TestFewDescriptors(t *testing.T) {
 	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
-	s := newScript()
-	s.request = func(s *script, r balancer.Request) { s.act.Send(r.ID, balancer.HostID(r.Key), 0) } // hashed alike
+	s := newFakeBalancer()
+	s.onRequest = func(s *fakeBalancer, r balancer.Request) { s.act.Send(r.ID, balancer.HostID(r.Key), 0) } // hashed alike
 	l := newList(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
-	g := start(t, l.addr(), "null", s.decides, func(p *Proxy) {
+	g := startProxy(t, l.addr(), "null", s.install, func(p *Proxy) {
 		p.cfg.Limits.Sockets = spareSockets + shedReserve + 2 // one to hosts
 	})
 	g.waitReady()
 	c := g.dial() // one for all: the bound holds for clients too, and one that has just left may still count
 	br := bufio.NewReader(c)
 	for _, to := range []string{"h1", "h2", "h1"} {
-		io.WriteString(c, message("write", "x", "X-Entity: "+to))
-		if a := hear(t, br); a.status != http.StatusOK {
+		io.WriteString(c, requestText("write", "x", "X-Entity: "+to))
+		if a := readResponse(t, br); a.status != http.StatusOK {
 			t.Fatalf("%s: answered %d", to, a.status)
 		}
 	}
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -22,10 +22,10 @@
 )
 
 // desks lets every address be a caller, as on a site with desk tools, so that none is judged by the others.
-func desks(p *Proxy) { p.cfg.Site.Connections.Callers = site.Address }
+func callersByAddress(p *Proxy) { p.cfg.Site.Connections.Callers = site.Address }
 
 // crowd opens connections from addresses of their own that ask once, and waits until all are parked.
-func (g *rig) crowd(n int) []net.Conn {
+func (g *testProxy) openIdleConns(n int) []net.Conn {
 	g.t.Helper()
 	conns := make([]net.Conn, n)
 	for i := range conns {
@@ -35,26 +35,26 @@
 			g.t.Fatal(err)
 		}
 		g.t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(patience))
-		io.WriteString(c, message("read", ""))
-		if a := hear(g.t, bufio.NewReader(c)); a.status != http.StatusOK {
+		c.SetDeadline(time.Now().Add(testTimeout))
+		io.WriteString(c, requestText("read", ""))
+		if a := readResponse(g.t, bufio.NewReader(c)); a.status != http.StatusOK {
 			g.t.Fatalf("connection %d got %d", i, a.status)
 		}
 		conns[i] = c
 	}
-	g.await("all are parked", func() bool { return g.parked() >= n })
+	g.waitUntil("all are parked", func() bool { return g.parkedConns() >= n })
 	return conns
 }
 
 // parked is how many idle connections wait without a goroutine.
-func (g *rig) parked() int {
+func (g *testProxy) parkedConns() int {
 	f := g.p.front.figures()
 	return f.Places.Held[places.Once] + f.Places.Held[places.Often] + f.Places.Held[places.Trial] - f.Warm - f.Desk.Serving
 }
 
-func (g *rig) await(what string, true func() bool) {
+func (g *testProxy) waitUntil(what string, true func() bool) {
 	g.t.Helper()
-	for end := time.Now().Add(patience); !true(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !true(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			g.t.Fatalf("waited in vain until %s: %+v", what, g.p.front.figures())
 		}
@@ -77,16 +77,16 @@
 // TestParkedCost: of many an idle connection has neither a goroutine nor a buffer, and is served like any other when it wakes.
 func TestParkedCost(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h, desks, func(p *Proxy) { p.cfg.Limits.MemoryMB = 16 }) // too little for a goroutine each
-	g.crowd(1)
+	g := startOneHost(t, h, callersByAddress, func(p *Proxy) { p.cfg.Limits.MemoryMB = 16 }) // too little for a goroutine each
+	g.openIdleConns(1)
 	goroutines, buffers := runtime.NumGoroutine(), g.p.bufs.Live()
-	conns := g.crowd(200)
-	g.await("the rest has settled", func() bool { return runtime.NumGoroutine() <= goroutines+20 }) // of the host, mostly
+	conns := g.openIdleConns(200)
+	g.waitUntil("the rest has settled", func() bool { return runtime.NumGoroutine() <= goroutines+20 }) // of the host, mostly
 	if n := g.p.bufs.Live(); n > buffers+4 {
 		t.Errorf("%d buffers with 200 more idle connections, %d before", n, buffers)
 	}
-	io.WriteString(conns[7], message("write", "x"))
-	if a := hear(t, bufio.NewReader(conns[7])); a.status != http.StatusOK {
+	io.WriteString(conns[7], requestText("write", "x"))
+	if a := readResponse(t, bufio.NewReader(conns[7])); a.status != http.StatusOK {
 		t.Errorf("woken: %d", a.status)
 	}
 }
@@ -99,17 +99,17 @@
 		time.Sleep(time.Millisecond)
 		return says(ok)(c, r)
 	})
-	g := one(t, h, desks, func(p *Proxy) { p.cfg.Limits.MemoryMB = 16 }) // 64 requests at once
-	conns := g.crowd(many)
+	g := startOneHost(t, h, callersByAddress, func(p *Proxy) { p.cfg.Limits.MemoryMB = 16 }) // 64 requests at once
+	conns := g.openIdleConns(many)
 	for range many {
 		h.seen.next(t, "the first requests")
 	}
 	var wg sync.WaitGroup
-	got := make(chan heard, many)
+	got := make(chan receivedResponse, many)
 	for _, c := range conns {
 		wg.Go(func() {
-			io.WriteString(c, message("write", "x", "X-Remaining: 1000m"))
-			got <- hear(t, bufio.NewReader(c))
+			io.WriteString(c, requestText("write", "x", "X-Remaining: 1000m"))
+			got <- readResponse(t, bufio.NewReader(c))
 		})
 	}
 	wg.Wait()
@@ -144,28 +144,28 @@
 		<-release.opened
 		return says(ok)(c, r)
 	})
-	s := newScript()
-	s.request = sends("h1")
-	g := one(t, h, s.decides, desks, func(p *Proxy) { p.cfg.Limits.MemoryMB = 1 }) // three requests at once
+	s := newFakeBalancer()
+	s.onRequest = sendsOnceTo("h1")
+	g := startOneHost(t, h, s.install, callersByAddress, func(p *Proxy) { p.cfg.Limits.MemoryMB = 1 }) // three requests at once
 	most := g.p.front.figures().Desk.Most
 	busy := make([]net.Conn, most)
 	for i := range busy {
 		busy[i] = g.dial()
-		io.WriteString(busy[i], message("write", "x", "X-Remaining: 9000m"))
+		io.WriteString(busy[i], requestText("write", "x", "X-Remaining: 9000m"))
 		h.seen.next(t, "a request")
 	}
 	c := g.dial()
 	br := bufio.NewReader(c)
 	for range 2 {
-		io.WriteString(c, message("write", "x", "X-Remaining: 9000m"))
-		if a := hear(t, br); a.status != http.StatusServiceUnavailable || a.last || a.header.Get("Retry-After") == "" {
+		io.WriteString(c, requestText("write", "x", "X-Remaining: 9000m"))
+		if a := readResponse(t, br); a.status != http.StatusServiceUnavailable || a.closes || a.header.Get("Retry-After") == "" {
 			t.Fatalf("answer %+v", a)
 		}
 	}
 	h.seen.none(t, "a refused request was sent")
 	release.open()
 	for _, c := range busy {
-		if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK {
+		if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
 			t.Errorf("one that was worked on got %d", a.status)
 		}
 	}
@@ -175,21 +175,21 @@
 // served, and told that the connection ends.
 func TestCloseCrossesRequest(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h, desks)
-	c := g.crowd(1)[0]
+	g := startOneHost(t, h, callersByAddress)
+	c := g.openIdleConns(1)[0]
 	h.seen.next(t, "its first request")
 	f := g.p.front
 	f.mu.Lock() // the report of the request waits for it
-	held := f.book.Held(places.Once)
-	io.WriteString(c, message("write", "x"))
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if bytes, _ := wire.Arrived(held.Holder().(*client).conn); bytes {
+	held := f.connTable.Held(places.Once)
+	io.WriteString(c, requestText("write", "x"))
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		if bytes, _ := wire.Arrived(held.Holder().(*clientConn).conn); bytes {
 			break
 		}
 	}
-	f.book.Shed(f.now())
-	f.unlockAndEnd(f.now(), endAtOnce)
-	if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK || !a.last {
+	f.connTable.Shed(f.now())
+	f.unlockAndClose(f.now(), maxInlineCloses)
+	if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK || !a.closes {
 		t.Fatalf("answer %+v", a)
 	}
 	h.seen.next(t, "the request")
@@ -200,40 +200,40 @@
 // are answered.
 func TestExpireTogether(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h, desks, func(p *Proxy) { p.times.drain = 300 * time.Millisecond })
-	g.crowd(400)
+	g := startOneHost(t, h, callersByAddress, func(p *Proxy) { p.times.drainPeriod = 300 * time.Millisecond })
+	g.openIdleConns(400)
 	f := g.p.front
-	f.seat(func(now time.Duration) {
-		c := bookConfig(f.limits, f.times)
+	f.updateTable(func(now time.Duration) {
+		c := connTableConfig(f.limits, f.times)
 		c.Idle, c.IdleLeast = 0, 0
-		f.book.Configure(c)
+		f.connTable.Configure(c)
 	})
-	g.tell()
+	g.shutDown()
 	for i := range 20 {
 		c := g.dial()
-		io.WriteString(c, message("write", "x"))
-		if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK {
+		io.WriteString(c, requestText("write", "x"))
+		if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
 			t.Fatalf("request %d got %d", i, a.status)
 		}
 	}
-	g.await("the idle ones are gone", func() bool { return f.figures().Places.Callers <= 1 })
+	g.waitUntil("the idle ones are gone", func() bool { return f.figures().Places.Callers <= 1 })
 	g.stop()
 }
 
 // short is a listener that fails for want of descriptors until it is told otherwise.
-type short struct {
+type failingListener struct {
 	net.Listener
-	failing chan struct{} // closed: no longer
-	tries   watched[bool]
+	failing  chan struct{} // closed: no longer
+	attempts eventChan[bool]
 }
 
-func (s short) Accept() (net.Conn, error) {
+func (s failingListener) Accept() (net.Conn, error) {
 	select {
 	case <-s.failing:
 		return s.Listener.Accept()
 	default:
 		select {
-		case s.tries <- true:
+		case s.attempts <- true:
 		default:
 		}
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
@@ -248,35 +248,35 @@
 		t.Fatal(err)
 	}
 	core, logs := observer.New(zap.WarnLevel)
-	l := short{ln, make(chan struct{}), make(watched[bool], 1)}
-	f, err := newFront(l, frontLimits{most: 4, connections: 4, desk: places.DeskConfig{Most: 1, Burst: 1, Pace: 1}},
-		newRoom(Limits{Sockets: 100}), nil, nil, wire.NewPool(), nil, quickTiming(), zap.New(core))
+	l := failingListener{ln, make(chan struct{}), make(eventChan[bool], 1)}
+	f, err := newFrontend(l, frontendLimits{machineMax: 4, maxConns: 4, admission: places.DeskConfig{Most: 1, Burst: 1, Pace: 1}},
+		newConnBudget(Limits{Sockets: 100}), nil, nil, wire.NewPool(), nil, testTiming(), zap.New(core))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.stop()
 	near, far := net.Pipe()
-	idle := &client{front: f, conn: near}
+	idle := &clientConn{front: f, conn: near}
 	f.wg.Add(1)
-	f.seat(func(now time.Duration) {
+	f.updateTable(func(now time.Duration) {
 		f.open++
-		f.book.Enter(now, origin(near), &idle.seat, idle)
-		f.book.Work(now, &idle.seat)
-		f.book.Rest(now, &idle.seat)
+		f.connTable.Enter(now, sourceIP(near), &idle.entry, idle)
+		f.connTable.Work(now, &idle.entry)
+		f.connTable.Rest(now, &idle.entry)
 		idle.parked = true
 	})
-	accepted := make(watched[bool], 1)
+	accepted := make(eventChan[bool], 1)
 	go func() {
 		f.accept()
 		accepted <- true
 	}()
-	l.tries.next(t, "an accept")
-	far.SetReadDeadline(time.Now().Add(patience))
+	l.attempts.next(t, "an accept")
+	far.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := far.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the idle connection: %v", err)
 	}
-	l.tries.next(t, "another accept")
-	l.tries.next(t, "one more")
+	l.attempts.next(t, "another accept")
+	l.attempts.next(t, "one more")
 	if n := logs.FilterMessage("accept failed").Len(); n != 1 {
 		t.Errorf("%d lines in the log", n)
 	}
@@ -297,11 +297,11 @@
 		}
 		return says(ok)(c, r)
 	})
-	g := one(t, h, desks)
-	g.crowd(50)
+	g := startOneHost(t, h, callersByAddress)
+	g.openIdleConns(50)
 	busy := g.dial()
-	io.WriteString(busy, message("write", "x", "X-Remaining: 9000m"))
-	g.await("it is worked on", func() bool { return g.p.front.figures().Places.Held[places.Active] == 1 })
+	io.WriteString(busy, requestText("write", "x", "X-Remaining: 9000m"))
+	g.waitUntil("it is worked on", func() bool { return g.p.front.figures().Places.Held[places.Active] == 1 })
 	path := filepath.Join(t.TempDir(), "site.toml")
 	reread := func() (*Config, error) {
 		c := *g.p.cfg
@@ -318,7 +318,7 @@
 	if err := g.p.adopt(); err != nil {
 		t.Fatal(err)
 	}
-	g.await("ten are left", func() bool {
+	g.waitUntil("ten are left", func() bool {
 		held := 0
 		for _, n := range g.p.front.figures().Places.Held {
 			held += n
@@ -326,7 +326,7 @@
 		return held <= 10
 	})
 	release.open()
-	if a := hear(t, bufio.NewReader(busy)); a.status != http.StatusOK {
+	if a := readResponse(t, bufio.NewReader(busy)); a.status != http.StatusOK {
 		t.Errorf("the one worked on got %d", a.status)
 	}
 }
@@ -335,18 +335,18 @@
 // that waits gets it; and what is held together never passes what there is.
 func TestLent(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h, desks, func(p *Proxy) { p.cfg.Limits.Sockets = 240 })
+	g := startOneHost(t, h, callersByAddress, func(p *Proxy) { p.cfg.Limits.Sockets = 240 })
 	total, clients, hosts := g.p.cfg.Limits.shares()
-	room := g.p.hosts.room
-	g.p.hosts.giveBack(total)
-	g.await("no connection to the host is left", func() bool { return room.hostCount() == 0 })
+	room := g.p.hosts.budget
+	g.p.hosts.closeIdle(total)
+	g.waitUntil("no connection to the host is left", func() bool { return room.hostCount() == 0 })
 	most := total - hosts
-	g.crowd(most - 1) // one place is that of the connection that asks the host for them
+	g.openIdleConns(most - 1) // one place is that of the connection that asks the host for them
 	if most-1 <= clients {
 		t.Fatalf("%d of %d lent", most-1-clients, total)
 	}
 	for room.hostCount() < hosts+5 {
-		if !room.takeHost() && !room.awaitHost(t.Context(), patience) {
+		if !room.tryAcquireHost() && !room.awaitHost(t.Context(), testTimeout) {
 			t.Fatalf("no place for a host with %d of them and %+v", room.hostCount(), g.p.front.figures())
 		}
 		if held := g.p.front.figures(); room.hostCount()+held.Places.Held[places.Once] > total {
@@ -357,7 +357,7 @@
 		t.Error("no client gave way")
 	}
 	for room.hostCount() > 0 {
-		room.giveHost()
+		room.releaseHost()
 	}
 }
 
@@ -365,17 +365,17 @@
 // whole, well before their own time is over.
 func TestSlowHeads(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h, desks, func(p *Proxy) {
+	g := startOneHost(t, h, callersByAddress, func(p *Proxy) {
 		p.cfg.Limits.MemoryMB = 1
-		p.times.fresh = patience
+		p.times.firstRequestTimeout = testTimeout
 	})
 	most := g.p.front.figures().Desk.Most
 	for range most {
 		io.WriteString(g.dial(), "GET /api HTTP/1.1\r\n")
 	}
-	g.await("all turns are taken", func() bool { return g.p.front.figures().Places.Held[places.Partial] == most })
+	g.waitUntil("all turns are taken", func() bool { return g.p.front.figures().Places.Held[places.Partial] == most })
 	for n := range 5 {
-		if a := g.raw(message("write", "x")); a.status != http.StatusOK {
+		if a := g.raw(requestText("write", "x")); a.status != http.StatusOK {
 			t.Fatalf("request %d got %d: %+v", n, a.status, g.p.front.figures())
 		}
 		io.WriteString(g.dial(), "GET /api HTTP/1.1\r\n")
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -18,25 +18,25 @@
 )
 
 // noise is n bytes that are the same for a seed.
-func noise(seed uint64, n int64) io.Reader {
+func randomBytes(seed uint64, n int64) io.Reader {
 	return io.LimitReader(rand.NewChaCha8([32]byte{byte(seed)}), n)
 }
 
-func sum(r io.Reader) string {
+func digest(r io.Reader) string {
 	h := sha256.New()
 	n, err := io.Copy(h, r)
 	return fmt.Sprintf("%d %x %v", n, h.Sum(nil)[:4], err)
 }
 
 // bulkHost takes bodies as they come and answers with what answer writes.
-func bulkHost(t testing.TB, seen watched[string], answer func(c net.Conn, got string) bool) *toy {
+func bulkHost(t testing.TB, seen eventChan[string], answer func(c net.Conn, got string) bool) *toy {
 	return newToy(t, func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
 			if err != nil {
 				return
 			}
-			got := sum(r.Body)
+			got := digest(r.Body)
 			seen <- got
 			if !answer(c, got) {
 				return
@@ -46,7 +46,7 @@
 }
 
 // chunks frames what r brings in chunks of odd sizes, with extensions and a trailer.
-func chunks(w io.Writer, r io.Reader) {
+func writeChunked(w io.Writer, r io.Reader) {
 	for n := int64(1); ; n = n*7%50021 + 1 {
 		b, _ := io.ReadAll(io.LimitReader(r, n))
 		if len(b) == 0 {
@@ -57,26 +57,26 @@
 	}
 }
 
-const bulk = 32 << 20
+const bulkSize = 32 << 20
 
 // TestLongBothWays: 32 MB there and back, with and without a length, arrive as they were sent, and little of them is held at
 // any time though the client is slow to read.
 func TestLongBothWays(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		t.Run(fmt.Sprint("chunked ", chunked), func(t *testing.T) {
-			seen := make(watched[string], 8)
+			seen := make(eventChan[string], 8)
 			h := bulkHost(t, seen, func(c net.Conn, _ string) bool {
 				w := bufio.NewWriter(c)
 				if chunked {
 					fmt.Fprint(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-					chunks(w, noise(2, bulk))
+					writeChunked(w, randomBytes(2, bulkSize))
 				} else {
-					fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bulk)
-					io.Copy(w, noise(2, bulk))
+					fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bulkSize)
+					io.Copy(w, randomBytes(2, bulkSize))
 				}
 				return w.Flush() == nil
 			})
-			g := start(t, newList(t, entry("h1", h.addr())).addr(), "null")
+			g := startProxy(t, newList(t, entry("h1", h.addr())).addr(), "null")
 			g.waitReady()
 			c := g.dial()
 			c.(*net.TCPConn).SetReadBuffer(32 << 10)
@@ -84,15 +84,15 @@
 			go func() {
 				w := bufio.NewWriter(c)
 				if chunked {
-					io.WriteString(w, message("write", "", "Content-Length: ", "Transfer-Encoding: chunked"))
-					chunks(w, noise(1, bulk))
+					io.WriteString(w, requestText("write", "", "Content-Length: ", "Transfer-Encoding: chunked"))
+					writeChunked(w, randomBytes(1, bulkSize))
 				} else {
-					io.WriteString(w, message("write", "", fmt.Sprint("Content-Length: ", bulk)))
-					io.Copy(w, noise(1, bulk))
+					io.WriteString(w, requestText("write", "", fmt.Sprint("Content-Length: ", bulkSize)))
+					io.Copy(w, randomBytes(1, bulkSize))
 				}
 				w.Flush()
 			}()
-			if got, want := seen.next(t, "the body"), sum(noise(1, bulk)); got != want {
+			if got, want := seen.next(t, "the body"), digest(randomBytes(1, bulkSize)); got != want {
 				t.Fatalf("the host got %s, want %s", got, want)
 			}
 			r, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -103,11 +103,11 @@
 				most = max(most, g.p.bufs.Live())
 				return r.Body.Read(b)
 			})
-			if got, want := sum(sampled), sum(noise(2, bulk)); got != want {
+			if got, want := digest(sampled), digest(randomBytes(2, bulkSize)); got != want {
 				t.Fatalf("the client got %s, want %s", got, want)
 			}
 			// Readers and heads of both sides, what is kept of the request, and a full stream.
-			if limit := int64(8 + bodies.Kept/wire.BufferSize + streamBuffers + 2); most > limit {
+			if limit := int64(8 + bodies.Kept/wire.BufferSize + maxStreamBuffers + 2); most > limit {
 				t.Fatalf("%d buffers held, at most %d wanted", most, limit)
 			}
 		})
@@ -138,14 +138,14 @@
 				}
 				resets(c)
 			})
-			g := start(t, newList(t, entry("h1", h.addr())).addr(), "null")
+			g := startProxy(t, newList(t, entry("h1", h.addr())).addr(), "null")
 			g.waitReady()
 			c := g.dial()
 			go func() {
-				io.WriteString(c, message("write", "", fmt.Sprint("Content-Length: ", length)))
-				io.Copy(c, noise(1, length))
+				io.WriteString(c, requestText("write", "", fmt.Sprint("Content-Length: ", length)))
+				io.Copy(c, randomBytes(1, length))
 			}()
-			if a := hear(t, bufio.NewReader(c)); a.status != k.status {
+			if a := readResponse(t, bufio.NewReader(c)); a.status != k.status {
 				t.Fatalf("answered %d, want %d", a.status, k.status)
 			}
 		})
@@ -155,26 +155,26 @@
 // TestLongRequestStops: of a body that stops or whose client leaves, no host gets a whole request, and the module hears that
 // its client has gone.
 func TestLongRequestStops(t *testing.T) {
-	seen := make(watched[string], 8)
+	seen := make(eventChan[string], 8)
 	h := newToy(t, func(c net.Conn, br *bufio.Reader) {
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			return
 		}
 		seen <- "its head"
-		seen <- sum(r.Body)
+		seen <- digest(r.Body)
 	})
-	s := newScript()
-	s.request = sends("h1")
-	g := start(t, newList(t, entry("h1", h.addr())).addr(), "null", s.decides)
+	s := newFakeBalancer()
+	s.onRequest = sendsOnceTo("h1")
+	g := startProxy(t, newList(t, entry("h1", h.addr())).addr(), "null", s.install)
 	g.waitReady()
 	for _, sent := range []int64{bodies.Kept + 1, 1 << 20} {
 		c := g.dial()
-		io.WriteString(c, message("write", "", "Content-Length: 2000000"))
-		io.Copy(c, noise(1, sent))
+		io.WriteString(c, requestText("write", "", "Content-Length: 2000000"))
+		io.Copy(c, randomBytes(1, sent))
 		seen.next(t, "the head")
 		c.Close()
-		s.gone.next(t, "the departure")
+		s.clientsLeft.next(t, "the departure")
 		if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.Cancelled {
 			t.Fatalf("outcome %+v", o)
 		}
@@ -187,7 +187,7 @@
 // TestLongAnswerBreaks: an answer that breaks midway ends so that its client can tell, and counts as failed.
 func TestLongAnswerBreaks(t *testing.T) {
 	for name, head := range map[string]string{
-		"length": fmt.Sprint("Content-Length: ", bulk), "chunks": "Transfer-Encoding: chunked", "close": "Connection: close",
+		"length": fmt.Sprint("Content-Length: ", bulkSize), "chunks": "Transfer-Encoding: chunked", "close": "Connection: close",
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(t, func(c net.Conn, _ seenRequest) bool {
@@ -205,9 +205,9 @@
 				resets(c)
 				return false
 			})
-			g := one(t, h)
+			g := startOneHost(t, h)
 			c := g.dial()
-			io.WriteString(c, message("read", ""))
+			io.WriteString(c, requestText("read", ""))
 			r, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
 				t.Fatal(err)
@@ -215,7 +215,7 @@
 			if n, err := io.Copy(io.Discard, r.Body); err == nil {
 				t.Fatalf("%d bytes came as if they were all", n)
 			}
-			for end := time.Now().Add(patience); g.p.owner.tally.of("read").errors.Load() != 1; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); g.p.owner.tally.of("read").errors.Load() != 1; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatalf("figures:\n%s", g.p.owner.tally.text())
 				}
@@ -235,9 +235,9 @@
 		io.WriteString(c, "3\r\ndef\r\n0\r\n\r\n")
 		return true
 	})
-	g := one(t, h)
+	g := startOneHost(t, h)
 	c := g.dial()
-	io.WriteString(c, message("read", "", "X-Remaining: 300m"))
+	io.WriteString(c, requestText("read", "", "X-Remaining: 300m"))
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || r.StatusCode != http.StatusOK {
 		t.Fatalf("%+v, %v", r, err)
@@ -254,13 +254,13 @@
 // TestClientLeavesLongAnswer: the host's connection ends with the client's, while the host has nothing more to give.
 func TestClientLeavesLongAnswer(t *testing.T) {
 	h := newHost(t, func(c net.Conn, _ seenRequest) bool {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nabc", bulk)
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nabc", bulkSize)
 		_, err := c.Read(make([]byte, 1)) // until the proxy closes it
 		return err == nil
 	})
-	g := one(t, h)
+	g := startOneHost(t, h)
 	c := g.dial()
-	io.WriteString(c, message("read", ""))
+	io.WriteString(c, requestText("read", ""))
 	if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 		t.Fatal(err)
 	}
@@ -273,10 +273,10 @@
 func TestBeginAndEndTogether(t *testing.T) {
 	for range 100 {
 		c, s := newCall(), newStream(wire.NewPool())
-		c.begun <- reply{long: s}
-		c.done <- reply{long: s}
+		c.started <- hostResponse{stream: s}
+		c.done <- hostResponse{stream: s}
 		told := 0
-		c.wait(func(reply) { told++ })
+		c.wait(func(hostResponse) { told++ })
 		if told != 1 {
 			t.Fatalf("told %d times", told)
 		}
@@ -287,12 +287,12 @@
 // the request is not left hanging.
 func TestLongAnswerAhead(t *testing.T) {
 	h := newToy(t, func(c net.Conn, br *bufio.Reader) {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bulk)
-		io.Copy(c, noise(2, bulk))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bulkSize)
+		io.Copy(c, randomBytes(2, bulkSize))
 	})
-	g := start(t, newList(t, entry("h1", h.addr())).addr(), "null", func(p *Proxy) { p.times.settle = 50 * time.Millisecond })
+	g := startProxy(t, newList(t, entry("h1", h.addr())).addr(), "null", func(p *Proxy) { p.times.lastByteDelay = 50 * time.Millisecond })
 	g.waitReady()
-	if a := g.raw(message("write", "x")); a.status != http.StatusServiceUnavailable {
+	if a := g.raw(requestText("write", "x")); a.status != http.StatusServiceUnavailable {
 		t.Fatalf("answered %d, want a refusal", a.status)
 	}
 }
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -28,7 +28,7 @@
 }
 
 // operate makes a call at the door and gives its status and text.
-func (g *rig) operate(path, body string) (int, string) {
+func (g *testProxy) operate(path, body string) (int, string) {
 	g.t.Helper()
 	method := http.MethodPost
 	if body == "" {
@@ -47,7 +47,7 @@
 	return a.StatusCode, string(text)
 }
 
-func (g *rig) figures() map[string]int {
+func (g *testProxy) figures() map[string]int {
 	g.t.Helper()
 	_, text := g.operate("/admin/stats", "")
 	f := map[string]int{}
@@ -65,7 +65,7 @@
 // eventually waits until something holds.
 func eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("it never came that %s", what)
 		}
@@ -97,8 +97,8 @@
 		return says(ok)(c, seenRequest{})
 	}
 	h1, h2 := newHost(t, faulty), newHost(t, faulty)
-	l := newList(t, entry("h1", h1.addr()), entry("h2", h2.addr()), entry("h3", nobody))
-	g := start(t, l.addr(), "null", withDoor(t, t.TempDir()))
+	l := newList(t, entry("h1", h1.addr()), entry("h2", h2.addr()), entry("h3", refusingAddr))
+	g := startProxy(t, l.addr(), "null", withDoor(t, t.TempDir()))
 	g.waitReady()
 	if f := g.figures(); f["proxy.ok.log"] != 0 || len(f) != 3*3+4 {
 		t.Fatalf("figures at the start: %v", f)
@@ -108,7 +108,7 @@
 	for n := range 300 {
 		wg.Go(func() {
 			class := []string{"read", "write", "log"}[n%3]
-			a := g.raw(message(class, strings.Repeat("x", n%3), fmt.Sprint("X-Entity: k", n)))
+			a := g.raw(requestText(class, strings.Repeat("x", n%3), fmt.Sprint("X-Entity: k", n)))
 			end := "errors"
 			switch a.status {
 			case 200:
@@ -145,11 +145,11 @@
 	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
 	l := newList(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
 	dir := t.TempDir()
-	g := start(t, l.addr(), "null", withDoor(t, dir))
+	g := startProxy(t, l.addr(), "null", withDoor(t, dir))
 	g.waitReady()
-	send := func(g *rig, n int) (status int) {
+	send := func(g *testProxy, n int) (status int) {
 		for i := range n {
-			status = g.raw(message("read", "", fmt.Sprint("X-Entity: k", i))).status
+			status = g.raw(requestText("read", "", fmt.Sprint("X-Entity: k", i))).status
 		}
 		return status
 	}
@@ -168,14 +168,14 @@
 	moved := entry("h1", h1.addr())
 	moved.Zone, moved.Started = "b", time.Now().UnixMilli()
 	l.set(moved, entry("h2", h2.addr()))
-	g.settled(l)
+	g.awaitListApplied(l)
 	if send(g, 20) != http.StatusOK || len(h1.seen) > 0 {
 		t.Fatalf("%d requests at a host that is out", len(h1.seen))
 	}
 	eventually(t, "the host counts as avoided", func() bool { return g.figures()["proxy.pool_ejected"] == 1 })
 	g.stop()
 
-	g = start(t, l.addr(), "null", withDoor(t, dir))
+	g = startProxy(t, l.addr(), "null", withDoor(t, dir))
 	g.waitReady()
 	if send(g, 20) != http.StatusOK || len(h1.seen) > 0 {
 		t.Fatalf("%d requests at a host that is out, after a restart", len(h1.seen))
@@ -190,7 +190,7 @@
 }
 
 // drained empties a channel of what was seen.
-func drained[T any](w watched[T]) watched[T] {
+func drained[T any](w eventChan[T]) eventChan[T] {
 	for len(w) > 0 {
 		<-w
 	}
@@ -200,14 +200,14 @@
 // TestBackIsCold: the module hears that a host put back has been started since, also where the list has not said so yet, and a
 // word given to one process of an upgrade reaches the other.
 func TestBackIsCold(t *testing.T) {
-	l := newList(t, entry("h1", nobody))
+	l := newList(t, entry("h1", refusingAddr))
 	dir := t.TempDir()
-	s, other := newScript(), newScript()
-	g := start(t, l.addr(), "null", s.decides, withDoor(t, dir))
+	s, other := newFakeBalancer(), newFakeBalancer()
+	g := startProxy(t, l.addr(), "null", s.install, withDoor(t, dir))
 	g.waitReady()
-	g2 := start(t, l.addr(), "null", other.decides, withDoor(t, dir))
+	g2 := startProxy(t, l.addr(), "null", other.install, withDoor(t, dir))
 	g2.waitReady()
-	heard := func(s *script, what string, is func(balancer.Host) bool) {
+	heard := func(s *fakeBalancer, what string, is func(balancer.Host) bool) {
 		t.Helper()
 		for {
 			e := s.lists.next(t, what)
@@ -218,11 +218,11 @@
 	}
 	began := float64(time.Now().Unix())
 	g.operate("/admin/cordon", `{"who":"h1"}`)
-	for _, s := range []*script{s, other} {
+	for _, s := range []*fakeBalancer{s, other} {
 		heard(s, "the call out", func(h balancer.Host) bool { return h.Status == balancer.Draining })
 	}
 	g2.operate("/admin/uncordon", `{"who":"h1"}`)
-	for _, s := range []*script{s, other} {
+	for _, s := range []*fakeBalancer{s, other} {
 		heard(s, "the call back", func(h balancer.Host) bool { return h.Status == balancer.Ready && h.Started >= began })
 	}
 }
@@ -230,8 +230,8 @@
 // TestOutIsDurable: what cannot be written is a no and is not in force; a torn file counts as none.
 func TestOutIsDurable(t *testing.T) {
 	dir := t.TempDir() + "/state"
-	s := newScript()
-	g := start(t, newList(t, entry("h1", nobody)).addr(), "null", s.decides, withDoor(t, dir))
+	s := newFakeBalancer()
+	g := startProxy(t, newList(t, entry("h1", refusingAddr)).addr(), "null", s.install, withDoor(t, dir))
 	g.waitReady()
 	if status, text := g.operate("/admin/cordon", `{"who":"h1"}`); status != http.StatusServiceUnavailable {
 		t.Fatalf("with no folder to write to: %d %s", status, text)
@@ -254,20 +254,20 @@
 func TestDoorUnderLoad(t *testing.T) {
 	hold := newGate()
 	defer hold.open()
-	s := newScript()
-	s.request = func(s *script, r balancer.Request) {
+	s := newFakeBalancer()
+	s.onRequest = func(s *fakeBalancer, r balancer.Request) {
 		<-hold.opened
 		s.act.Refuse(r.ID, 0)
 	}
-	g := start(t, newList(t, entry("h1", nobody)).addr(), "null", s.decides, withDoor(t, t.TempDir()))
+	g := startProxy(t, newList(t, entry("h1", refusingAddr)).addr(), "null", s.install, withDoor(t, t.TempDir()))
 	g.waitReady()
 	for range queueLength/16 + 2 {
-		io.WriteString(g.dial(), message("read", ""))
+		io.WriteString(g.dial(), requestText("read", ""))
 	}
 	eventually(t, "requests are taken", func() bool { return g.p.owner.tally.active.Load() > 8 })
 	for _, path := range []string{"/admin/health", "/admin/stats"} {
 		began := time.Now()
-		if status, text := g.operate(path, ""); status != http.StatusOK || time.Since(began) > patience/4 {
+		if status, text := g.operate(path, ""); status != http.StatusOK || time.Since(began) > testTimeout/4 {
 			t.Fatalf("%s: %d %s after %v", path, status, text, time.Since(began))
 		}
 	}
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -28,7 +28,7 @@
 	open     map[string]bool // the names that clients gave them
 	probes   int
 	lastID   balancer.RequestID
-	hosts    *hosts
+	hosts    *hostPool
 	list     *discovery
 	bufs     *wire.Pool
 	log      *zap.Logger
@@ -39,10 +39,10 @@
 	roll     *roll           // the list, and who is out by hand
 	sight    *sight          // what is seen of zones; nil: nobody asks
 	tally    *tally
-	names    *names  // by which requests are read now
-	ops      bool    // somebody may ask for figures
-	lookedAt float64 // when the module was last asked whom it avoids
-	endBy    float64 // when the process ends, on its clock; 0: not soon
+	names    *nameIndex // by which requests are read now
+	ops      bool       // somebody may ask for figures
+	lookedAt float64    // when the module was last asked whom it avoids
+	endBy    float64    // when the process ends, on its clock; 0: not soon
 	stopping bool
 	done     chan struct{} // closed when the owner has ended
 }
@@ -57,14 +57,14 @@
 	answered bool
 }
 
-func newOwner(ctx context.Context, cfg *Config, c clock, h *hosts, bufs *wire.Pool, t timing, log *zap.Logger) *owner {
+func newOwner(ctx context.Context, cfg *Config, c clock, h *hostPool, bufs *wire.Pool, t timing, log *zap.Logger) *owner {
 	o := &owner{
 		clock: c, cfg: cfg.Balancer, queue: make(chan event, queueLength),
 		flights: map[balancer.RequestID]*flight{}, open: map[string]bool{}, hosts: h, bufs: bufs, log: log, ctx: ctx,
 		done: make(chan struct{}), known: make(chan struct{}), fresh: make(chan struct{}),
 		roll: newRoll(), tally: newTally(),
 	}
-	o.names = newNames(cfg.Settings, &cfg.Balancer, o.tally)
+	o.names = newNameIndex(cfg.Settings, &cfg.Balancer, o.tally)
 	if cfg.Site.Failover.Mode != site.Off {
 		o.sight = newSight(cfg, c.now())
 	}
@@ -84,7 +84,7 @@
 func (o *owner) run(decide func(float64, balancer.Config, balancer.Actions) balancer.Handler, known catalog) {
 	defer close(o.done)
 	o.bal = decide(o.clock.now(), o.cfg, o)
-	members{kind: balancer.ListCached, list: known}.apply(o)
+	hostListReceived{kind: balancer.ListCached, list: known}.apply(o)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -118,31 +118,31 @@
 }
 
 // conclude gives a request its one answer. Nothing may be sent for it from then on, so what is out is called off.
-func (o *owner) conclude(f *flight, a answer) {
+func (o *owner) conclude(f *flight, a clientResponse) {
 	if f.answered {
 		return
 	}
 	f.answered = true
 	if line := o.log.Check(zap.DebugLevel, "answered"); line != nil {
-		line.Write(zap.String("id", f.request.name), zap.Int("class", f.request.Class), zap.Int("status", a.status),
+		line.Write(zap.String("id", f.request.txnID), zap.Int("class", f.request.Class), zap.Int("status", a.status),
 			zap.Int("attempts", len(f.attempts)), zap.Float64("left", f.deadline-o.clock.now()))
 	}
-	if f.request.up != nil {
-		f.request.up.leave()
+	if f.request.upload != nil {
+		f.request.upload.abandon()
 	}
 	for _, at := range f.attempts {
-		if at.begunAt == 0 && at.callOff() {
-			a.stopped = append(a.stopped, at)
+		if at.responseStartedAt == 0 && at.abort() {
+			a.abortedAttempts = append(a.abortedAttempts, at)
 		}
 	}
-	f.request.answer <- a // has room for the one
+	f.request.response <- a // has room for the one
 }
 
 // drop forgets a flight that is answered and has nothing out.
 func (o *owner) drop(f *flight) {
 	if f.answered && f.out == 0 && o.flights[f.request.ID] == f {
 		delete(o.flights, f.request.ID)
-		delete(o.open, f.request.name)
+		delete(o.open, f.request.txnID)
 		freeRequest(o.bufs, f.request)
 	}
 }
--- a/internal/proxy/owner_test.go
+++ b/internal/proxy/owner_test.go
@@ -16,10 +16,10 @@
 )
 
 // pair starts a proxy with a script and two hosts, h1 and h2.
-func pair(t *testing.T, s *script, h1, h2 *toyHost) *rig {
+func pair(t *testing.T, s *fakeBalancer, h1, h2 *toyHost) *testProxy {
 	t.Helper()
 	l := newList(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
-	g := start(t, l.addr(), "null", s.decides)
+	g := startProxy(t, l.addr(), "null", s.install)
 	g.waitReady()
 	return g
 }
@@ -30,13 +30,13 @@
 // TestSecondCopy: two attempts are out; the first whole answer is the client's, the other attempt is called off.
 func TestSecondCopy(t *testing.T) {
 	slow, quick := newHost(t, silent), newHost(t, says(ok))
-	s := newScript()
-	s.request = func(s *script, r balancer.Request) {
+	s := newFakeBalancer()
+	s.onRequest = func(s *fakeBalancer, r balancer.Request) {
 		s.act.Send(r.ID, hostID("h1"), 0)
 		s.act.Send(r.ID, hostID("h2"), 0)
 	}
 	g := pair(t, s, slow, quick)
-	if a := g.raw(message("read", "")); a.status != http.StatusOK {
+	if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
 		t.Fatalf("answered %d", a.status)
 	}
 	first, second := s.outcomes.next(t, "an outcome"), s.outcomes.next(t, "the other outcome")
@@ -51,16 +51,16 @@
 // TestCancel: a cancelled attempt closes its connection and has one outcome; another may follow.
 func TestCancel(t *testing.T) {
 	slow, quick := newHost(t, silent), newHost(t, says(ok))
-	s := newScript()
-	s.request = sends("h1")
-	s.outcome = func(s *script, o balancer.Outcome) {
+	s := newFakeBalancer()
+	s.onRequest = sendsOnceTo("h1")
+	s.onOutcome = func(s *fakeBalancer, o balancer.Outcome) {
 		if o.Result == balancer.Cancelled {
 			s.act.Send(o.ID, hostID("h2"), 0)
 		}
 	}
 	g := pair(t, s, slow, quick)
 	c := g.dial()
-	io.WriteString(c, message("read", ""))
+	io.WriteString(c, requestText("read", ""))
 	slow.seen.next(t, "the request")
 	g.p.owner.post(inside(func(o *owner) {
 		o.Cancel(1, 0)
@@ -71,7 +71,7 @@
 	if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.Cancelled || o.Final {
 		t.Fatalf("outcome %+v", o)
 	}
-	if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK {
+	if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
 		t.Fatalf("answered %d", a.status)
 	}
 	if err := slow.ended.next(t, "the end of the connection"); err == nil {
@@ -89,8 +89,8 @@
 // TestNeverDispatched: attempts that may not go out have an outcome all the same, after the action has returned.
 func TestNeverDispatched(t *testing.T) {
 	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
-	s := newScript()
-	s.request = func(s *script, r balancer.Request) {
+	s := newFakeBalancer()
+	s.onRequest = func(s *fakeBalancer, r balancer.Request) {
 		switch r.Key {
 		case hash("unknown host"):
 			s.act.Send(r.ID, hostID("nobody"), 0)
@@ -117,7 +117,7 @@
 		{"twice answered", balancer.Skipped, http.StatusServiceUnavailable},
 	} {
 		t.Run(c.key, func(t *testing.T) {
-			a := g.raw(message("write", "x", "X-Entity: "+c.key))
+			a := g.raw(requestText("write", "x", "X-Entity: "+c.key))
 			o := s.outcomes.next(t, "the outcome")
 			if a.status != c.status || o.Result != c.result || !o.Result.NeverRan() {
 				t.Fatalf("answered %d, outcome %+v", a.status, o)
@@ -133,17 +133,17 @@
 // TestMostAttempts: what the module sends beyond MaxAttempts does not go out.
 func TestMostAttempts(t *testing.T) {
 	fails := newHost(t, says("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))
-	s := newScript()
-	s.request = sends("h1")
-	s.outcome = func(s *script, o balancer.Outcome) {
+	s := newFakeBalancer()
+	s.onRequest = sendsOnceTo("h1")
+	s.onOutcome = func(s *fakeBalancer, o balancer.Outcome) {
 		if o.Result == balancer.Skipped {
 			s.act.Fail(o.ID)
 		} else {
 			s.act.Send(o.ID, hostID("h1"), 0)
 		}
 	}
-	g := one(t, fails, s.decides)
-	g.raw(message("read", ""))
+	g := startOneHost(t, fails, s.install)
+	g.raw(requestText("read", ""))
 	for n := range 4 {
 		want := balancer.Errored
 		if n == 3 {
@@ -158,17 +158,17 @@
 // TestNothingAfterAnswer: a request that is answered while its attempt is still connecting is not sent any more.
 func TestNothingAfterAnswer(t *testing.T) {
 	h := newHost(t, says(ok))
-	s := newScript()
+	s := newFakeBalancer()
 	var wg sync.WaitGroup
-	s.request = func(s *script, r balancer.Request) {
+	s.onRequest = func(s *fakeBalancer, r balancer.Request) {
 		s.act.Send(r.ID, hostID("h1"), 0)
 		s.act.Refuse(r.ID, 0) // allowed: with an unwritten attempt nothing has run
 	}
-	g := one(t, h, s.decides)
+	g := startOneHost(t, h, s.install)
 	const n = 200
 	for range n {
 		wg.Go(func() {
-			if a := g.raw(message("write", "x")); a.status != http.StatusServiceUnavailable {
+			if a := g.raw(requestText("write", "x")); a.status != http.StatusServiceUnavailable {
 				t.Errorf("answered %d", a.status)
 			}
 		})
@@ -185,20 +185,20 @@
 // TestGone: the module hears of a client that leaves, once, and what is out is called off.
 func TestGone(t *testing.T) {
 	h := newHost(t, silent)
-	s := newScript()
-	s.request = sends("h1")
-	g := one(t, h, s.decides)
+	s := newFakeBalancer()
+	s.onRequest = sendsOnceTo("h1")
+	g := startOneHost(t, h, s.install)
 	c := g.dial()
-	io.WriteString(c, message("write", "x"))
+	io.WriteString(c, requestText("write", "x"))
 	h.seen.next(t, "the request")
 	c.Close()
-	if id := s.gone.next(t, "word of the client"); id != 1 {
+	if id := s.clientsLeft.next(t, "word of the client"); id != 1 {
 		t.Fatalf("request %d", id)
 	}
 	if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.Cancelled || !o.Final {
 		t.Fatalf("outcome %+v", o)
 	}
-	s.gone.none(t, "a second word")
+	s.clientsLeft.none(t, "a second word")
 }
 
 // TestBrokenCrowd: after a run of broken clients and hosts no goroutine, buffer or descriptor is left. Buffers are
@@ -228,9 +228,9 @@
 	})
 	before := descriptors(t)
 	l := newList(t, entry("h1", h.addr()))
-	g := start(t, l.addr(), "null")
+	g := startProxy(t, l.addr(), "null")
 	g.waitReady()
-	whole := message("write", strings.Repeat("x", 30000), "X-Remaining: 100m")
+	whole := requestText("write", strings.Repeat("x", 30000), "X-Remaining: 100m")
 	var wg sync.WaitGroup
 	for k := range 60 {
 		wg.Go(func() {
@@ -240,7 +240,7 @@
 				return
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			switch k % 4 {
 			case 0:
 				io.WriteString(c, whole[:len(whole)/2])
@@ -249,10 +249,10 @@
 				resets(c)
 			case 2:
 				io.WriteString(c, "nonsense\r\n\r\n")
-				hear(t, bufio.NewReader(c))
+				readResponse(t, bufio.NewReader(c))
 			default:
 				io.WriteString(c, whole)
-				if a := hear(t, bufio.NewReader(c)); a.status == 0 {
+				if a := readResponse(t, bufio.NewReader(c)); a.status == 0 {
 					t.Error("a whole request got no answer")
 				}
 			}
@@ -271,13 +271,13 @@
 // TestTimers: timers come in their order, none before its time.
 func TestTimers(t *testing.T) {
 	h := newHost(t, says(ok))
-	s := newScript()
-	g := one(t, h, s.decides)
+	s := newFakeBalancer()
+	g := startOneHost(t, h, s.install)
 	type fired struct {
 		token uint64
 		late  float64
 	}
-	got := make(watched[fired], 8)
+	got := make(eventChan[fired], 8)
 	g.p.owner.post(inside(func(o *owner) {
 		began := o.clock.now()
 		o.bal = timed{s, func(token uint64) { got <- fired{token, o.clock.now() - began - float64(token)/1000} }}
@@ -294,7 +294,7 @@
 
 // timed is a script that hears of timers.
 type timed struct {
-	*script
+	*fakeBalancer
 	fired func(uint64)
 }
 
@@ -303,18 +303,18 @@
 // TestQueueTimeCounts: a client's time runs on while its request waits for the owner.
 func TestQueueTimeCounts(t *testing.T) {
 	h := newHost(t, says(ok))
-	s := newScript()
-	budgets := make(watched[float64], 1)
-	s.request = func(s *script, r balancer.Request) {
+	s := newFakeBalancer()
+	budgets := make(eventChan[float64], 1)
+	s.onRequest = func(s *fakeBalancer, r balancer.Request) {
 		budgets <- r.Budget
 		s.act.Refuse(r.ID, 0)
 	}
-	g := one(t, h, s.decides)
+	g := startOneHost(t, h, s.install)
 	for _, c := range []struct{ waited, least, most float64 }{{1, 0, 0.4}, {5, 0, 0}} {
-		q := &request{Request: balancer.Request{Budget: 1.4}, head: g.p.bufs.Buffer(), answer: make(chan answer, 1),
-			taken: time.Now().Add(-seconds(c.waited))}
+		q := &request{Request: balancer.Request{Budget: 1.4}, head: g.p.bufs.Buffer(), response: make(chan clientResponse, 1),
+			receivedAt: time.Now().Add(-seconds(c.waited))}
 		q.names = g.p.owner.names
-		g.p.owner.post(arrival{q})
+		g.p.owner.post(requestReceived{q})
 		if got := budgets.next(t, "the request"); got < c.least || got > c.most {
 			t.Errorf("after %v s in the queue %v s are left", c.waited, got)
 		}
--- a/internal/proxy/parse.go
+++ b/internal/proxy/parse.go
@@ -20,43 +20,43 @@
 
 // Headers of the platform's protocol.
 const (
-	headerID        = "X-Txn"
-	headerClass     = "X-Lane"
-	headerTenant    = "X-Org"
-	headerKey       = "X-Entity"
-	headerRemaining = "X-Remaining"
-	headerRepeat    = "X-Resent"
-	headerWork      = "X-Estimate"
-	headerReport    = "X-Pressure"
-	headerTurned    = "X-Turned-Away"
+	headerID         = "X-Txn"
+	headerClass      = "X-Lane"
+	headerTenant     = "X-Org"
+	headerKey        = "X-Entity"
+	headerRemaining  = "X-Remaining"
+	headerRepeat     = "X-Resent"
+	headerWork       = "X-Estimate"
+	headerReport     = "X-Pressure"
+	headerTurnedAway = "X-Turned-Away"
 
 	healthPath = "/_health"
 
-	mostRemaining = 600.0 // seconds: a client that says it waits longer than this has made a mistake
-	mostIDLength  = 256
-	maxHead       = 12 << 10 // of a request, so that the head made of it for a host fits into a buffer
+	maxRemainingSeconds = 600.0 // seconds: a client that says it waits longer than this has made a mistake
+	maxIDLength         = 256
+	maxHeadBytes        = 12 << 10 // of a request, so that the head made of it for a host fits into a buffer
 )
 
 // The headers that may stand in a message once only, as wire.CheckHead wants them.
 var (
 	singleInRequests = []string{"Content-Length", "Transfer-Encoding", "Host", headerID, headerClass, headerTenant,
 		headerKey, headerRemaining, headerRepeat, headerWork}
-	singleInReplies = []string{"Content-Length", "Transfer-Encoding", headerTurned}
+	singleInResponses = []string{"Content-Length", "Transfer-Encoding", headerTurnedAway}
 )
 
 // request is one that a client proxy has taken whole.
 type request struct {
 	balancer.Request
-	name   string                 // its id, as the client gave it
-	head   *[wire.BufferSize]byte // as it goes to a host, but for the time remaining and the empty line
-	headed int
-	body   wire.Body
-	up     *upload     // the rest of a long body; nil: body is all of it
-	old    bool        // its client knows no chunks
-	taken  time.Time   // when it had come whole: its client's time runs since then
-	answer chan answer // gets exactly one
-	names  *names      // by which it was read
-	method string
+	txnID      string                 // its id, as the client gave it
+	head       *[wire.BufferSize]byte // as it goes to a host, but for the time remaining and the empty line
+	headLen    int
+	body       wire.Body
+	upload     *upload             // the rest of a long body; nil: body is all of it
+	noChunks   bool                // its client knows no chunks
+	receivedAt time.Time           // when it had come whole: its client's time runs since then
+	response   chan clientResponse // gets exactly one
+	names      *nameIndex          // by which it was read
+	method     string
 }
 
 func freeRequest(p *wire.Pool, q *request) {
@@ -67,17 +67,17 @@
 // badRequest is what is answered to something that cannot be taken as a request.
 type badRequest struct {
 	status int
-	why    string
+	text   string
 }
 
 // answer words it for the client. Its connection ends: where the next message on it begins is not known.
-func (b badRequest) answer() answer {
-	return answer{status: b.status, text: b.why + "\n", last: true, bad: true}
+func (b badRequest) response() clientResponse {
+	return clientResponse{status: b.status, text: b.text + "\n", closeAfter: true, protocolError: true}
 }
 
 // errorFor words the answer to a message that could not be read. Where nothing whole has come, and nothing can be
 // told to the other side, it is nil.
-func (c *client) errorFor(err error) *badRequest {
+func (c *clientConn) readError(err error) *badRequest {
 	var ne net.Error
 	if c.meter.Err != nil {
 		err = c.meter.Err
@@ -93,38 +93,38 @@
 
 // errBehind answers a client that sends on before it is answered: the length it gave is wrong, or it hides a request
 // behind another.
-var errBehind = &badRequest{http.StatusBadRequest, "more came than one request"}
+var badPipelined = &badRequest{http.StatusBadRequest, "more came than one request"}
 
 // names turns the names that requests carry into the module's numbers.
-type names struct {
-	classes  map[string]int
-	tenants  map[string]int
-	words    []string // of the classes
-	clients  []string // of the tenants
-	effects  []balancer.Effect
-	tally    []*classTally // of the classes
-	coolDown float64       // seconds that a refusal of the front's own names; 0: settings allow none
+type nameIndex struct {
+	classes           map[string]int
+	tenants           map[string]int
+	classNames        []string // of the classes
+	tenantNames       []string // of the tenants
+	effects           []balancer.Effect
+	tallies           []*classTally // of the classes
+	retryAfterSeconds float64       // seconds that a refusal of the front's own names; 0: settings allow none
 }
 
-func newNames(s *settings.Settings, c *balancer.Config, t *tally) *names {
-	n := &names{classes: map[string]int{}, tenants: map[string]int{}, coolDown: c.MaxCoolDown / 4}
+func newNameIndex(s *settings.Settings, c *balancer.Config, t *tally) *nameIndex {
+	n := &nameIndex{classes: map[string]int{}, tenants: map[string]int{}, retryAfterSeconds: c.MaxCoolDown / 4}
 	for i, k := range s.Classes {
 		n.classes[k.Name] = i
-		n.words = append(n.words, k.Name)
+		n.classNames = append(n.classNames, k.Name)
 		n.effects = append(n.effects, c.Classes[i].Effect)
-		n.tally = append(n.tally, t.of(k.Name))
+		n.tallies = append(n.tallies, t.of(k.Name))
 	}
 	for i, t := range s.Tenants {
 		n.tenants[t.Name] = i
-		n.clients = append(n.clients, t.Name)
+		n.tenantNames = append(n.tenantNames, t.Name)
 	}
 	return n
 }
 
 // kept says of each class which one of was it is; -1: none.
-func (n *names) kept(was *names) []int {
-	kept := make([]int, len(n.words))
-	for i, word := range n.words {
+func (n *nameIndex) previousClasses(was *nameIndex) []int {
+	kept := make([]int, len(n.classNames))
+	for i, word := range n.classNames {
 		kept[i] = -1
 		if from, known := was.classes[word]; known {
 			kept[i] = from
@@ -134,17 +134,17 @@
 }
 
 // adopt words a request anew that was read by other names and has not been taken yet.
-func (n *names) adopt(q *request) *badRequest {
-	class, tenant := q.names.words[q.Class], ""
-	if q.Tenant < len(q.names.clients) {
-		tenant = q.names.clients[q.Tenant]
+func (n *nameIndex) reindex(q *request) *badRequest {
+	class, tenant := q.names.classNames[q.Class], ""
+	if q.Tenant < len(q.names.tenantNames) {
+		tenant = q.names.tenantNames[q.Tenant]
 	}
 	q.names = n
-	return n.number(&q.Request, class, q.method, tenant)
+	return n.resolve(&q.Request, class, q.method, tenant)
 }
 
 // number gives a request the module's numbers of its class and tenant.
-func (n *names) number(q *balancer.Request, class, method, tenant string) *badRequest {
+func (n *nameIndex) resolve(q *balancer.Request, class, method, tenant string) *badRequest {
 	var known bool
 	if q.Class, known = n.classes[class]; !known {
 		return &badRequest{http.StatusBadRequest, "unknown class"}
@@ -166,27 +166,27 @@
 }
 
 // parse takes the rest of a request off the connection. On an error nothing stays taken from the pool.
-func (c *client) parse(r *http.Request) (*request, *badRequest) {
+func (c *clientConn) parse(r *http.Request) (*request, *badRequest) {
 	n := c.front.names.Load()
-	in, bad := n.translate(r)
+	in, bad := n.parseHeaders(r)
 	if bad != nil {
 		return nil, bad
 	}
-	q := &request{Request: in, name: r.Header.Get(headerID), answer: make(chan answer, 1), names: n, method: r.Method}
+	q := &request{Request: in, txnID: r.Header.Get(headerID), response: make(chan clientResponse, 1), names: n, method: r.Method}
 	if bad := c.takeBody(r, q); bad != nil {
 		return nil, bad
 	}
 	switch {
 	case r.Method == http.MethodGet && q.body.Size > 0:
 		bad = &badRequest{http.StatusBadRequest, "GET with a body"}
-	case q.up == nil && c.br.Buffered() > 0:
-		bad = errBehind
+	case q.upload == nil && c.br.Buffered() > 0:
+		bad = badPipelined
 	}
 	if bad != nil {
 		c.front.bufs.FreeBody(&q.body)
 		return nil, bad
 	}
-	q.taken = time.Now().Add(-c.waited)
+	q.receivedAt = time.Now().Add(-c.queueTime)
 	q.head = c.front.bufs.Buffer()
 	if err := q.writeHead(r); err != nil {
 		freeRequest(c.front.bufs, q)
@@ -197,19 +197,19 @@
 
 // takeBody reads the body. A status of zero closes the connection without a word: the body never came whole, so no
 // request was taken.
-func (c *client) takeBody(r *http.Request, q *request) *badRequest {
-	q.old = !r.ProtoAtLeast(1, 1)
+func (c *clientConn) takeBody(r *http.Request, q *request) *badRequest {
+	q.noChunks = !r.ProtoAtLeast(1, 1)
 	if bodies.Of(r.ContentLength) == bodies.Refusing {
 		return &badRequest{http.StatusRequestEntityTooLarge, "body is too large"}
 	}
 	if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
-		c.conn.SetWriteDeadline(time.Now().Add(c.front.times.answer)) // that of the last answer may be over
+		c.conn.SetWriteDeadline(time.Now().Add(c.front.times.responseTimeout)) // that of the last answer may be over
 		if _, err := io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return &badRequest{}
 		}
 	}
 	c.meter.Allow(2 * bodies.Longest) // with the framing of chunks
-	src := &paced{client: c, r: r.Body, began: time.Now()}
+	src := &pacedReader{client: c, r: r.Body, startedAt: time.Now()}
 	got, more, err := c.front.bufs.ReadBody(src)
 	var ne net.Error
 	switch {
@@ -223,24 +223,24 @@
 	q.body = got
 	if more && int64(got.Size) != r.ContentLength {
 		q.BodyPending = true
-		q.up = &upload{stream: newStream(c.front.bufs), from: src, length: r.ContentLength}
+		q.upload = &upload{stream: newStream(c.front.bufs), source: src, length: r.ContentLength}
 	}
 	return nil
 }
 
 // translate reads what the module needs to know of a request.
-func (n *names) translate(r *http.Request) (q balancer.Request, bad *badRequest) {
+func (n *nameIndex) parseHeaders(r *http.Request) (q balancer.Request, bad *badRequest) {
 	reject := func(format string, args ...any) (balancer.Request, *badRequest) {
 		return q, &badRequest{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 	}
-	if id := r.Header.Get(headerID); id == "" || len(id) > mostIDLength || strings.ContainsAny(id, " \t,;") {
+	if id := r.Header.Get(headerID); id == "" || len(id) > maxIDLength || strings.ContainsAny(id, " \t,;") {
 		return reject("%s is missing, too long or none", headerID)
 	}
-	if bad := n.number(&q, r.Header.Get(headerClass), r.Method, r.Header.Get(headerTenant)); bad != nil {
+	if bad := n.resolve(&q, r.Header.Get(headerClass), r.Method, r.Header.Get(headerTenant)); bad != nil {
 		return q, bad
 	}
 	var err error
-	if q.Budget, err = parseSpan(r.Header.Get(headerRemaining)); err != nil || q.Budget > mostRemaining {
+	if q.Budget, err = parseSeconds(r.Header.Get(headerRemaining)); err != nil || q.Budget > maxRemainingSeconds {
 		return reject("%s is missing or absurd", headerRemaining)
 	}
 	if key := r.Header.Get(headerKey); key != "" {
@@ -254,7 +254,7 @@
 }
 
 // parseSpan reads a time such as 480m (milliseconds) or 250u (microseconds).
-func parseSpan(text string) (float64, error) {
+func parseSeconds(text string) (float64, error) {
 	for unit, size := range map[string]float64{"m": 1e-3, "u": 1e-6} {
 		digits, found := strings.CutSuffix(text, unit)
 		if !found {
@@ -294,6 +294,6 @@
 	if w.Full {
 		return wire.ErrTooLarge
 	}
-	q.headed = len(w.Buf)
+	q.headLen = len(w.Buf)
 	return nil
 }
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -19,29 +19,29 @@
 // question is a call for a path. One that runs twice does no harm.
 type question string
 
-func (q question) write(l line) error {
+func (q question) write(l messageConn) error {
 	_, err := fmt.Fprintf(l, "GET %s HTTP/1.1\r\nHost: api.internal\r\n\r\n", string(q))
 	return err
 }
 
-// begun wants no answer that is longer than any report.
-func (question) begun(reply) bool { return false }
+// responseStarted wants no answer that is longer than any report.
+func (question) responseStarted(hostResponse) bool { return false }
 
 // run asks a host how it is and makes exactly one result.
-func (p probed) run(ctx context.Context, up *upstream) probed {
+func (p probeEnded) run(ctx context.Context, up *upstream) probeEnded {
 	ctx, cancel := context.WithTimeout(ctx, probeTime)
 	defer cancel()
 	path := probePath
-	if len(up.hosts.by.Load().columns) > 0 {
+	if len(up.pool.settings.Load().reportColumns) > 0 {
 		path = reportPath
 	}
 	r, result := up.exchange(ctx, question(path))
 	if p.result = result; result == balancer.Errored && r.status == http.StatusServiceUnavailable {
 		p.result = balancer.Rejected
 	}
-	if p.report = r.report; p.report == nil && r.body.Size <= wire.BufferSize && len(r.body.Bufs) > 0 {
-		p.report = parseReport(string(r.body.Bufs[0][:r.body.Size]), up.hosts.by.Load().columns)
+	if p.report = r.loadReport; p.report == nil && r.body.Size <= wire.BufferSize && len(r.body.Bufs) > 0 {
+		p.report = parseReport(string(r.body.Bufs[0][:r.body.Size]), up.pool.settings.Load().reportColumns)
 	}
-	up.hosts.bufs.FreeBody(&r.body)
+	up.pool.bufs.FreeBody(&r.body)
 	return p
 }
--- a/internal/proxy/probe_test.go
+++ b/internal/proxy/probe_test.go
@@ -23,8 +23,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHost(t, says(c.raw))
-			s := newScript()
-			g := one(t, h, s.decides)
+			s := newFakeBalancer()
+			g := startOneHost(t, h, s.install)
 			g.p.owner.post(inside(func(o *owner) { o.Probe(hostID("h1")) }))
 			p := s.probes.next(t, "the result")
 			if p.Result != c.want || len(p.Report) != c.report || p.Host != hostID("h1") || p.Took <= 0 {
@@ -41,8 +41,8 @@
 	}
 	t.Run("without reports", func(t *testing.T) {
 		h := newHost(t, says(httpOK("")))
-		s := newScript()
-		g := one(t, h, s.decides, func(p *Proxy) { p.cfg.Settings.Report.How = "none" })
+		s := newFakeBalancer()
+		g := startOneHost(t, h, s.install, func(p *Proxy) { p.cfg.Settings.Report.How = "none" })
 		g.p.owner.post(inside(func(o *owner) { o.Probe(hostID("h1")) }))
 		if p := s.probes.next(t, "the result"); p.Result != balancer.OK || p.Report != nil {
 			t.Fatalf("result %+v", p)
@@ -56,10 +56,10 @@
 // TestProbeOnKeptConnection: the time of the call before does not hold for the next call on its connection.
 func TestProbeOnKeptConnection(t *testing.T) {
 	h := newHost(t, says(httpOK(`{"util":0.5}`)))
-	s := newScript()
-	s.request = sends("h1")
-	g := one(t, h, s.decides)
-	if a := g.raw(message("read", "", "X-Remaining: 300m")); a.status != http.StatusOK {
+	s := newFakeBalancer()
+	s.onRequest = sendsOnceTo("h1")
+	g := startOneHost(t, h, s.install)
+	if a := g.raw(requestText("read", "", "X-Remaining: 300m")); a.status != http.StatusOK {
 		t.Fatalf("answered %d", a.status)
 	}
 	h.seen.next(t, "the request")
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -64,9 +64,9 @@
 	steering *steering // nil: no plan says which zones count
 
 	bufs  *wire.Pool
-	hosts *hosts
+	hosts *hostPool
 	owner *owner
-	front *front
+	front *frontend
 	parts sync.WaitGroup
 	halt  context.CancelFunc // ends attempts, the watch and reloads
 }
@@ -113,10 +113,10 @@
 	p.halt = halt
 	p.bufs = wire.NewPool()
 	c := newClock(time.Now())
-	room := newRoom(p.cfg.Limits)
-	p.hosts = newHosts(p.cfg, c, p.bufs, room, p.times)
+	room := newConnBudget(p.cfg.Limits)
+	p.hosts = newHostPool(p.cfg, c, p.bufs, room, p.times)
 	p.owner = newOwner(run, p.cfg, c, p.hosts, p.bufs, p.times, p.log)
-	p.front, err = newFront(ln, p.frontLimits(), room, p.hosts.giveBack, p.owner, p.bufs, p.owner.names, p.times,
+	p.front, err = newFrontend(ln, p.frontLimits(), room, p.hosts.closeIdle, p.owner, p.bufs, p.owner.names, p.times,
 		p.log)
 	if err != nil {
 		return Stopped, err
@@ -127,8 +127,8 @@
 	if desk != nil {
 		p.openDoor(run, desk)
 	}
-	p.parts.Go(p.front.keep)
-	p.parts.Go(p.front.lot.Run)
+	p.parts.Go(p.front.maintain)
+	p.parts.Go(p.front.poller.Run)
 	p.parts.Go(func() { p.owner.run(p.decide, p.cfg.Known) })
 	p.parts.Go(func() { p.owner.list.run(run) })
 	p.parts.Go(func() { p.reload(run) })
@@ -140,12 +140,12 @@
 	return Serving, nil
 }
 
-func (p *Proxy) frontLimits() frontLimits {
+func (p *Proxy) frontLimits() frontendLimits {
 	clients, requests := p.cfg.Limits.connections()
-	return frontLimits{most: clients, connections: clientLimit(clients, p.cfg.Site.Connections),
-		byAddress: p.cfg.Site.Connections.Callers == site.Address, warm: max(1, requests/4),
-		watchers: p.cfg.Limits.watchers(clients),
-		desk: places.DeskConfig{Most: requests, Refusing: shedReserve, Patience: patienceFor(p.cfg.Balancer.Classes),
+	return frontendLimits{machineMax: clients, maxConns: clientLimit(clients, p.cfg.Site.Connections),
+		byAddress: p.cfg.Site.Connections.Callers == site.Address, maxWarm: max(1, requests/4),
+		goroutinePerParked: p.cfg.Limits.watchers(clients),
+		admission: places.DeskConfig{Most: requests, Refusing: shedReserve, Patience: patienceFor(p.cfg.Balancer.Classes),
 			Pace: paceOf(p.cfg.Limits.Cores), Burst: min(requests, turnBurst)}}
 }
 
@@ -214,7 +214,7 @@
 
 // prepare waits until this process can serve: it has a list, from discovery if that answers in time.
 func (p *Proxy) prepare(ctx context.Context) {
-	late := time.NewTimer(p.times.firstList)
+	late := time.NewTimer(p.times.firstListTimeout)
 	defer late.Stop()
 	select {
 	case <-ctx.Done():
@@ -267,8 +267,8 @@
 func (p *Proxy) part(context.Context) (Phase, error) {
 	p.front.close()
 	end := p.told.Add(seconds(p.longest()))
-	p.owner.post(ending{p.owner.clock.now() + time.Until(end.Add(p.times.spare-p.times.wind)).Seconds()})
-	p.front.part()
+	p.owner.post(shutdownScheduled{p.owner.clock.now() + time.Until(end.Add(p.times.shutdownSpare-p.times.finalWritePeriod)).Seconds()})
+	p.front.closeAfterResponses()
 	left := make(chan struct{})
 	go func() {
 		p.front.wg.Wait()
@@ -296,9 +296,9 @@
 // in its backlog.
 func (p *Proxy) drain(context.Context) (Phase, error) {
 	p.front.drain()
-	time.Sleep(time.Until(p.told.Add(p.times.drain)))
-	p.front.backlog(p.times.backlog)
-	time.Sleep(p.times.backlog)
+	time.Sleep(time.Until(p.told.Add(p.times.drainPeriod)))
+	p.front.setAcceptDeadline(p.times.backlogPeriod)
+	time.Sleep(p.times.backlogPeriod)
 	return Finishing, nil
 }
 
@@ -306,7 +306,7 @@
 func (p *Proxy) finish(context.Context) (Phase, error) {
 	if p.cfg.ListenFD == "" {
 		p.front.close()
-		time.Sleep(p.times.last)
+		time.Sleep(p.times.lastRequestPeriod)
 	}
 	p.front.drain()
 	answered := make(chan struct{})
@@ -316,7 +316,7 @@
 	}()
 	select {
 	case <-answered:
-	case <-time.After(time.Until(p.told.Add(seconds(p.longest()) + p.times.spare))):
+	case <-time.After(time.Until(p.told.Add(seconds(p.longest()) + p.times.shutdownSpare))):
 		p.log.Warn("requests left unanswered at the end")
 	}
 	p.front.stop()
@@ -324,7 +324,7 @@
 	if p.door != nil {
 		p.door.Close()
 	}
-	p.owner.post(stop{})
+	p.owner.post(stopRequested{})
 	p.hosts.update(balancer.ListFull, catalog{}, p.owner.clock.now()) // no host is left: closes what is idle
 	p.parts.Wait()
 	return Stopped, nil
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -23,15 +23,15 @@
 		<-release.opened
 		return says(ok)(c, r)
 	})
-	g := one(t, h, func(p *Proxy) { p.times.drain = 1500 * time.Millisecond })
+	g := startOneHost(t, h, func(p *Proxy) { p.times.drainPeriod = 1500 * time.Millisecond })
 	idle, busy, late := g.dial(), g.dial(), g.dial()
-	long := func() string { return message("write", "x", "X-Remaining: 9000m") }
+	long := func() string { return requestText("write", "x", "X-Remaining: 9000m") }
 	io.WriteString(idle, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 	idleReader := bufio.NewReader(idle)
-	hear(t, idleReader)
+	readResponse(t, idleReader)
 	io.WriteString(busy, long())
 	h.seen.next(t, "the request")
-	g.tell()
+	g.shutDown()
 	if _, err := idleReader.ReadByte(); err != io.EOF {
 		t.Fatalf("the idle connection: %v", err)
 	}
@@ -40,8 +40,8 @@
 	h.seen.next(t, "the request that came after")
 	release.open()
 	for name, c := range map[string]net.Conn{"busy": busy, "after": after} {
-		if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK || !a.last {
-			t.Errorf("%s: %d, last %v", name, a.status, a.last)
+		if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK || !a.closes {
+			t.Errorf("%s: %d, last %v", name, a.status, a.closes)
 		}
 	}
 	late.Close()
@@ -54,9 +54,9 @@
 // TestBacklog: connections that wait in the listener's backlog when the proxy is told to end are taken and answered.
 func TestBacklog(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h, func(p *Proxy) {
+	g := startOneHost(t, h, func(p *Proxy) {
 		p.cfg.Site.Connections.Limit = 1
-		p.times.drain = 100 * time.Millisecond
+		p.times.drainPeriod = 100 * time.Millisecond
 	})
 	// All places are taken, so that what comes now stays in the backlog.
 	f := g.p.front
@@ -67,16 +67,16 @@
 	}
 	hold(shedReserve) // the last place is that of the accept that is waiting
 	taken := g.dial()
-	io.WriteString(taken, message("read", ""))
-	hear(t, bufio.NewReader(taken))
+	io.WriteString(taken, requestText("read", ""))
+	readResponse(t, bufio.NewReader(taken))
 	waiting := []net.Conn{g.dial(), g.dial(), g.dial()}
 	for _, c := range waiting {
-		io.WriteString(c, message("read", ""))
+		io.WriteString(c, requestText("read", ""))
 	}
-	g.tell()
+	g.shutDown()
 	hold(-shedReserve)
 	for n, c := range waiting {
-		if a := hear(t, bufio.NewReader(c)); a.status == 0 {
+		if a := readResponse(t, bufio.NewReader(c)); a.status == 0 {
 			t.Errorf("request %d in the backlog was lost", n)
 		}
 	}
@@ -103,12 +103,12 @@
 // TestUnreadyHealth: without a list the proxy says so, but not with a refusal.
 func TestUnreadyHealth(t *testing.T) {
 	l := newList(t)
-	g := start(t, l.addr(), "null")
+	g := startProxy(t, l.addr(), "null")
 	a := g.raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 	if a.status != http.StatusInternalServerError {
 		t.Fatalf("answered %d", a.status)
 	}
-	if a := g.raw(message("write", "x")); a.status != http.StatusServiceUnavailable {
+	if a := g.raw(requestText("write", "x")); a.status != http.StatusServiceUnavailable {
 		t.Fatalf("a request got %d; nothing has run, so it is refused", a.status)
 	}
 }
@@ -130,13 +130,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := newFront(ln, frontLimits{connections: 1}, newRoom(Limits{Sockets: 100}), nil, nil, wire.NewPool(), nil, quickTiming(), zap.NewNop())
+	f, err := newFrontend(ln, frontendLimits{maxConns: 1}, newConnBudget(Limits{Sockets: 100}), nil, nil, wire.NewPool(), nil, testTiming(), zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.stop()
 	f.open = 1 + shedReserve
-	ended := make(watched[bool], 1)
+	ended := make(eventChan[bool], 1)
 	go func() {
 		f.accept()
 		ended <- true
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -87,8 +87,8 @@
 	p.cfg.zones.place(is, c.Settings)
 	is.Seed = was.Seed
 	p.inForce(is)
-	p.hosts.by.Store(newHostSettings(c.Settings, is))
-	e := configured{cfg: *is, names: newNames(c.Settings, is, p.owner.tally), applied: make(chan struct{})}
+	p.hosts.settings.Store(newHostSettings(c.Settings, is))
+	e := configChanged{cfg: *is, names: newNameIndex(c.Settings, is, p.owner.tally), applied: make(chan struct{})}
 	p.owner.post(e)
 	select {
 	case <-e.applied:
@@ -96,9 +96,9 @@
 		return
 	}
 	p.front.names.Store(e.names)
-	p.front.seat(func(time.Duration) { p.front.desk.Patient(patienceFor(is.Classes)) })
+	p.front.updateTable(func(time.Duration) { p.front.admission.Patient(patienceFor(is.Classes)) })
 	p.owner.list.configure(was, is)
-	p.log.Info("settings in force", zap.Strings("classes", e.names.words), zap.Int("proxies", is.Balancers))
+	p.log.Info("settings in force", zap.Strings("classes", e.names.classNames), zap.Int("proxies", is.Balancers))
 }
 
 // sameJSON compares two texts that have been read as JSON, but for white space.
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -18,12 +18,12 @@
 type rereads struct {
 	mu   sync.Mutex
 	now  func(*Config) error // changes a copy of the configuration, or fails
-	done watched[string]     // what was logged of each reading
+	done eventChan[string]   // what was logged of each reading
 }
 
 // reloads gives a rig's proxy a file to read again. By default nothing in it changes.
 func reloads() (*rereads, func(*Proxy)) {
-	r := &rereads{now: func(*Config) error { return nil }, done: make(watched[string], 64)}
+	r := &rereads{now: func(*Config) error { return nil }, done: make(eventChan[string], 64)}
 	return r, func(p *Proxy) {
 		first := *p.cfg
 		p.cfg.reread = func() (*Config, error) {
@@ -62,12 +62,12 @@
 	old, next := newList(t, entry("h1", h.addr())), newList(t, entry("h1", h.addr()), entry("h2", h2.addr()))
 	old.set(entry("h1", h.addr()))
 	old.set(entry("h1", h.addr())) // version 3
-	s := newScript()
-	s.request = sends("h1")
+	s := newFakeBalancer()
+	s.onRequest = sendsOnceTo("h1")
 	file, f := reloads()
-	g := start(t, old.addr(), "null", s.decides, f)
+	g := startProxy(t, old.addr(), "null", s.install, f)
 	g.waitReady()
-	if a := g.raw(message("read", "")); a.status != http.StatusOK {
+	if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
 		t.Fatalf("before: %d", a.status)
 	}
 	for len(s.lists) > 0 {
@@ -89,7 +89,7 @@
 	}
 	s.lists.none(t, "an event beside the two lists")
 	h.seen.next(t, "the first request")
-	if a := g.raw(message("read", "")); a.status != http.StatusOK || !h.seen.next(t, "a request").again {
+	if a := g.raw(requestText("read", "")); a.status != http.StatusOK || !h.seen.next(t, "a request").again {
 		t.Error("the host's connection was not kept")
 	}
 	next.mu.Lock()
@@ -104,10 +104,10 @@
 func TestReloadRefused(t *testing.T) {
 	h := newHost(t, says(ok))
 	l := newList(t, entry("h1", h.addr()))
-	s := newScript()
-	s.request = sends("h1")
+	s := newFakeBalancer()
+	s.onRequest = sendsOnceTo("h1")
 	file, f := reloads()
-	g := start(t, l.addr(), "null", s.decides, f)
+	g := startProxy(t, l.addr(), "null", s.install, f)
 	g.waitReady()
 	for _, c := range []struct {
 		name, log string
@@ -130,7 +130,7 @@
 	for e := s.lists.next(t, "a list"); e.kind != balancer.ListFull || len(e.hosts) != 1; {
 		e = s.lists.next(t, "the list after all that")
 	}
-	if a := g.raw(message("read", "")); a.status != http.StatusOK {
+	if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
 		t.Fatalf("after all that: %d", a.status)
 	}
 }
@@ -142,7 +142,7 @@
 	h := newHost(t, says(ok))
 	l := newList(t, entry("h1", h.addr()))
 	_, f := reloads()
-	g := start(t, l.addr(), "null", f, func(p *Proxy) {
+	g := startProxy(t, l.addr(), "null", f, func(p *Proxy) {
 		p.Reload()
 		steps := p.steps[Draining]
 		p.steps[Draining] = func(ctx context.Context) (Phase, error) {
@@ -154,10 +154,10 @@
 	for range 100 {
 		g.p.Reload()
 	}
-	if a := g.raw(message("read", "")); a.status != http.StatusOK {
+	if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
 		t.Fatalf("answer %d", a.status)
 	}
-	g.tell()
+	g.shutDown()
 	g.p.Reload()
 	release.open()
 	g.stop()
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -3,14 +3,14 @@
 import "beechwing/balancer"
 
 // script is a stand-in for the module: it notes what it is told and acts as the test says.
-type script struct {
-	act      balancer.Actions
-	request  func(s *script, r balancer.Request)
-	outcome  func(s *script, o balancer.Outcome)
-	outcomes watched[balancer.Outcome]
-	probes   watched[balancer.ProbeResult]
-	gone     watched[balancer.RequestID]
-	lists    watched[listEvent]
+type fakeBalancer struct {
+	act         balancer.Actions
+	onRequest   func(s *fakeBalancer, r balancer.Request)
+	onOutcome   func(s *fakeBalancer, o balancer.Outcome)
+	outcomes    eventChan[balancer.Outcome]
+	probes      eventChan[balancer.ProbeResult]
+	clientsLeft eventChan[balancer.RequestID]
+	lists       eventChan[listEvent]
 }
 
 type listEvent struct {
@@ -18,13 +18,13 @@
 	hosts []balancer.Host
 }
 
-func newScript() *script {
-	return &script{outcomes: make(watched[balancer.Outcome], 4096), probes: make(watched[balancer.ProbeResult], 16),
-		gone: make(watched[balancer.RequestID], 16), lists: make(watched[listEvent], 4096)}
+func newFakeBalancer() *fakeBalancer {
+	return &fakeBalancer{outcomes: make(eventChan[balancer.Outcome], 4096), probes: make(eventChan[balancer.ProbeResult], 16),
+		clientsLeft: make(eventChan[balancer.RequestID], 16), lists: make(eventChan[listEvent], 4096)}
 }
 
 // decides puts the script in the module's place.
-func (s *script) decides(p *Proxy) {
+func (s *fakeBalancer) install(p *Proxy) {
 	p.decide = func(_ float64, _ balancer.Config, act balancer.Actions) balancer.Handler {
 		s.act = act
 		act.Watch()
@@ -32,38 +32,38 @@
 	}
 }
 
-func (s *script) UpdateHosts(_ float64, kind balancer.ListKind, hosts []balancer.Host) {
+func (s *fakeBalancer) UpdateHosts(_ float64, kind balancer.ListKind, hosts []balancer.Host) {
 	s.lists <- listEvent{kind, hosts}
 }
 
-func (s *script) Request(_ float64, r balancer.Request) {
-	if s.request != nil {
-		s.request(s, r)
+func (s *fakeBalancer) Request(_ float64, r balancer.Request) {
+	if s.onRequest != nil {
+		s.onRequest(s, r)
 	}
 }
 
-func (s *script) Outcome(_ float64, o balancer.Outcome) {
+func (s *fakeBalancer) Outcome(_ float64, o balancer.Outcome) {
 	s.outcomes <- o
-	if s.outcome != nil {
-		s.outcome(s, o)
+	if s.onOutcome != nil {
+		s.onOutcome(s, o)
 	} else if !o.Final {
 		s.act.Fail(o.ID)
 	}
 }
 
-func (s *script) Probed(_ float64, p balancer.ProbeResult) { s.probes <- p }
+func (s *fakeBalancer) Probed(_ float64, p balancer.ProbeResult) { s.probes <- p }
 
-func (s *script) ClientLeft(_ float64, id balancer.RequestID) { s.gone <- id }
+func (s *fakeBalancer) ClientLeft(_ float64, id balancer.RequestID) { s.clientsLeft <- id }
 
-func (s *script) Avoided(float64) int                              { return 0 }
-func (s *script) Plan(float64, []balancer.ZoneShare)               {}
-func (s *script) BodyReceived(float64, balancer.RequestID)         {}
-func (s *script) ResponseStarted(float64, balancer.RequestID, int) {}
-func (s *script) Timer(float64, uint64)                            {}
-func (s *script) Configure(float64, balancer.Config, []int)        {}
-func (s *script) PeerMessage(float64, int, []byte)                 {}
+func (s *fakeBalancer) Avoided(float64) int                              { return 0 }
+func (s *fakeBalancer) Plan(float64, []balancer.ZoneShare)               {}
+func (s *fakeBalancer) BodyReceived(float64, balancer.RequestID)         {}
+func (s *fakeBalancer) ResponseStarted(float64, balancer.RequestID, int) {}
+func (s *fakeBalancer) Timer(float64, uint64)                            {}
+func (s *fakeBalancer) Configure(float64, balancer.Config, []int)        {}
+func (s *fakeBalancer) PeerMessage(float64, int, []byte)                 {}
 
 // sends makes the script send every request once to a host.
-func sends(host string) func(*script, balancer.Request) {
-	return func(s *script, r balancer.Request) { s.act.Send(r.ID, hostID(host), 0) }
+func sendsOnceTo(host string) func(*fakeBalancer, balancer.Request) {
+	return func(s *fakeBalancer, r balancer.Request) { s.act.Send(r.ID, hostID(host), 0) }
 }
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -11,34 +11,34 @@
 )
 
 // streamBuffers is how many buffers of a long message may be here at once.
-const streamBuffers = bodies.Kept / wire.BufferSize
+const maxStreamBuffers = bodies.Kept / wire.BufferSize
 
-var errLeft = errors.New("nobody takes it any more")
+var errAbandoned = errors.New("nobody takes it any more")
 
 // stream passes a long message from the goroutine that reads it to the one that writes it. Whoever reads waits while it
 // is full, so that a slow peer slows the other.
 type stream struct {
-	bufs *wire.Pool
-	come chan struct{} // something has come, or the end
-	gone chan struct{} // something has been taken, or nobody will
-
-	mu    sync.Mutex
-	queue []piece
-	ended bool
-	err   error // nil with ended: the message is whole
-	left  bool  // nobody takes more
+	bufs       *wire.Pool
+	dataReady  chan struct{} // something has come, or the end
+	spaceFreed chan struct{} // something has been taken, or nobody will
+
+	mu        sync.Mutex
+	queue     []piece
+	ended     bool
+	err       error // nil with ended: the message is whole
+	abandoned bool  // nobody takes more
 }
 
 // piece is a buffer with n bytes.
 type piece struct {
-	buf *[wire.BufferSize]byte
-	n   int
+	buf  *[wire.BufferSize]byte
+	size int
 }
 
-func (p piece) bytes() []byte { return p.buf[:p.n] }
+func (p piece) bytes() []byte { return p.buf[:p.size] }
 
 func newStream(bufs *wire.Pool) *stream {
-	return &stream{bufs: bufs, come: make(chan struct{}, 1), gone: make(chan struct{}, 1)}
+	return &stream{bufs: bufs, dataReady: make(chan struct{}, 1), spaceFreed: make(chan struct{}, 1)}
 }
 
 // fill reads r until its end, which the caller tells with end. It waits while the stream is full, and calls whenFull
@@ -48,13 +48,13 @@
 		if s.full() {
 			whenFull()
 		}
-		if !s.awaitRoom() {
-			return errLeft
+		if !s.awaitSpace() {
+			return errAbandoned
 		}
 		buf := s.bufs.Buffer()
 		n, err := r.Read(buf[:])
 		if !s.put(piece{buf, n}) {
-			return errLeft
+			return errAbandoned
 		}
 		switch total += n; {
 		case err == io.EOF:
@@ -71,19 +71,19 @@
 func (s *stream) full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.queue) >= streamBuffers
+	return len(s.queue) >= maxStreamBuffers
 }
 
 // awaitRoom waits until there is room, and says whether anybody still takes what comes.
-func (s *stream) awaitRoom() bool {
+func (s *stream) awaitSpace() bool {
 	for {
 		s.mu.Lock()
-		full, left := len(s.queue) >= streamBuffers, s.left
+		full, left := len(s.queue) >= maxStreamBuffers, s.abandoned
 		s.mu.Unlock()
 		if !full || left {
 			return !left
 		}
-		<-s.gone
+		<-s.spaceFreed
 	}
 }
 
@@ -91,22 +91,22 @@
 func (s *stream) put(p piece) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.left || p.n == 0 {
+	if s.abandoned || p.size == 0 {
 		s.bufs.PutBuffer(p.buf)
-		return !s.left
+		return !s.abandoned
 	}
 	if k := len(s.queue) - 1; k >= 0 {
 		last := &s.queue[k]
-		n := copy(last.buf[last.n:], p.bytes())
-		last.n += n
-		p.n = copy(p.buf[:], p.buf[n:p.n])
+		n := copy(last.buf[last.size:], p.bytes())
+		last.size += n
+		p.size = copy(p.buf[:], p.buf[n:p.size])
 	}
-	if p.n > 0 {
+	if p.size > 0 {
 		s.queue = append(s.queue, p)
 	} else {
 		s.bufs.PutBuffer(p.buf)
 	}
-	ask(s.come)
+	ask(s.dataReady)
 	return true
 }
 
@@ -115,7 +115,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ended, s.err = true, err
-	ask(s.come)
+	ask(s.dataReady)
 }
 
 // take gives the next piece, whose buffer is the caller's from then on. io.EOF: the message is whole.
@@ -126,7 +126,7 @@
 			p := s.queue[0]
 			s.queue = s.queue[1:]
 			s.mu.Unlock()
-			ask(s.gone)
+			ask(s.spaceFreed)
 			return p, nil
 		}
 		ended, err := s.ended, s.err
@@ -138,7 +138,7 @@
 			return piece{}, err
 		}
 		select {
-		case <-s.come:
+		case <-s.dataReady:
 		case <-ctx.Done():
 			return piece{}, ctx.Err()
 		}
@@ -146,24 +146,24 @@
 }
 
 // leave gives back what is held. Who fills it learns that nobody takes more.
-func (s *stream) leave() {
+func (s *stream) abandon() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.left = true
+	s.abandoned = true
 	for _, p := range s.queue {
 		s.bufs.PutBuffer(p.buf)
 	}
 	s.queue = nil
-	ask(s.gone)
+	ask(s.spaceFreed)
 }
 
 // whole gives all of a message that has ended, of which nothing has been taken, as a body.
-func (s *stream) whole() (b wire.Body) {
+func (s *stream) takeBody() (b wire.Body) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.queue {
-		b.Bufs, b.Size = append(b.Bufs, p.buf), b.Size+p.n
+		b.Bufs, b.Size = append(b.Bufs, p.buf), b.Size+p.size
 	}
-	s.queue, s.left = nil, true
+	s.queue, s.abandoned = nil, true
 	return b
 }
--- a/internal/proxy/switch_test.go
+++ b/internal/proxy/switch_test.go
@@ -42,7 +42,7 @@
 }
 
 // switchTo has the proxy read a configuration again, and waits until that is done.
-func (r *rereads) switchTo(t testing.TB, g *rig, text, log string) {
+func (r *rereads) switchTo(t testing.TB, g *testProxy, text, log string) {
 	t.Helper()
 	r.set(to(text))
 	g.p.Reload()
@@ -66,7 +66,7 @@
 	l := newList(t, entry("h1", a.addr()), entry("h2", b.addr()))
 	l.set(entry("h1", a.addr()), entry("h2", b.addr()))
 	file, f := reloads()
-	g := start(t, l.addr(), "null", f)
+	g := startProxy(t, l.addr(), "null", f)
 	g.waitReady()
 	stop := make(chan struct{})
 	counts := make([]map[int]int, 6)
@@ -82,7 +82,7 @@
 				default:
 				}
 				c := g.dial()
-				io.WriteString(c, message(class, text))
+				io.WriteString(c, requestText(class, text))
 				r, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil {
 					t.Errorf("%s without an answer: %v", class, err)
@@ -96,14 +96,14 @@
 	}
 	for range 6 {
 		file.switchTo(t, g, poolSettings, "settings in force")
-		if a := g.raw(message("pay", "")); a.status == http.StatusBadRequest {
+		if a := g.raw(requestText("pay", "")); a.status == http.StatusBadRequest {
 			t.Error("the new settings' class is unknown")
 		}
-		if a := g.raw(message("read", "")); a.status != http.StatusBadRequest {
+		if a := g.raw(requestText("read", "")); a.status != http.StatusBadRequest {
 			t.Errorf("a class that went: %d", a.status)
 		}
 		file.switchTo(t, g, testSettings, "settings in force")
-		if a := g.raw(message("pay", "")); a.status != http.StatusBadRequest {
+		if a := g.raw(requestText("pay", "")); a.status != http.StatusBadRequest {
 			t.Errorf("back again, the other's class: %d", a.status)
 		}
 	}
@@ -135,20 +135,20 @@
 	h := newHost(t, release.says(ok))
 	l := newList(t, entry("h1", h.addr()), entry("h2", h.addr()), entry("h3", h.addr())) // three: limits start low
 	file, f := reloads()
-	g := start(t, l.addr(), "null", f)
+	g := startProxy(t, l.addr(), "null", f)
 	g.waitReady()
 	open := map[string]net.Conn{}
 	for _, class := range []string{"read", "write", "log"} {
 		c := g.dial()
 		defer c.Close()
-		io.WriteString(c, message(class, ""))
+		io.WriteString(c, requestText(class, ""))
 		h.seen.next(t, class)
 		open[class] = c
 	}
 	file.switchTo(t, g, poolSettings, "settings in force")
 	release.open()
 	for class, c := range open {
-		if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK {
+		if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
 			t.Errorf("%s: %d", class, a.status)
 		}
 	}
@@ -162,14 +162,14 @@
 	h := newHost(t, says(ok))
 	l := newList(t, entry("h1", h.addr()))
 	file, f := reloads()
-	g := start(t, l.addr(), "null", f)
+	g := startProxy(t, l.addr(), "null", f)
 	g.waitReady()
 	bad := strings.Replace(poolSettings, `"MissAllowed": 0.02`, `"MissAllowed": 2`, 1)
 	file.switchTo(t, g, bad, "configuration not read again, the old one stays")
-	if a := g.raw(message("read", "")); a.status != http.StatusOK {
+	if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
 		t.Errorf("a class of the old settings: %d", a.status)
 	}
-	if a := g.raw(message("pay", "")); a.status != http.StatusBadRequest {
+	if a := g.raw(requestText("pay", "")); a.status != http.StatusBadRequest {
 		t.Errorf("a class of the refused settings: %d", a.status)
 	}
 }
@@ -183,7 +183,7 @@
 	h := newHost(t, release.says(ok))
 	l := newList(t, entry("h1", h.addr()))
 	file, f := reloads()
-	g := start(t, l.addr(), "null", f, func(p *Proxy) {
+	g := startProxy(t, l.addr(), "null", f, func(p *Proxy) {
 		step := p.steps[Draining]
 		p.steps[Draining] = func(ctx context.Context) (Phase, error) {
 			<-ending.opened
@@ -193,7 +193,7 @@
 	g.waitReady()
 	c := g.dial()
 	defer c.Close()
-	io.WriteString(c, message("write", ""))
+	io.WriteString(c, requestText("write", ""))
 	h.seen.next(t, "the request")
 	for range 20 {
 		file.set(to(testSettings))
@@ -201,8 +201,8 @@
 		file.set(to(poolSettings))
 		g.p.Reload()
 	}
-	g.tell()
-	for end := time.Now().Add(patience); len(g.p.front.names.Load().words) != 2; {
+	g.shutDown()
+	for end := time.Now().Add(testTimeout); len(g.p.front.names.Load().classNames) != 2; {
 		if time.Now().After(end) {
 			t.Fatal("the last settings are not in force")
 		}
@@ -210,7 +210,7 @@
 		file.done.next(t, "a reading")
 	}
 	release.open()
-	if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK {
+	if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
 		t.Errorf("what was open: %d", a.status)
 	}
 	ending.open()
--- a/internal/proxy/toys_test.go
+++ b/internal/proxy/toys_test.go
@@ -80,13 +80,13 @@
 // connection goes on.
 type toyHost struct {
 	*toy
-	seen  watched[seenRequest]
-	ended watched[error] // what ended each connection
+	seen  eventChan[seenRequest]
+	ended eventChan[error] // what ended each connection
 }
 
 func newHost(t testing.TB, answer func(c net.Conn, r seenRequest) bool) *toyHost {
 	t.Helper()
-	h := &toyHost{seen: make(watched[seenRequest], 4096), ended: make(watched[error], 4096)}
+	h := &toyHost{seen: make(eventChan[seenRequest], 4096), ended: make(eventChan[error], 4096)}
 	h.toy = newToy(t, func(c net.Conn, br *bufio.Reader) {
 		for again := false; ; again = true {
 			r, err := http.ReadRequest(br)
@@ -179,7 +179,7 @@
 // toyList is discovery. A watch is answered with the whole list once there is a newer one.
 type toyList struct {
 	*toy
-	calls watched[string]
+	calls eventChan[string]
 
 	mu      sync.Mutex
 	version int
@@ -191,7 +191,7 @@
 
 func newList(t testing.TB, entries ...listEntry) *toyList {
 	t.Helper()
-	l := &toyList{calls: make(watched[string], 4096), version: 1, entries: entries, changed: make(chan struct{})}
+	l := &toyList{calls: make(eventChan[string], 4096), version: 1, entries: entries, changed: make(chan struct{})}
 	l.toy = newToy(t, func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -40,11 +40,11 @@
 			}
 			defer conn.Close()
 			fresh := &hostConn{conn: conn}
-			if !fresh.begin(newCall()) {
+			if !fresh.startCall(newCall()) {
 				t.Fatal("a quiet connection is not taken")
 			}
 			close(ready)
-			for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 				bytes, ended := wire.Arrived(conn)
 				if bytes == c.bytes && ended == c.ended {
 					break
@@ -53,7 +53,7 @@
 					t.Fatalf("bytes %v, ended %v", bytes, ended)
 				}
 			}
-			if (&hostConn{conn: conn}).begin(newCall()) {
+			if (&hostConn{conn: conn}).startCall(newCall()) {
 				t.Fatal("it takes a call")
 			}
 		})
@@ -63,20 +63,20 @@
 // TestNoPlaceInTime: with all places for connections taken, an attempt does not outlast its time waiting for one.
 func TestNoPlaceInTime(t *testing.T) {
 	h := newHost(t, says(ok))
-	g := one(t, h)
+	g := startOneHost(t, h)
 	hosts := g.p.hosts
-	hosts.by.Store(&hostSettings{connect: patience, idle: hosts.by.Load().idle})
-	for hosts.room.takeHost() {
+	hosts.settings.Store(&hostSettings{connectTimeout: testTimeout, idleTimeout: hosts.settings.Load().idleTimeout})
+	for hosts.budget.tryAcquireHost() {
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	began := time.Now()
 	_, result := hosts.find(hostID("h1")).exchange(ctx, question("/"))
-	if took := time.Since(began); result != balancer.ConnectFailed || took > patience/2 {
+	if took := time.Since(began); result != balancer.ConnectFailed || took > testTimeout/2 {
 		t.Fatalf("%v after %v", result, took)
 	}
-	for hosts.room.hostCount() > 0 {
-		hosts.room.giveHost()
+	for hosts.budget.hostCount() > 0 {
+		hosts.budget.releaseHost()
 	}
 }
 
@@ -84,9 +84,9 @@
 func TestRestartedHost(t *testing.T) {
 	h := newHost(t, says(ok))
 	l := newList(t, entry("h1", h.addr()))
-	g := start(t, l.addr(), "null", func(p *Proxy) { p.cfg.Settings.Limits.ConnIdleS = 1000 })
+	g := startProxy(t, l.addr(), "null", func(p *Proxy) { p.cfg.Settings.Limits.ConnIdleS = 1000 })
 	g.waitReady()
-	g.raw(message("read", ""))
+	g.raw(requestText("read", ""))
 	again := entry("h1", h.addr())
 	again.Started = time.Now().UnixMilli()
 	l.set(again)
@@ -100,26 +100,26 @@
 func TestReplacedHosts(t *testing.T) {
 	h := newHost(t, says(ok))
 	l := newList(t, entry("h1", h.addr()))
-	s := newScript()
-	s.request = sends("h1")
-	g := start(t, l.addr(), "null", s.decides)
+	s := newFakeBalancer()
+	s.onRequest = sendsOnceTo("h1")
+	g := startProxy(t, l.addr(), "null", s.install)
 	g.waitReady()
 	for n := range 3000 {
 		list := catalog{full: true, hosts: []balancer.Host{{ID: hostID("h1"), Status: balancer.Ready},
 			{ID: balancer.HostID(n), Status: balancer.Ready}}, addrs: []string{h.addr(), h.addr()}}
 		g.p.hosts.update(balancer.ListFull, list, float64(n))
 		if n%10 == 0 {
-			if a := g.raw(message("read", "")); a.status != http.StatusOK {
+			if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
 				t.Fatalf("request %d got %d", n, a.status)
 			}
 		}
 	}
-	sizes := make(watched[[3]int], 1)
-	g.p.owner.post(inside(func(o *owner) { sizes <- [3]int{len(o.hosts.all), len(o.flights), len(o.open)} }))
+	sizes := make(eventChan[[3]int], 1)
+	g.p.owner.post(inside(func(o *owner) { sizes <- [3]int{len(o.hosts.byID), len(o.flights), len(o.open)} }))
 	if got := sizes.next(t, "the sizes"); got != [3]int{2, 0, 0} {
 		t.Errorf("hosts, flights and ids left: %v", got)
 	}
-	if n := g.p.hosts.room.hostCount(); n > 1 {
+	if n := g.p.hosts.budget.hostCount(); n > 1 {
 		t.Errorf("%d connections to hosts", n)
 	}
 }
