--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	acceptRetryDelay = 5 * time.Millisecond // after a failed accept: out of descriptors it would fail at once again
-	maxInlineCloses  = 16                   // connections that one event of another may end on its way; the keeper ends the rest
+	acceptRetryDelay = 5 * time.Millisecond // without a pause, accept would fail again at once while descriptors are short
+	maxInlineCloses  = 16                   // connections that one table update may close; the maintenance loop closes the rest
 )
 
-// front takes connections of clients. Which of them keep their places its book decides, and whose requests are read its
-// desk. A connection that brings nothing is parked.
+// frontend accepts client connections. The connection table decides which of them are closed when connections run
+// short, and the admission queue decides whose requests are read. A connection on which nothing arrives is parked.
 type frontend struct {
 	ln     net.Listener
 	log    *zap.Logger
@@ -34,39 +34,39 @@
 	times  timing
 	limits frontendLimits
 	budget *connBudget
-	// giveBack closes so many idle connections to hosts.
+	// closeIdleHostConns closes up to n idle connections to hosts.
 	closeIdleHostConns func(int)
-	start              time.Time     // zero of the book's and the desk's time
-	slotFreed          chan struct{} // wakes an accept that waits for a place
+	start              time.Time     // zero point of the times passed to connTable and admission
+	slotFreed          chan struct{} // wakes an accept loop that waits for capacity
 	poller             *park.Lot
-	maintenanceDue     chan struct{} // wakes the keeper
-	closed             chan struct{} // with the listener, for an accept that waits for a place
-	stopped            chan struct{} // ends the keeper
+	maintenanceDue     chan struct{} // wakes the maintenance loop
+	closed             chan struct{} // closed together with the listener; ends an accept loop that waits for capacity
+	stopped            chan struct{} // ends the maintenance loop
 
-	wg             sync.WaitGroup // of connections
+	wg             sync.WaitGroup // one per connection
 	mu             sync.Mutex
-	open           int // connections, those over the limit that are turned down with an answer too
+	open           int // connections, including those over the limit that get an error response
 	connTable      *places.Book
 	admission      *places.Desk
-	warm           int  // connections that wait for their next request with a goroutine and a reader
-	sheddingLogged bool // requests are refused unread, and that has been logged
-	limitLogged    bool // the limit of connections was reached, and has been logged
+	warm           int  // idle connections that still have a goroutine and a reader
+	sheddingLogged bool // the log says that requests are refused unread
+	limitLogged    bool // the log says that the connection limit is reached
 }
 
-// frontLimits is what a front may hold.
+// frontendLimits bounds what a frontend may hold.
 type frontendLimits struct {
-	machineMax         int // connections that the machine allows
-	maxConns           int // that the operator allows
+	machineMax         int // connections that descriptors and memory allow
+	maxConns           int // connections allowed: machineMax or the configured limit, if that is lower
 	byAddress          bool
 	admission          places.DeskConfig
-	goroutinePerParked bool // a goroutine for each connection that waits
-	maxWarm            int  // connections that may wait unparked for a moment after a request
+	goroutinePerParked bool // each parked connection has a goroutine instead of an epoll registration
+	maxWarm            int  // most connections that may stay unparked for a moment after a request
 }
 
-func newFrontend(ln net.Listener, l frontendLimits, r *connBudget, giveBack func(int), o *owner, bufs *wire.Pool, n *nameIndex, t timing,
-	log *zap.Logger) (*frontend, error) {
-	f := &frontend{ln: ln, log: log, budget: r, closeIdleHostConns: giveBack, owner: o, bufs: bufs, times: t, limits: l,
-		start: time.Now(), slotFreed: make(chan struct{}, 1), maintenanceDue: make(chan struct{}, 1),
+func newFrontend(ln net.Listener, l frontendLimits, r *connBudget, closeIdleHostConns func(int), o *owner,
+	bufs *wire.Pool, n *nameIndex, t timing, log *zap.Logger) (*frontend, error) {
+	f := &frontend{ln: ln, log: log, budget: r, closeIdleHostConns: closeIdleHostConns, owner: o, bufs: bufs, times: t,
+		limits: l, start: time.Now(), slotFreed: make(chan struct{}, 1), maintenanceDue: make(chan struct{}, 1),
 		closed: make(chan struct{}), stopped: make(chan struct{}), admission: places.NewDesk(l.admission),
 		connTable: places.New(connTableConfig(l, t))}
 	f.names.Store(n)
@@ -81,7 +81,7 @@
 	return f, err
 }
 
-// awaitPlace waits until one more connection may be held, and says whether the listener is still open.
+// waitForCapacity waits until one more connection may be held. It returns false if the listener has been closed.
 func (f *frontend) waitForCapacity() bool {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -92,7 +92,7 @@
 		if free {
 			return true
 		}
-		timer.Reset(maintenanceInterval) // hosts may have given some back, of which nobody tells
+		timer.Reset(maintenanceInterval) // connections to hosts may have been released, which sends no signal
 		select {
 		case <-f.closed:
 			return false
@@ -103,12 +103,12 @@
 }
 
 func connTableConfig(l frontendLimits, t timing) places.Config {
-	return places.Config{Most: l.maxConns, Fresh: t.firstRequestTimeout, Late: t.lateGrace, Idle: t.idleTimeout, IdleLeast: t.idleTimeoutFull,
-		ByAddress: l.byAddress}
+	return places.Config{Most: l.maxConns, Fresh: t.firstRequestTimeout, Late: t.lateGrace, Idle: t.idleTimeout,
+		IdleLeast: t.idleTimeoutFull, ByAddress: l.byAddress}
 }
 
-// configure takes over what the operator says of connections now. What is over a lowered limit ends as soon as it is
-// idle.
+// configure applies the configured connection settings. Connections beyond a lowered limit are closed as soon as they
+// are idle.
 func (f *frontend) configure(c site.Connections) {
 	f.updateTable(func(time.Duration) {
 		t := f.times
@@ -118,8 +118,8 @@
 	})
 }
 
-// accept takes connections until the listener closes or its deadline passes. When all places are taken, those that
-// wait in the backlog stay there until one is free.
+// accept accepts connections until the listener is closed or its deadline passes. While the limit is reached, new
+// connections stay in the listen backlog.
 func (f *frontend) accept() {
 	failing := false
 	for f.waitForCapacity() {
@@ -136,7 +136,8 @@
 			f.log.Warn("accept failed", zap.Error(err))
 			failing = true
 		}
-		// Descriptors may be short in ways that no limit foresees. One that is idle is missed less than a new one.
+		// The process may run out of descriptors in ways that the limits do not cover. An idle connection is worth
+		// less than a new one, so one is closed.
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 			f.updateTable(f.connTable.Shed)
 		}
@@ -144,8 +145,8 @@
 	}
 }
 
-// admit starts to hold a connection. Over the limit another makes room; without any, the new one gets a plain failure for
-// its first request.
+// admit registers a new connection. If the limit is reached, a connection that is not serving a request is closed for
+// it. If there is none, the first request on the new connection gets an error response.
 func (f *frontend) admit(c net.Conn) {
 	cl := &clientConn{front: f, conn: c, accepted: time.Now()}
 	cl.meter.R = cl
@@ -167,18 +168,18 @@
 	}
 }
 
-// makeLimit asks for room for more connections of clients and gives the book its limit, which what hosts hold may bring
-// under the operator's. mu is held.
-func (f *frontend) updateLimit(more int) {
+// updateLimit claims budget for extra client connections and passes the resulting limit to the connection table.
+// Connections to hosts may push that limit below the configured one. The caller holds mu.
+func (f *frontend) updateLimit(extra int) {
 	count := f.connTable.Count()
-	limit := f.budget.claimClients(count + more)
-	if limit < count+more {
-		ask(f.maintenanceDue) // hosts may hold some that they can give back
+	limit := f.budget.claimClients(count + extra)
+	if limit < count+extra {
+		ask(f.maintenanceDue) // idle connections to hosts may be closed to free some budget
 	}
 	f.connTable.SetMost(min(f.limits.maxConns, limit))
 }
 
-// noteLimit logs when the limit of connections begins to bind, and when it has ceased to. mu is held.
+// logLimit logs when the connection limit is reached, and when usage has fallen well below it. The caller holds mu.
 func (f *frontend) logLimit(s *places.Seat) {
 	over := s.Kind() == places.Over
 	if !over && !f.limitLogged {
@@ -195,7 +196,7 @@
 	}
 }
 
-// origin is the address that a connection comes from.
+// sourceIP returns the remote IP address of a connection, or the zero Addr if the connection is not TCP.
 func sourceIP(c net.Conn) netip.Addr {
 	if a, ok := c.RemoteAddr().(*net.TCPAddr); ok {
 		return a.AddrPort().Addr()
@@ -203,26 +204,27 @@
 	return netip.Addr{}
 }
 
-// seat tells the book something, and ends the connections that it then names.
-func (f *frontend) updateTable(tell func(now time.Duration)) {
+// updateTable applies a change to the connection table and closes the connections that the table then selects.
+func (f *frontend) updateTable(apply func(now time.Duration)) {
 	f.mu.Lock()
 	now := f.now()
 	count := f.connTable.Count()
-	tell(now)
+	apply(now)
 	if f.connTable.Count() != count {
 		f.budget.claimClients(f.connTable.Count())
 	}
 	f.unlockAndClose(now, maxInlineCloses)
 }
 
-// now is the book's and the desk's time.
+// now returns the time that connTable and admission work with.
 func (f *frontend) now() time.Duration { return time.Since(f.start) }
 
-// unlockAndEnd releases mu and ends up to n connections that the book has named.
+// unlockAndClose releases mu and closes up to n connections that the table has selected. It reports whether these
+// were all.
 func (f *frontend) unlockAndClose(now time.Duration, n int) (all bool) {
-	named := f.connTable.Reap(now, n)
-	idle := make([]*clientConn, 0, len(named))
-	for _, s := range named {
+	selected := f.connTable.Reap(now, n)
+	idle := make([]*clientConn, 0, len(selected))
+	for _, s := range selected {
 		c := s.Holder().(*clientConn)
 		if c.parked {
 			c.parked = false
@@ -235,33 +237,34 @@
 	for _, c := range idle {
 		f.closeParked(c)
 	}
-	if len(named) == n {
+	if len(selected) == n {
 		ask(f.maintenanceDue)
 	}
-	return len(named) < n
+	return len(selected) < n
 }
 
-// part makes every answer from now on the last of its connection, and leaves idle connections as they are.
+// closeAfterResponses makes every response from now on the last of its connection. Idle connections stay open.
 func (f *frontend) closeAfterResponses() { f.updateTable(func(time.Duration) { f.connTable.Part() }) }
 
-// drain makes every answer from now on the last of its connection, and ends those that are idle. It is called again
-// when nothing new can come any more.
+// drain makes every response from now on the last of its connection and closes idle connections. It is called again
+// once no new connections can arrive.
 func (f *frontend) drain() { f.updateTable(f.connTable.Drain) }
 
-// close ends accepting.
+// close stops accepting connections.
 func (f *frontend) close() {
 	f.ln.Close()
 	close(f.closed)
 }
 
-// stop ends what watches connections. None is held any more, or those that are will not be served.
+// stop ends the maintenance loop and the poller of parked connections. It is called when no connection is left, or
+// when those that are left will not be served.
 func (f *frontend) stop() {
 	close(f.stopped)
 	f.poller.Close()
 }
 
-// backlog takes what clients have already connected and this proxy has not yet accepted: closing the listener would
-// reset those connections and lose their requests.
+// setAcceptDeadline lets accept go on for the given time. In that time it accepts what is still in the listen
+// backlog: closing the listener would reset those connections and lose their requests.
 func (f *frontend) setAcceptDeadline(within time.Duration) {
 	if d, ok := f.ln.(interface{ SetDeadline(time.Time) error }); ok {
 		d.SetDeadline(time.Now().Add(within))
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -8,7 +8,7 @@
 	"beechwing/balancer"
 )
 
-// The owner as balancer.Actions: what the module asks for.
+// The methods below implement balancer.Actions for the owner: they carry out what the balancer decides.
 
 // Send starts the next attempt of a request.
 func (o *owner) Send(id balancer.RequestID, host balancer.HostID, timeout float64) {
@@ -40,17 +40,17 @@
 	}
 }
 
-// Refuse answers that trying again is harmless.
+// Refuse answers that the request has not run and may safely be repeated.
 func (o *owner) Refuse(id balancer.RequestID, coolDown float64) {
 	o.respondTo(id, clientResponse{status: http.StatusServiceUnavailable, text: "refused\n", retryAfterSeconds: coolDown})
 }
 
-// Fail answers that nothing is promised.
+// Fail answers that the request has failed and may have run.
 func (o *owner) Fail(id balancer.RequestID) {
 	o.respondTo(id, clientResponse{status: http.StatusBadGateway, text: "failed\n"})
 }
 
-// give answers a request.
+// respondTo gives a request its final response.
 func (o *owner) respondTo(id balancer.RequestID, a clientResponse) {
 	f := o.flights[id]
 	if f == nil {
@@ -60,7 +60,7 @@
 	o.local = append(o.local, dropCheck{f})
 }
 
-// Cancel stops waiting for an attempt.
+// Cancel aborts an attempt.
 func (o *owner) Cancel(id balancer.RequestID, n int) {
 	f := o.flights[id]
 	if f == nil || n < 0 || n >= len(f.attempts) {
@@ -81,19 +81,20 @@
 	go func() { o.post(p.run(o.ctx, up)) }()
 }
 
-// Timer asks for an event.
+// Timer schedules a timer event for the balancer.
 func (o *owner) Timer(after float64, token uint64) {
 	heap.Push(&o.timers, timer{at: o.clock.now() + max(0, after), token: token})
 }
 
-// Watch asks for the list and its changes.
+// Watch subscribes to the host list and its changes.
 func (o *owner) Watch() { ask(o.list.watch) }
 
-// Fetch asks for the list once.
+// Fetch requests the host list once.
 func (o *owner) Fetch() { ask(o.list.fetch) }
 
-// Broadcast would send a message to every peer. The protocol has none, and the module is told so in its Config.
+// Broadcast does nothing: the protocol has no messages between balancers, and Config.PeerMessages tells the balancer
+// so.
 func (o *owner) Broadcast([]byte) {}
 
-// Log writes a line of the module's.
+// Log writes a log line of the balancer.
 func (o *owner) Log(text string) { o.log.Info(text) }
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -10,22 +10,23 @@
 	"beechwing/internal/wire"
 )
 
-// answer is the final word on a request. A status of zero means that nobody is there to hear one.
+// clientResponse is the final response to a request. A status of zero means that the client has left and nothing is
+// written.
 type clientResponse struct {
 	status            int
-	contentType       string    // content type of a served body
-	body              wire.Body // of a host's answer
-	stream            *stream   // a long one, in body's place
-	contentLength     int64
-	noChunks          bool   // its client knows no chunks
-	text              string // of an answer of our own
+	contentType       string    // of a response from a host
+	body              wire.Body // from a host
+	stream            *stream   // a long response, in place of body
+	contentLength     int64     // of stream; negative: unknown
+	noChunks          bool      // the client speaks HTTP/1.0 and cannot read chunked encoding
+	text              string    // body of a response made by the proxy
 	retryAfterSeconds float64
-	closeAfter        bool       // the connection ends after it
-	protocolError     bool       // it answers what is not a request
-	abortedAttempts   []*attempt // called off with it
+	closeAfter        bool       // the connection is closed after it
+	protocolError     bool       // it answers an invalid request
+	abortedAttempts   []*attempt // attempts that were aborted when the response was decided
 }
 
-// respond waits for the owner's answer and writes it. It says whether the connection may go on.
+// respond waits for the response from the owner and writes it. It reports whether the connection stays open.
 func (c *clientConn) respond(q *request, class *classTally, last bool) bool {
 	a := <-q.response
 	defer c.front.bufs.FreeBody(&a.body)
@@ -33,7 +34,7 @@
 	if a.stream != nil {
 		defer a.stream.abandon()
 	}
-	for _, at := range a.abortedAttempts { // nothing may be sent for a request once it is answered
+	for _, at := range a.abortedAttempts { // once a request is answered, no further bytes may be sent for it
 		at.awaitWrites()
 	}
 	if a.status == 0 {
@@ -47,16 +48,16 @@
 	return c.deliver(&a, last)
 }
 
-// deliver writes the answer to a whole request. last says that the client wants no further one; the result, whether the
-// connection goes on.
+// deliver writes the response to a complete request. last means that the client wants no further request on the
+// connection. It reports whether the connection stays open.
 func (c *clientConn) deliver(a *clientResponse, last bool) bool {
 	a.closeAfter = last || c.isLast()
-	a.closeAfter = a.closeAfter || a.stream != nil && a.noChunks && a.contentLength < 0 // only the end of the connection ends it
+	a.closeAfter = a.closeAfter || a.stream != nil && a.noChunks && a.contentLength < 0 // only the close marks the end
 	err := c.write(a)
 	if err == nil {
 		err = c.relayResponse(a)
 	}
-	if err != nil { // what the client got is not whole, and it can tell; its reader waits for nothing more
+	if err != nil { // the client can tell that the response is incomplete; closing also ends the reading goroutine
 		a.status = http.StatusBadGateway
 		c.conn.Close()
 		return false
@@ -65,7 +66,7 @@
 	return !a.closeAfter
 }
 
-// write sends an answer in one gathered write.
+// write sends a response in one gathered write.
 func (c *clientConn) write(a *clientResponse) error {
 	buf := c.front.bufs.Buffer()
 	defer c.front.bufs.PutBuffer(buf)
@@ -81,7 +82,7 @@
 		fmt.Fprint(w, "Connection: close\r\n")
 	}
 	fmt.Fprintf(w, "\r\n%s", a.text)
-	if w.Full { // only a host's content type can be that long
+	if w.Full { // only a host's Content-Type can be that long
 		return wire.ErrTooLarge
 	}
 	c.conn.SetWriteDeadline(time.Now().Add(c.front.times.responseTimeout))
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -12,30 +12,30 @@
 	"beechwing/internal/wire"
 )
 
-// attempt is one sending of a request to a host.
+// attempt is one attempt to get a request answered by a host.
 type attempt struct {
 	request *request
 	number  int
 	host    balancer.HostID
-	zone    string  // of the host, where somebody asks; the owner's
+	zone    string  // of the host, if zones are observed; used by the owner only
 	sentAt  float64 // on the owner's clock
-	ended   bool    // its outcome has come; the owner's
+	ended   bool    // its outcome has been processed; used by the owner only
 
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
-	deadline time.Time     // it ends by then; for a long body, that is set with its last byte
-	timeout  time.Duration // the module's limit for a long body's attempt; 0: none
-	timer    *time.Timer   // ends it
+	deadline time.Time     // when the attempt times out; for a long body, set once its last byte has arrived
+	timeout  time.Duration // limit set by the balancer, for an attempt with a long body; 0: none
+	timer    *time.Timer   // cancels the attempt at the deadline
 
-	responseStartedAt float64 // when its answer began to go on to the client; 0: not yet. The owner's, as is
-	response          *stream // that answer
+	responseStartedAt float64 // when its response started to go to the client; 0: not yet. Used by the owner only
+	response          *stream // that response. Used by the owner only
 
 	post    func(event)
 	tally   *tally
-	writeMu sync.Mutex // held while bytes go out
+	writeMu sync.Mutex // held while bytes are written
 }
 
-// run sends the request and waits for what comes back. It makes exactly one outcome, and never sends twice.
+// run sends the request and waits for the response. It produces exactly one outcome and never sends the request twice.
 func (a *attempt) run(up *upstream) attemptEnded {
 	defer a.cancel(nil)
 	defer a.stopTimer()
@@ -43,30 +43,31 @@
 	return attemptEnded{attempt: a, result: result, response: r}
 }
 
-// callOff ends an attempt that is under way, and says whether it was. The owner calls it.
+// abort cancels an attempt that is under way, and reports whether it was. Only the owner calls it.
 func (a *attempt) abort() bool {
-	if a.ended || a.cancel == nil { // it has ended, or never went out
+	if a.ended || a.cancel == nil { // it has ended, or was never sent
 		return false
 	}
 	a.cancel(nil)
 	return true
 }
 
-// expire ends the attempt as timed out at a time.
+// setDeadline makes the attempt time out at the given time.
 func (a *attempt) setDeadline(until time.Time) {
 	a.deadline = until
 	a.timer = time.AfterFunc(time.Until(until), func() { a.cancel(context.DeadlineExceeded) })
 }
 
-// unlimit takes that back, and says whether it came in time.
+// stopTimer removes the deadline. It returns false if the deadline has already passed.
 func (a *attempt) stopTimer() bool { return a.timer == nil || a.timer.Stop() }
 
-// calledOff says whether what a context stands for was given up, and not out of time.
+// aborted reports whether a context was cancelled for another reason than a timeout.
 func aborted(ctx context.Context) bool {
 	return ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
 
-// begun takes the begin of a long answer. From here on its peers' progress bounds the attempt, and no time does.
+// responseStarted takes the first part of a long response. From here on the deadline no longer applies; the attempt
+// ends only if one of the two peers stops making progress.
 func (a *attempt) responseStarted(r hostResponse) bool {
 	if !a.stopTimer() {
 		return false
@@ -75,15 +76,16 @@
 	return true
 }
 
-// quiet returns when no byte of the attempt can go out any more. The attempt has been called off before.
+// awaitWrites returns once no further byte of the attempt can be written. The attempt has been aborted before.
 func (a *attempt) awaitWrites() {
 	a.writeMu.Lock()
 	defer a.writeMu.Unlock()
 }
 
-// write puts the request on a connection, all but its last byte first: a host begins with that one. A connection that
-// was dead already, or is reset as the request comes, has told so once settle returns, and nothing has run yet; with
-// the last byte out nobody could tell. Without an error all bytes have gone out.
+// write sends the request on a connection. The last byte is held back, because a host starts to process the request
+// only when it has that byte. If the connection was already dead, or the host resets it on the first bytes,
+// confirmAlive detects this, and it is certain that the request has not run. After the last byte that can no longer be
+// told. Without an error, all bytes have been written.
 func (a *attempt) write(l messageConn) error {
 	q := a.request
 	if q.upload != nil {
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// put writes, unless the attempt has been called off.
+// writeParts writes to the connection, unless the attempt has been aborted.
 func (a *attempt) writeParts(c net.Conn, parts net.Buffers) error {
 	a.writeMu.Lock()
 	defer a.writeMu.Unlock()
@@ -122,24 +124,26 @@
 	return err
 }
 
-// line is a connection to a host as one message uses it. One that must not run twice calls settle ahead of its last
-// byte, and stops if that fails. A long one asks between its pieces whether the connection stands: a host may have
-// answered already.
+// messageConn is a connection to a host, as used for one message. A message that must not run twice calls confirmAlive
+// before its last byte and stops if that fails. A long message calls checkOpen between its parts, since the host may
+// already have responded.
 type messageConn struct {
 	net.Conn
 	confirmAlive, checkOpen func() error
 }
 
-// exchanged is a message to a host. begun is told of a long answer that begins, and says whether it is wanted.
+// hostMessage is a message to a host. responseStarted is called with the first part of a long response and reports
+// whether the response is wanted.
 type hostMessage interface {
 	write(l messageConn) error
 	responseStarted(r hostResponse) bool
 }
 
-// exchange writes a message to a host and reads the answer to it. The result is what the protocol's table makes of it.
+// exchange sends a message to a host and reads the response. The result follows from the status and headers of the
+// response as the protocol defines.
 //
-// Only a connection kept from before that breaks ahead of the message's last byte is replaced, by a new one; whatever
-// else breaks is an outcome, and the module decides what follows.
+// If a reused connection breaks before the last byte of the message, exchange repeats the message on a new connection.
+// Any other failure is returned as the result, and the balancer decides what follows.
 func (u *upstream) exchange(ctx context.Context, x hostMessage) (hostResponse, balancer.Result) {
 	for fresh := false; ; {
 		c, err := u.connect(ctx, fresh)
@@ -151,26 +155,26 @@
 		}
 		call := newCall()
 		if !c.startCall(call) {
-			continue // the host closed it while it was idle
+			continue // the host has closed it while it was idle
 		}
 		r, result, again := c.transact(ctx, call, x)
 		if !again {
 			return r, result
 		}
-		fresh = true // what else is idle may be dead as well
+		fresh = true // other idle connections may be dead as well
 	}
 }
 
-var errBroken = errors.New("the connection broke before the last byte")
+var errBroken = errors.New("the connection broke before the last byte was sent")
 
-// settle waits a moment for word that the connection is broken, which takes a round trip to the host, and says whether it
-// still stands.
+// confirmAlive waits long enough for a reset from the host to arrive, which takes a round trip, and fails if the
+// connection is broken.
 func (c *hostConn) confirmAlive(ctx context.Context, call *call) error {
 	wait := time.NewTimer(c.upstream.pool.lastByteDelay)
 	defer wait.Stop()
 	select {
 	case r := <-call.done:
-		call.done <- r // it has room for the one
+		call.done <- r // the channel has a buffer of one
 		return errBroken
 	case b := <-call.started:
 		call.started <- b
@@ -179,13 +183,14 @@
 		return ctx.Err()
 	case <-wait.C:
 	}
-	if _, ended := wire.Arrived(c.conn); ended { // its reader may not have come to it yet
+	if _, ended := wire.Arrived(c.conn); ended { // the reading goroutine may not have run yet
 		return errBroken
 	}
 	return nil
 }
 
-// transact uses a connection for one call. again says that it is to be tried on another, as nothing has begun.
+// transact uses a connection for one call. again reports that the message should be sent on another connection, since
+// the host has not started to process it.
 func (c *hostConn) transact(ctx context.Context, call *call, x hostMessage) (
 	r hostResponse, result balancer.Result, again bool) {
 	stop := context.AfterFunc(ctx, c.close)
@@ -197,9 +202,9 @@
 		}
 	}()
 	until, _ := ctx.Deadline()
-	c.conn.SetWriteDeadline(until) // for every call: that of the call before may be over
+	c.conn.SetWriteDeadline(until) // set for every call: the deadline of the last one may have passed
 	err := x.write(messageConn{c.conn, func() error { return c.confirmAlive(ctx, call) }, call.checkOpen})
-	if err != nil { // the last byte has not gone out, so the host has not begun it
+	if err != nil { // the last byte has not been sent, so the host has not started
 		c.close()
 		if r = call.discard(); r.err == nil && r.result == balancer.Rejected {
 			return r, r.result, false
@@ -210,7 +215,7 @@
 		}
 		return hostResponse{}, balancer.ConnectFailed, ctx.Err() == nil && c.reused
 	}
-	r = call.wait(func(b hostResponse) { // comes at once when ctx ends, as that closes the connection
+	r = call.wait(func(b hostResponse) { // returns at once when ctx ends, since that closes the connection
 		if !x.responseStarted(b) {
 			b.stream.abandon()
 			c.close()
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -15,35 +15,37 @@
 	"beechwing/internal/wire"
 )
 
-const maxLingerBytes = 256 << 10 // bytes of a malformed request's rest that are taken and thrown away
+const maxLingerBytes = 256 << 10 // bytes that are read and discarded after a rejected request
 
-// client is one connection of a client. It is parked while it brings nothing. Otherwise a goroutine reads requests and,
-// while one is being worked on, watches for the client's leaving; respond writes the answer.
+// clientConn is a connection from a client. It is parked while nothing arrives on it. Otherwise a goroutine (serve)
+// reads requests and, while one is being processed, detects that the client has closed the connection; another
+// goroutine (respond) writes the response.
 type clientConn struct {
 	front        *frontend
 	conn         net.Conn
 	accepted     time.Time
 	meter        wire.Meter
-	br           *bufio.Reader  // nil while it is parked
-	hasRequested bool           // it has brought a whole request
-	graceUsed    bool           // the request at hand was read past its time
-	verdict      places.Verdict // on the request at hand
-	queueTime    time.Duration  // of the request at hand, before it was read
+	br           *bufio.Reader  // nil while the connection is parked
+	hasRequested bool           // a complete request has been received
+	graceUsed    bool           // the deadline of the current request has been extended by the grace time
+	verdict      places.Verdict // for the current request
+	queueTime    time.Duration  // time that the current request waited before it was read
 
 	// Guarded by front.mu.
 	entry     places.Seat
 	admission places.Turn
 	pollEntry park.Spot
 	parked    bool
-	warm      bool // it counts among those that wait unparked
+	warm      bool // counted in front.warm
 }
 
-// giveWay ends a connection whose place is wanted and that has a goroutine, but for a request that is whole in its socket
-// already. front.mu is held, so that no change of the connection's use can move the deadline.
+// interrupt ends the reading of a connection that has a goroutine, so that it is closed. A request that is already
+// complete in the socket buffer is still read. The caller holds front.mu, so that no state change of the connection
+// can move the deadline.
 func (c *clientConn) interrupt() { c.conn.SetReadDeadline(time.Now()) }
 
-// Read reads off the connection. A deadline that has passed says nothing about bytes that have come: once for each
-// request, what is there counts.
+// Read reads from the connection. Bytes may have arrived before the read deadline without having been read, so the
+// deadline is extended by a short grace time once per request if bytes are waiting.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.conn.Read(b)
 	if n > 0 || c.graceUsed || !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -57,25 +59,26 @@
 	return c.conn.Read(b)
 }
 
-// mark tells the book what the connection is at. within bounds what is to be read in it.
-func (c *clientConn) updateState(tell func(now time.Duration, s *places.Seat), within time.Duration) {
+// updateState applies a state change of the connection to the connection table, and bounds the reads in the new
+// state.
+func (c *clientConn) updateState(apply func(now time.Duration, s *places.Seat), readTimeout time.Duration) {
 	c.front.updateTable(func(now time.Duration) {
 		c.endWarm()
-		c.setReadTimeout(within)
-		tell(now, &c.entry)
+		c.setReadTimeout(readTimeout)
+		apply(now, &c.entry)
 	})
 }
 
-// limitRead bounds what is read next; 0: not.
-func (c *clientConn) setReadTimeout(within time.Duration) {
+// setReadTimeout bounds the reads that follow; 0 means no limit.
+func (c *clientConn) setReadTimeout(timeout time.Duration) {
 	var until time.Time
-	if within > 0 {
-		until = time.Now().Add(within)
+	if timeout > 0 {
+		until = time.Now().Add(timeout)
 	}
 	c.conn.SetReadDeadline(until)
 }
 
-// cool ends the connection's waiting unparked, if it did. front.mu is held.
+// endWarm ends the warm state of the connection, if it was warm. The caller holds front.mu.
 func (c *clientConn) endWarm() {
 	if c.warm {
 		c.warm = false
@@ -83,31 +86,33 @@
 	}
 }
 
-// setReading marks the first byte of a request. The limit of a connection's first one runs since it was accepted.
+// markReading records the first byte of a request. For the first request of a connection, the time limit runs from
+// the accept.
 func (c *clientConn) markReading() {
 	t := &c.front.times
 	within := t.requestTimeout
 	if !c.hasRequested {
 		within = max(t.lateGrace, time.Until(c.accepted.Add(t.firstRequestTimeout)))
 	}
-	if c.verdict == places.Refuse { // those that wait to be refused behind it have waited for long enough
+	if c.verdict == places.Refuse { // the refused requests queued behind this one have waited long enough
 		within = min(within, t.refuseTimeout)
 	}
 	c.updateState(c.front.connTable.Begin, within)
 }
 
-// setTaken marks a request that has come whole: from here on only its own time bounds it.
+// markReceived records that a request is complete. From here on only the deadline of the request applies.
 func (c *clientConn) markReceived() {
 	c.hasRequested, c.graceUsed = true, false
 	c.updateState(c.front.connTable.Work, 0)
 }
 
-// setIdle marks the end of a request. For a moment the goroutine waits for the next one, if not too many do so and none
-// waits for its turn; then the connection is parked. The book may end it at once.
+// markIdle records the end of a request. If not too many connections are warm and no request is queued, the goroutine
+// waits a moment for the next request; otherwise the connection is parked. The table may select the connection to be
+// closed at once.
 func (c *clientConn) markIdle() {
 	f := c.front
 	f.updateTable(func(now time.Duration) {
-		within := time.Nanosecond // over at once
+		within := time.Nanosecond // expires at once
 		if f.warm < f.limits.maxWarm && f.admission.Waiting() == 0 && c.verdict == places.Serve {
 			c.warm = true
 			f.warm++
@@ -118,45 +123,45 @@
 	})
 }
 
-// last says whether the connection ends with the request at hand.
+// isLast reports whether the connection is to be closed after the current request.
 func (c *clientConn) isLast() bool {
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
 	return c.front.connTable.Last(&c.entry)
 }
 
-// over says whether the connection is beyond the bound.
+// overLimit reports whether the connection was accepted beyond the connection limit.
 func (c *clientConn) overLimit() bool {
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
 	return c.entry.Kind() == places.Over
 }
 
-// serve reads what has come and goes on until nothing comes for a moment, or the connection ends.
+// serve reads and processes requests until nothing arrives for a moment or the connection ends.
 func (c *clientConn) serve(v places.Verdict, waited time.Duration) {
 	c.br = c.front.bufs.Reader(&c.meter)
 	c.verdict, c.queueTime = v, waited
-	c.setReadTimeout(c.front.times.firstRequestTimeout) // the last limit may be over; that of a request is set with its first byte
-	goesOn := true
-	for goesOn && c.awaitRequest() {
+	c.setReadTimeout(c.front.times.firstRequestTimeout) // the old deadline may have passed
+	keepOpen := true
+	for keepOpen && c.awaitRequest() {
 		c.markReading()
-		goesOn = c.serveRequest()
+		keepOpen = c.serveRequest()
 		c.queueTime = 0
 	}
 	c.front.mu.Lock()
 	c.endWarm()
 	c.front.mu.Unlock()
-	c.parkOrClose(goesOn && c.meter.Err != nil && errors.Is(c.meter.Err, os.ErrDeadlineExceeded))
+	c.parkOrClose(keepOpen && c.meter.Err != nil && errors.Is(c.meter.Err, os.ErrDeadlineExceeded))
 }
 
-// await waits for the first byte of a request.
+// awaitRequest waits for the first byte of a request.
 func (c *clientConn) awaitRequest() bool {
 	c.meter.Allow(maxHeadBytes)
 	_, err := c.br.Peek(1)
 	return err == nil
 }
 
-// next takes one request and sees to its answer; it says whether the connection goes on.
+// serveRequest reads one request and gets it answered. It reports whether the connection stays open.
 func (c *clientConn) serveRequest() bool {
 	r, err := c.readHead()
 	if err != nil {
@@ -186,7 +191,7 @@
 	return c.dispatch(q, r.Close)
 }
 
-// readHead reads a request up to its body.
+// readHead reads the head of a request and checks it.
 func (c *clientConn) readHead() (*http.Request, error) {
 	c.meter.Allow(maxHeadBytes)
 	head, err := wire.PeekHead(c.br, maxHeadBytes)
@@ -202,12 +207,13 @@
 	return http.ReadRequest(c.br)
 }
 
-// handOver gives the request to the owner and waits for the answer to be written, or for the client to leave.
+// dispatch passes the request to the owner and waits until the response is written or the client leaves. It reports
+// whether the connection stays open.
 func (c *clientConn) dispatch(q *request, last bool) bool {
 	written := make(chan bool, 1)
 	c.markReceived()
 	c.front.owner.tally.begin()
-	class := q.names.tallies[q.Class] // from now on the owner may number it anew
+	class := q.names.tallies[q.Class] // read now: a settings change may renumber the classes once the owner has the request
 	go func() { written <- c.respond(q, class, last) }()
 	c.front.owner.post(requestReceived{q})
 	if q.upload != nil && !c.pumpBody(q) {
@@ -215,23 +221,23 @@
 	}
 	c.meter.Allow(maxHeadBytes)
 	_, err := c.br.Peek(1)
-	var goesOn bool
+	var keepOpen bool
 	select {
-	case goesOn = <-written: // the usual case: the answer is out, and now the next request comes
+	case keepOpen = <-written: // the usual case: the response is written, and the next request has begun
 	default:
-		early := requestAborted{request: q} // no news to the owner if the answer is on its way
+		early := requestAborted{request: q} // the owner ignores this if the response is already on its way
 		if err == nil {
 			early.response = badPipelined.response()
 		}
 		c.front.owner.post(early)
-		if goesOn = <-written; err == nil && !goesOn {
+		if keepOpen = <-written; err == nil && !keepOpen {
 			c.linger()
 		}
 	}
-	return goesOn && (err == nil || errors.Is(err, os.ErrDeadlineExceeded))
+	return keepOpen && (err == nil || errors.Is(err, os.ErrDeadlineExceeded))
 }
 
-// turnDown refuses a request that has waited for too long to be read. Nothing has been sent for it.
+// refuse answers 503 to a request that waited too long before it was read. No attempt has been made.
 func (c *clientConn) refuse(q *request, last bool) bool {
 	freeRequest(c.front.bufs, q)
 	c.markReceived()
@@ -241,17 +247,17 @@
 	return c.deliver(&a, last)
 }
 
-// health answers the client's question whether it may begin.
+// answerHealthCheck tells the client whether the proxy is ready.
 func (c *clientConn) answerHealthCheck(r *http.Request) bool {
 	a := clientResponse{status: http.StatusOK}
 	if !c.front.owner.ready.Load() {
-		a.status = http.StatusInternalServerError // not 503, which would be a refusal
+		a.status = http.StatusInternalServerError // not 503, which clients treat as a refusal
 	}
 	c.markReceived()
 	return c.deliver(&a, r.Close)
 }
 
-// reject answers what is not a request with a plain error and ends the connection.
+// reject answers an invalid request with an error response and closes the connection.
 func (c *clientConn) reject(bad *badRequest) {
 	if bad == nil || bad.status == 0 {
 		return
@@ -262,7 +268,7 @@
 	}
 }
 
-// finish writes the last answer of a connection that a client has spoilt.
+// writeFinal writes the last response on a connection whose client violated the protocol.
 func (c *clientConn) writeFinal(a *clientResponse) bool {
 	c.front.log.Debug("request rejected", zap.Int("status", a.status), zap.String("why", a.text))
 	if c.write(a) != nil {
@@ -274,8 +280,8 @@
 	return true
 }
 
-// linger takes what the client still sends for a moment: closing at once would reset the connection and with it the
-// answer.
+// linger reads and discards what the client still sends for a moment. Closing at once would reset the connection and
+// the client might lose the response.
 func (c *clientConn) linger() {
 	c.updateState(c.front.connTable.Linger, c.front.times.lingerTimeout)
 	c.meter.Allow(maxLingerBytes)
--- a/internal/proxy/clock.go
+++ b/internal/proxy/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// clock is the one clock of the process: Unix seconds at the start plus monotonic time since. So it never jumps, and
-// the start times of hosts in the list compare with it.
+// clock is the only clock of the process: the Unix time at the start plus the monotonic time since. It never jumps, and
+// its times are comparable with the start times of hosts in the list.
 type clock struct {
 	start time.Time
 	unix  float64
@@ -15,10 +15,10 @@
 
 func (c clock) now() float64 { return c.unix + time.Since(c.start).Seconds() }
 
-// at turns a time of this clock into one that deadlines take.
+// at converts a time of this clock to a time.Time.
 func (c clock) at(t float64) time.Time { return c.start.Add(seconds(t - c.unix)) }
 
-// seconds turns a number of seconds into a Duration, within what that type holds.
+// seconds converts a number of seconds to a Duration, limited to what that type holds.
 func seconds(s float64) time.Duration {
 	const most = 1 << 32 // about 136 years
 	return time.Duration(min(max(s, -most), most) * float64(time.Second))
--- a/internal/proxy/connbudget.go
+++ b/internal/proxy/connbudget.go
@@ -9,16 +9,17 @@
 	"beechwing/internal/places"
 )
 
-const maxHostCloses = 4 // connections to hosts given back at a time
+const maxHostCloses = 4 // most connections to hosts closed for clients at a time
 
-// room is what connections to clients and to hosts share. Each side asks it before it opens one, and is told when the
-// other was refused one that it holds beyond its own part.
+// connBudget divides the connections that the process may hold between clients and hosts. Each side has a guaranteed
+// share and may borrow unused connections of the other. Each side asks before it opens a connection, and learns when it
+// should return borrowed ones.
 type connBudget struct {
 	mu             sync.Mutex
 	shares         *places.Shares
 	hosts          int             // connections to hosts
-	waiters        []chan struct{} // attempts that wait for one, in their order
-	onHostShortage func()          // clients hold what hosts lack; must not block
+	waiters        []chan struct{} // attempts that wait for a connection, oldest first
+	onHostShortage func()          // called when clients hold connections that hosts need; must not block
 }
 
 func newConnBudget(l Limits) *connBudget {
@@ -26,7 +27,7 @@
 	return &connBudget{shares: places.NewShares(total, clients, hosts), onHostShortage: func() {}}
 }
 
-// clients notes how many connections clients hold or want to, and gives how many they may.
+// claimClients records how many connections clients hold or need, and returns how many they may hold.
 func (r *connBudget) claimClients(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -35,15 +36,15 @@
 	return limit
 }
 
-// limit is how many connections a side may hold now.
+// limit returns how many connections a side may hold now.
 func (r *connBudget) limit(side places.Side) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.shares.Limit(side)
 }
 
-// owes is how many connections a side should give back now, if they are idle: of clients' as many as attempts wait for,
-// of hosts' a few at a time.
+// excess returns how many idle connections a side should close now for the other: for clients, as many as attempts wait
+// for; for hosts, a few at a time.
 func (r *connBudget) excess(side places.Side) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,21 +54,21 @@
 	return min(maxHostCloses, r.shares.Owes(side))
 }
 
-// hostCount is how many connections there are to hosts.
+// hostCount returns the number of connections to hosts.
 func (r *connBudget) hostCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.hosts
 }
 
-// takeHost takes a place for a connection to a host, if one is free.
+// tryAcquireHost reserves a connection to a host if one is free.
 func (r *connBudget) tryAcquireHost() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.waiters) == 0 && r.growHosts()
 }
 
-// grow makes room for one more to a host. mu is held.
+// growHosts reserves one more connection to a host. The caller holds mu.
 func (r *connBudget) growHosts() bool {
 	if r.shares.Claim(places.Nodes, r.hosts+1) <= r.hosts {
 		r.onHostShortage()
@@ -77,7 +78,7 @@
 	return true
 }
 
-// awaitHost waits for a place.
+// awaitHost waits until a connection to a host is reserved. It returns false if none became free in time.
 func (r *connBudget) awaitHost(ctx context.Context, within time.Duration) bool {
 	granted := make(chan struct{})
 	r.mu.Lock()
@@ -89,23 +90,23 @@
 	select {
 	case <-granted:
 		return true
-	case <-ctx.Done(): // the client's time may be over before a place is free
+	case <-ctx.Done(): // the client's deadline may pass before a connection is free
 	case <-timer.C:
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	i := slices.Index(r.waiters, granted)
 	if i < 0 {
-		return true // it has come just now
+		return true // granted at the same moment
 	}
 	r.waiters = slices.Delete(r.waiters, i, i+1)
 	if len(r.waiters) == 0 {
-		r.shares.Claim(places.Nodes, r.hosts) // nobody lacks one any more
+		r.shares.Claim(places.Nodes, r.hosts) // withdraws the claim for one more
 	}
 	return false
 }
 
-// giveHost gives a place back.
+// releaseHost releases a reserved connection to a host.
 func (r *connBudget) releaseHost() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,7 +115,7 @@
 	r.grantWaiters()
 }
 
-// callWaiting grants places to those that wait, in order. mu is held.
+// grantWaiters reserves connections for waiters, oldest first. The caller holds mu.
 func (r *connBudget) grantWaiters() {
 	for len(r.waiters) > 0 && r.growHosts() {
 		close(r.waiters[0])
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -12,26 +12,27 @@
 	"beechwing/internal/wire"
 )
 
-// event is what the owner's queue holds.
+// event is an entry of the owner's queue.
 type event interface{ apply(o *owner) }
 
-// arrival is a request that has come whole.
+// requestReceived is posted when a client has sent a request.
 type requestReceived struct{ request *request }
 
-// departure is word that a request's client has left, or has broken the protocol and gets an answer for that.
+// requestAborted is posted when the client of a request has left, or has violated the protocol and gets an error
+// response.
 type requestAborted struct {
 	request  *request
 	response clientResponse
 }
 
-// outcome is the end of an attempt.
+// attemptEnded is posted when an attempt has ended.
 type attemptEnded struct {
 	attempt  *attempt
 	result   balancer.Result
 	response hostResponse
 }
 
-// probed is the end of a probe.
+// probeEnded is posted when a probe has ended.
 type probeEnded struct {
 	host   balancer.HostID
 	sent   float64
@@ -39,16 +40,16 @@
 	report []float32
 }
 
-// members is word on the list.
+// hostListReceived is posted when a host list or changes to it have arrived, or when a call for them has failed.
 type hostListReceived struct {
 	kind balancer.ListKind
 	list catalog
 }
 
-// stop ends the owner once nothing is in flight.
+// stopRequested stops the owner once no request or probe is open.
 type stopRequested struct{}
 
-// An id that is open already is some other request's: with both out, a host could not tell them apart.
+// apply rejects a request whose ID is that of an open request, since a host could not tell the two apart.
 func (e requestReceived) apply(o *owner) {
 	q := e.request
 	if o.open[q.txnID] {
@@ -56,7 +57,7 @@
 		freeRequest(o.bufs, q)
 		return
 	}
-	if q.names != o.names { // other settings came between
+	if q.names != o.names { // the settings changed after the request was parsed
 		if bad := o.names.reindex(q); bad != nil {
 			q.response <- bad.response()
 			freeRequest(o.bufs, q)
@@ -67,7 +68,7 @@
 	o.lastID++
 	q.ID = o.lastID
 	now := o.clock.now()
-	q.Budget = max(0, q.Budget-time.Since(q.receivedAt).Seconds()) // it may have waited in the queue
+	q.Budget = max(0, q.Budget-time.Since(q.receivedAt).Seconds()) // the request may have waited in the queue
 	if o.endBy > 0 {
 		q.Budget = max(0, min(q.Budget, o.endBy-now))
 	}
@@ -107,7 +108,7 @@
 		e.response.body = wire.Body{}
 	case e.result == balancer.Errored && blamesRequest(e.response.status):
 		o.conclude(f, clientResponse{status: e.response.status, text: "a host cannot use the request\n"})
-		e.result = balancer.Cancelled // says nothing about the host, and no other would take it
+		e.result = balancer.Cancelled // tells nothing about the host, and no other host would accept the request
 	}
 	o.bufs.FreeBody(&e.response.body)
 	now := o.clock.now()
@@ -142,7 +143,7 @@
 	}
 }
 
-// told notes that discovery has told of the list.
+// markListFresh records that discovery has delivered a host list.
 func (o *owner) markListFresh() {
 	select {
 	case <-o.fresh:
@@ -155,7 +156,7 @@
 
 func (stopRequested) apply(o *owner) { o.stopping = true }
 
-// configured is word of other settings. Requests that are open keep the deadline, effect and attempts that they came with.
+// configChanged applies changed settings. Open requests keep their deadline, effect and attempt limit.
 type configChanged struct {
 	cfg     balancer.Config
 	names   *nameIndex
@@ -168,12 +169,14 @@
 	close(e.applied)
 }
 
-// ending is word that the process ends at a time: what it still takes has to be answered by then.
+// shutdownScheduled sets the time, on the owner's clock, by which new requests have to be answered because the process
+// ends.
 type shutdownScheduled struct{ at float64 }
 
 func (e shutdownScheduled) apply(o *owner) { o.endBy = e.at }
 
-// dropped looks, once the module has returned, whether a flight has ended.
+// dropCheck drops a flight if it has ended. It runs after the balancer has returned from the call that answered the
+// request.
 type dropCheck struct{ flight *flight }
 
 func (e dropCheck) apply(o *owner) { o.drop(e.flight) }
--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	maintenanceInterval = 250 * time.Millisecond // at which what has been idle for too long is looked for
-	queueInterval       = 1 * time.Millisecond   // at which who waits at the desk is looked at
-	closeBatch          = 24                     // connections ended without a rest; less than a millisecond's work
-	closeBatchPause     = 3 * time.Millisecond   // between batches
-	maxClosesPerPass    = 1024                   // ended at one look, so that a great many idle times over together are spread
+	maintenanceInterval = 250 * time.Millisecond // interval at which idle connections are checked
+	queueInterval       = 1 * time.Millisecond   // interval at which the admission queue is checked while it is not empty
+	closeBatch          = 24                     // connections closed without a pause; takes less than a millisecond
+	closeBatchPause     = 3 * time.Millisecond   // pause between batches
+	maxClosesPerPass    = 1024                   // most connections closed in one pass; spreads the work when many time out together
 )
 
-// park leaves a connection without a goroutine until it has something to read. It says false if the connection has to go
-// on with one.
+// park lets a connection wait without a goroutine until there is something to read. It returns false if the connection
+// has to keep its goroutine or be closed.
 func (f *frontend) park(c *clientConn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -27,25 +27,25 @@
 		return false
 	}
 	if err := f.poller.Arm(&c.pollEntry, c.conn, c); err != nil {
-		f.log.Debug("not parked", zap.Error(err))
+		f.log.Debug("could not park connection", zap.Error(err))
 		return false
 	}
 	c.parked = true
 	return true
 }
 
-// wake takes up a connection that has something to read.
+// wake takes up a parked connection that has something to read.
 func (f *frontend) wake(c *clientConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !c.parked { // it has been ended since, and is being looked at for that
+	if !c.parked { // closeParked has it already
 		return
 	}
 	c.parked = false
 	f.serveOrQueue(f.now(), c)
 }
 
-// comeToDesk reads what a connection brings, or lets it wait for that. mu is held.
+// serveOrQueue serves a connection that has something to read, or adds it to the admission queue. The caller holds mu.
 func (f *frontend) serveOrQueue(now time.Duration, c *clientConn) {
 	if f.admission.Come(now, &c.admission, c) == places.Wait {
 		ask(f.maintenanceDue)
@@ -54,7 +54,7 @@
 	go c.serve(places.Serve, 0)
 }
 
-// callNext gives turns to those that wait for one. mu is held.
+// serveQueued serves the queued connections that the admission queue releases. The caller holds mu.
 func (f *frontend) serveQueued(now time.Duration) {
 	for {
 		holder, v, waited := f.admission.Next(now)
@@ -65,7 +65,7 @@
 	}
 }
 
-// noteDesk logs when requests begin to be refused unread, and when none waits any more. mu is held.
+// logShedding logs when requests begin to be refused unread and when none waits any more. The caller holds mu.
 func (f *frontend) logShedding(v places.Verdict) {
 	if v != places.Refuse && !f.sheddingLogged {
 		return
@@ -73,16 +73,17 @@
 	switch d := f.admission.Figures(); {
 	case v == places.Refuse && !f.sheddingLogged:
 		f.sheddingLogged = true
-		f.log.Warn("requests are refused unread: more came together than can be worked on", zap.Int("at work", d.Serving),
+		f.log.Warn("requests are refused unread: more arrived at once than can be processed", zap.Int("at work", d.Serving),
 			zap.Int("of", d.Most), zap.Int("waiting", d.Waiting))
 	case f.sheddingLogged && d.Waiting == 0 && d.Refusing == 0:
 		f.sheddingLogged = false
-		f.log.Info("no request waits to be read any more", zap.Uint64("refused", d.Refused))
+		f.log.Info("request queue is empty again, no requests are refused", zap.Uint64("refused", d.Refused))
 	}
 }
 
-// settle parks a connection whose goroutine ends, or ends it too.
-func (c *clientConn) parkOrClose(goesOn bool) {
+// parkOrClose is called when the goroutine of a connection ends. It parks the connection, or closes it if keepOpen is
+// false or parking fails.
+func (c *clientConn) parkOrClose(keepOpen bool) {
 	f := c.front
 	f.bufs.PutReader(c.br)
 	c.br = nil
@@ -90,12 +91,13 @@
 	f.admission.Leave(&c.admission)
 	f.serveQueued(f.now())
 	f.mu.Unlock()
-	if !goesOn || !f.park(c) {
+	if !keepOpen || !f.park(c) {
 		f.closeConn(c)
 	}
 }
 
-// endParked ends a connection whose place is wanted. A request that has come meanwhile is served first.
+// closeParked closes a parked connection that the table has selected. A request that has arrived meanwhile is served
+// first.
 func (f *frontend) closeParked(c *clientConn) {
 	if bytes, _ := wire.Arrived(c.conn); bytes {
 		f.mu.Lock()
@@ -106,7 +108,7 @@
 	f.closeConn(c)
 }
 
-// end closes a connection and forgets it. Nothing else has it any more.
+// closeConn closes and removes a connection that nothing else uses any more.
 func (f *frontend) closeConn(c *clientConn) {
 	if line := f.log.Check(zap.DebugLevel, "connection ended"); line != nil {
 		line.Write(zap.Stringer("from", c.conn.RemoteAddr()), zap.Bool("served", c.hasRequested))
@@ -122,8 +124,8 @@
 	f.wg.Done()
 }
 
-// keep ends connections whose time is over, and gives turns to those that have waited for one, until the front's end. Its
-// work grows with what ends, not with what is held.
+// maintain closes connections that have timed out and serves queued ones, until the frontend stops. The work grows with
+// the number of connections closed, not with the number held.
 func (f *frontend) maintain() {
 	timer := time.NewTimer(maintenanceInterval)
 	defer timer.Stop()
@@ -149,17 +151,17 @@
 	}
 }
 
-// collector gives memory back once traffic has become quiet: what the rush of before has left would stay until the
-// runtime's own collection, minutes later.
+// memoryReleaser returns memory to the operating system once traffic is quiet after a burst. The runtime itself would
+// return it only minutes later.
 type memoryReleaser struct {
 	due            time.Time
-	seen, released uint64 // requests at the last look, and at the last collection
+	seen, released uint64 // requests at the last check, and at the last release
 }
 
 const (
 	quietInterval    = 5 * time.Second
-	quietMaxRequests = 50   // requests in that
-	burstMinRequests = 1000 // requests since the last collection
+	quietMaxRequests = 50   // most requests in quietInterval that count as quiet
+	burstMinRequests = 1000 // requests since the last release that make a release worthwhile
 )
 
 func (c *memoryReleaser) check(now time.Time, f *frontend) {
@@ -171,12 +173,12 @@
 	n := g.Entered + g.Reused
 	if n-c.seen < quietMaxRequests && n-c.released > burstMinRequests {
 		c.released = n
-		go debug.FreeOSMemory() // which returns when it is done; the keeper has others to see to
+		go debug.FreeOSMemory() // in a goroutine: the call blocks until it is done, and the maintenance loop must go on
 	}
 	c.seen = n
 }
 
-// turns gives turns to those that wait, and says when to look again.
+// serveQueue serves queued connections and returns when to check the queue again.
 func (f *frontend) serveQueue() time.Duration {
 	next := maintenanceInterval
 	f.updateTable(func(now time.Duration) {
@@ -186,7 +188,7 @@
 			return
 		}
 		next = queueInterval
-		if d.Serving == d.Most { // heads that come slowly, by whom ever, must not lock out those that come whole
+		if d.Serving == d.Most { // clients that send request heads slowly must not block clients that send them at once
 			for range min(d.Waiting, maxInlineCloses) {
 				f.connTable.FreeTurn(now)
 			}
@@ -195,7 +197,7 @@
 	return next
 }
 
-// takeBack makes idle connections of clients give way where hosts lack what clients hold beyond their own part.
+// shedForHosts closes idle client connections, where clients hold borrowed connections that hosts need.
 func (f *frontend) shedForHosts() {
 	n := f.budget.excess(places.Callers)
 	if n == 0 {
@@ -214,8 +216,8 @@
 		if f.unlockAndClose(f.now(), closeBatch) {
 			return
 		}
-		// On one core everything else waits for this. Giving the core up alone would not do: while anything can run, the
-		// runtime looks for what has come on sockets only every 10 ms.
+		// With one core everything else waits for this loop. Yielding the core is not enough: while any goroutine can
+		// run, the runtime polls the network only every 10 ms.
 		time.Sleep(closeBatchPause)
 	}
 }
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	stallTimeout   = 10 * time.Second       // a peer that takes or gives nothing of a long message for so long is gone
-	extendInterval = 100 * time.Millisecond // at which a client's progress moves the limit of its reading
+	stallTimeout   = 10 * time.Second       // a peer that moves no byte of a long message for so long is dead
+	extendInterval = 100 * time.Millisecond // interval at which progress of a body extends the client's read deadline
 )
 
-// pace is that of clients' bodies. The platform's slowest bring 64 kB a second.
+// bodyPace is the pace required of request bodies from clients. The platform's slowest clients send 64 kB a second.
 var bodyPace = bodies.Pace{Grace: 2200 * time.Millisecond, Rate: 48e3}
 
-// ---- requests
+// ---- Requests
 
-// upload is the rest of a long request's body.
+// upload is the part of a long request body that is still to be passed on.
 type upload struct {
 	*stream
 	source     *pacedReader
-	length     int64 // of the whole body; negative: nobody knows
+	length     int64 // of the whole body; negative: unknown
 	binding    bodies.Binding
-	completeAt time.Time // when its last byte came; set ahead of the stream's end
+	completeAt time.Time // when the last byte arrived; set before the stream is ended
 }
 
-// bound says whether a request can be sent by no further attempt.
+// bodyBound reports whether an attempt has taken the rest of the body, so that no other attempt can send the request.
 func (f *flight) bodyBound() bool { return f.request.upload != nil && f.request.upload.binding.Bound() }
 
-// framing is how a request's body goes to a host.
+// framing returns the header that frames the request body for a host.
 func (q *request) framing() string {
 	switch {
 	case q.upload == nil:
@@ -48,13 +48,13 @@
 	return "Transfer-Encoding: chunked\r\n"
 }
 
-// paced reads a client's body and lets the limit of its reading move with what has come.
+// pacedReader reads a client's body and extends the read deadline as the body progresses.
 type pacedReader struct {
 	client      *clientConn
 	r           io.Reader
-	startedAt   time.Time // moved on by what passes between two reads: only the client's own time counts
-	lastReadEnd time.Time // of the last read
-	extendedAt  time.Time // when the limit was moved last
+	startedAt   time.Time // moved on by the time between two reads, so that only the client's own time counts
+	lastReadEnd time.Time // end of the last read
+	extendedAt  time.Time // when the deadline was last extended
 	received    int64
 }
 
@@ -73,7 +73,7 @@
 	return n, err
 }
 
-// extend moves the limit of what is being read, unless the connection's place is wanted.
+// extendRead moves the read deadline, unless the connection is to be closed.
 func (c *clientConn) extendRead(until time.Time) {
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
@@ -82,9 +82,10 @@
 	}
 }
 
-// pump takes the rest of a long body off the connection, as fast as its attempt passes it on, and says whether the
-// request has come whole. The owner hears what became of it. What is answered early is read to its end all the same: a
-// client that has not sent all might not read the answer, and closing would reset that away.
+// pumpBody reads the rest of a long body from the connection, as fast as the attempt passes it on, and reports whether
+// the body is complete. It posts the result to the owner. A body whose request is answered early is still read to its
+// end: a client might not read the response before it has sent everything, and closing the connection would reset it
+// and lose the response.
 func (c *clientConn) pumpBody(q *request) bool {
 	err := q.upload.fill(wire.WholeBody{Reader: q.upload.source}, func() {})
 	switch {
@@ -116,7 +117,7 @@
 	return false
 }
 
-// whole is word that the last byte of a long request has come.
+// bodyReceived is posted when the last byte of a long request body has arrived.
 type bodyReceived struct{ request *request }
 
 func (e bodyReceived) apply(o *owner) {
@@ -134,13 +135,13 @@
 	o.bal.BodyReceived(now, e.request.ID)
 }
 
-var errBodyTaken = errors.New("another attempt has the rest of the body")
+var errBodyTaken = errors.New("another attempt has taken the rest of the request body")
 
-// writeLong passes on a long request. Its last byte, or the chunk that ends it, waits until the client has sent all:
-// until then no host begins.
+// writeLongRequest sends a long request. The last byte of the body, or the final chunk, is held back until the client
+// has sent everything, because a host starts to process the request only then.
 func (a *attempt) writeLongRequest(l messageConn) error {
 	q := a.request
-	if q.upload.binding.Bound() { // also by this attempt, on a connection that broke
+	if q.upload.binding.Bound() { // perhaps taken by this attempt, on a connection that has broken since
 		return errBodyTaken
 	}
 	left := seconds(q.Budget)
@@ -177,11 +178,11 @@
 	return nil
 }
 
-// relay writes what the client sends until all has come.
+// relayBody forwards the body as it arrives from the client, up to its end.
 func (a *attempt) relayBody(l messageConn, w *longWriter) error {
-	up := a.request.upload
+	u := a.request.upload
 	for {
-		p, err := up.take(a.ctx)
+		p, err := u.take(a.ctx)
 		if err == io.EOF {
 			return nil
 		}
@@ -191,14 +192,14 @@
 		if err = l.checkOpen(); err == nil {
 			err = w.write(p.bytes())
 		}
-		up.bufs.PutBuffer(p.buf)
+		u.bufs.PutBuffer(p.buf)
 		if err != nil {
 			return err
 		}
 	}
 }
 
-// longWriter frames a long body and holds its end back: the last byte, or the last chunk.
+// longWriter frames a long body and holds its end (the last byte, or the final chunk) back until end is called.
 type longWriter struct {
 	chunked     bool
 	send        func(net.Buffers) error
@@ -225,10 +226,10 @@
 	return w.send(net.Buffers{w.heldByte[:]})
 }
 
-// ---- answers
+// ---- Responses
 
-// takeLong reads an answer that may go on to the client before it has ended: at once, or once as much as may be held is
-// here, or after a moment. What has ended by then comes back whole.
+// receiveLong reads a response that may be passed on to the client before it is complete: at once (atOnce), when the
+// stream is full, or after a short delay. A response that is complete by then is returned whole.
 func (c *hostConn) receiveLong(r *http.Response, out hostResponse, call *call, atOnce bool) hostResponse {
 	s := newStream(c.upstream.pool.bufs)
 	var claimed atomic.Bool
@@ -259,7 +260,7 @@
 	return out
 }
 
-// alive reads from a peer that has to give something now and then.
+// stallReader fails when the peer sends nothing for stallTimeout.
 type stallReader struct {
 	conn net.Conn
 	r    io.Reader
@@ -270,7 +271,8 @@
 	return a.r.Read(b)
 }
 
-// begun is the begin of a long answer: it is the request's answer from now on.
+// responseStarted is posted when the first part of a long response is ready to be passed on. It becomes the response to
+// the request.
 type responseStarted struct {
 	attempt  *attempt
 	response hostResponse
@@ -286,11 +288,12 @@
 	}
 	now := o.clock.now()
 	a.responseStartedAt, a.response = now, e.response.stream
-	o.conclude(f, clientResponse{status: http.StatusOK, contentType: e.response.contentType, stream: e.response.stream, contentLength: e.response.contentLength})
+	o.conclude(f, clientResponse{status: http.StatusOK, contentType: e.response.contentType, stream: e.response.stream,
+		contentLength: e.response.contentLength})
 	o.bal.ResponseStarted(now, a.request.ID, a.number)
 }
 
-// leave gives up a long answer whose client has gone.
+// abandonResponse stops a long response whose client has left.
 func (f *flight) abandonResponse() {
 	for _, a := range f.attempts {
 		if a.response != nil && !a.ended {
@@ -300,7 +303,7 @@
 	}
 }
 
-// framing is how an answer's body goes to the client.
+// framing returns the header that frames the response body for the client.
 func (a *clientResponse) framing() string {
 	switch {
 	case a.stream == nil:
@@ -313,7 +316,8 @@
 	return "Transfer-Encoding: chunked\r\n"
 }
 
-// pass passes a long answer on. If that breaks, its connection ends short of the answer's end, which the client can tell.
+// relayResponse passes a long response on to the client. On an error the connection ends before the response is
+// complete, so that the client can detect it.
 func (c *clientConn) relayResponse(a *clientResponse) error {
 	if a.stream == nil {
 		return nil
@@ -329,7 +333,7 @@
 			c.front.bufs.PutBuffer(p.buf)
 		}
 		if err != nil {
-			if tc, ok := c.conn.(*net.TCPConn); ok { // an answer that only the connection ends must not end well
+			if tc, ok := c.conn.(*net.TCPConn); ok { // a clean close could mark the end of a complete response
 				tc.SetLinger(0)
 			}
 			return err
@@ -341,12 +345,12 @@
 	return nil
 }
 
-// chunk frames a piece of a message without a length; an empty one ends it.
+// chunkFrame frames a part of a chunked message; an empty one is the final chunk.
 func chunkFrame(b []byte) net.Buffers {
 	return net.Buffers{fmt.Appendf(nil, "%x\r\n", len(b)), b, []byte("\r\n")}
 }
 
-// putLong writes a piece; as a chunk, an empty one is the last.
+// writePiece writes a part of a long response. If chunked, an empty part is written as the final chunk.
 func (c *clientConn) writePiece(b []byte, chunked bool) error {
 	parts := net.Buffers{b}
 	if chunked {
--- a/internal/proxy/parse.go
+++ b/internal/proxy/parse.go
@@ -32,30 +32,30 @@
 
 	healthPath = "/_health"
 
-	maxRemainingSeconds = 600.0 // seconds: a client that says it waits longer than this has made a mistake
+	maxRemainingSeconds = 600.0 // a client that claims to wait longer than this is in error
 	maxIDLength         = 256
-	maxHeadBytes        = 12 << 10 // of a request, so that the head made of it for a host fits into a buffer
+	maxHeadBytes        = 12 << 10 // limit for the head of a request, so that the head sent to a host fits into a buffer
 )
 
-// The headers that may stand in a message once only, as wire.CheckHead wants them.
+// The headers that may occur only once in a message, as wire.CheckHead wants them.
 var (
 	singleInRequests = []string{"Content-Length", "Transfer-Encoding", "Host", headerID, headerClass, headerTenant,
 		headerKey, headerRemaining, headerRepeat, headerWork}
 	singleInResponses = []string{"Content-Length", "Transfer-Encoding", headerTurnedAway}
 )
 
-// request is one that a client proxy has taken whole.
+// request is a client's request. Its body is complete unless upload is set.
 type request struct {
 	balancer.Request
-	txnID      string                 // its id, as the client gave it
-	head       *[wire.BufferSize]byte // as it goes to a host, but for the time remaining and the empty line
+	txnID      string                 // request ID given by the client, in the X-Txn header
+	head       *[wire.BufferSize]byte // head sent to the host, without the remaining time and the empty line
 	headLen    int
 	body       wire.Body
-	upload     *upload             // the rest of a long body; nil: body is all of it
-	noChunks   bool                // its client knows no chunks
-	receivedAt time.Time           // when it had come whole: its client's time runs since then
-	response   chan clientResponse // gets exactly one
-	names      *nameIndex          // by which it was read
+	upload     *upload             // the rest of a long body; nil: body holds all of it
+	noChunks   bool                // the client speaks HTTP/1.0 and cannot read chunked encoding
+	receivedAt time.Time           // when the request was received; the client's remaining time runs from here
+	response   chan clientResponse // receives exactly one response
+	names      *nameIndex          // the index that numbered its class and tenant
 	method     string
 }
 
@@ -64,19 +64,20 @@
 	p.FreeBody(&q.body)
 }
 
-// badRequest is what is answered to something that cannot be taken as a request.
+// badRequest is the error response to input that is not a valid request.
 type badRequest struct {
 	status int
 	text   string
 }
 
-// answer words it for the client. Its connection ends: where the next message on it begins is not known.
+// response returns the response for the client. Its connection is closed, since nobody knows where the next message on
+// it begins.
 func (b badRequest) response() clientResponse {
 	return clientResponse{status: b.status, text: b.text + "\n", closeAfter: true, protocolError: true}
 }
 
-// errorFor words the answer to a message that could not be read. Where nothing whole has come, and nothing can be
-// told to the other side, it is nil.
+// readError returns the response to a message that could not be read. It is nil if the connection ended or timed out
+// first, so that no response is due.
 func (c *clientConn) readError(err error) *badRequest {
 	var ne net.Error
 	if c.meter.Err != nil {
@@ -91,19 +92,19 @@
 	return &badRequest{http.StatusBadRequest, "malformed request"}
 }
 
-// errBehind answers a client that sends on before it is answered: the length it gave is wrong, or it hides a request
-// behind another.
+// badPipelined answers a client that sends more before it has its response: it gave a wrong length or tries to smuggle
+// in a second request.
 var badPipelined = &badRequest{http.StatusBadRequest, "more came than one request"}
 
-// names turns the names that requests carry into the module's numbers.
+// nameIndex maps the class and tenant names in requests to the numbers that the balancer uses.
 type nameIndex struct {
 	classes           map[string]int
 	tenants           map[string]int
-	classNames        []string // of the classes
-	tenantNames       []string // of the tenants
+	classNames        []string // by class number
+	tenantNames       []string // by tenant number
 	effects           []balancer.Effect
-	tallies           []*classTally // of the classes
-	retryAfterSeconds float64       // seconds that a refusal of the front's own names; 0: settings allow none
+	tallies           []*classTally // by class number
+	retryAfterSeconds float64       // for requests that the frontend refuses by itself; 0: the settings allow none
 }
 
 func newNameIndex(s *settings.Settings, c *balancer.Config, t *tally) *nameIndex {
@@ -121,19 +122,20 @@
 	return n
 }
 
-// kept says of each class which one of was it is; -1: none.
-func (n *nameIndex) previousClasses(was *nameIndex) []int {
-	kept := make([]int, len(n.classNames))
-	for i, word := range n.classNames {
-		kept[i] = -1
-		if from, known := was.classes[word]; known {
-			kept[i] = from
+// previousClasses returns, for each class, its number in the old index, or -1 if it is new.
+func (n *nameIndex) previousClasses(old *nameIndex) []int {
+	numbers := make([]int, len(n.classNames))
+	for i, name := range n.classNames {
+		numbers[i] = -1
+		if from, known := old.classes[name]; known {
+			numbers[i] = from
 		}
 	}
-	return kept
+	return numbers
 }
 
-// adopt words a request anew that was read by other names and has not been taken yet.
+// reindex renumbers the class and tenant of a request that was parsed with another index and that the balancer has not
+// seen yet.
 func (n *nameIndex) reindex(q *request) *badRequest {
 	class, tenant := q.names.classNames[q.Class], ""
 	if q.Tenant < len(q.names.tenantNames) {
@@ -143,7 +145,7 @@
 	return n.resolve(&q.Request, class, q.method, tenant)
 }
 
-// number gives a request the module's numbers of its class and tenant.
+// resolve sets the class and tenant numbers of a request.
 func (n *nameIndex) resolve(q *balancer.Request, class, method, tenant string) *badRequest {
 	var known bool
 	if q.Class, known = n.classes[class]; !known {
@@ -158,21 +160,22 @@
 	return nil
 }
 
-// methods are those that fit a class by what a second execution would do.
+// methods lists the HTTP methods allowed for a class, by the effect of a second execution.
 var methods = map[balancer.Effect][]string{
 	balancer.Safe:   {http.MethodGet},
 	balancer.Keyed:  {http.MethodPost, http.MethodPut},
 	balancer.Unsafe: {http.MethodPost},
 }
 
-// parse takes the rest of a request off the connection. On an error nothing stays taken from the pool.
+// parse reads the rest of a request from the connection. On an error, all buffers are back in the pool.
 func (c *clientConn) parse(r *http.Request) (*request, *badRequest) {
 	n := c.front.names.Load()
 	in, bad := n.parseHeaders(r)
 	if bad != nil {
 		return nil, bad
 	}
-	q := &request{Request: in, txnID: r.Header.Get(headerID), response: make(chan clientResponse, 1), names: n, method: r.Method}
+	q := &request{Request: in, txnID: r.Header.Get(headerID), response: make(chan clientResponse, 1), names: n,
+		method: r.Method}
 	if bad := c.takeBody(r, q); bad != nil {
 		return nil, bad
 	}
@@ -195,20 +198,20 @@
 	return q, nil
 }
 
-// takeBody reads the body. A status of zero closes the connection without a word: the body never came whole, so no
-// request was taken.
+// takeBody reads the body. A badRequest with status zero closes the connection without a response: the body is
+// incomplete, so there is no request to answer.
 func (c *clientConn) takeBody(r *http.Request, q *request) *badRequest {
 	q.noChunks = !r.ProtoAtLeast(1, 1)
 	if bodies.Of(r.ContentLength) == bodies.Refusing {
 		return &badRequest{http.StatusRequestEntityTooLarge, "body is too large"}
 	}
 	if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
-		c.conn.SetWriteDeadline(time.Now().Add(c.front.times.responseTimeout)) // that of the last answer may be over
+		c.conn.SetWriteDeadline(time.Now().Add(c.front.times.responseTimeout)) // the old deadline may have passed
 		if _, err := io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return &badRequest{}
 		}
 	}
-	c.meter.Allow(2 * bodies.Longest) // with the framing of chunks
+	c.meter.Allow(2 * bodies.Longest) // twice the limit, to leave room for chunk framing
 	src := &pacedReader{client: c, r: r.Body, startedAt: time.Now()}
 	got, more, err := c.front.bufs.ReadBody(src)
 	var ne net.Error
@@ -228,7 +231,7 @@
 	return nil
 }
 
-// translate reads what the module needs to know of a request.
+// parseHeaders reads what the balancer needs to know of a request.
 func (n *nameIndex) parseHeaders(r *http.Request) (q balancer.Request, bad *badRequest) {
 	reject := func(format string, args ...any) (balancer.Request, *badRequest) {
 		return q, &badRequest{http.StatusBadRequest, fmt.Sprintf(format, args...)}
@@ -253,7 +256,7 @@
 	return q, nil
 }
 
-// parseSpan reads a time such as 480m (milliseconds) or 250u (microseconds).
+// parseSeconds parses a duration such as 480m (milliseconds) or 250u (microseconds) and returns it in seconds.
 func parseSeconds(text string) (float64, error) {
 	for unit, size := range map[string]float64{"m": 1e-3, "u": 1e-6} {
 		digits, found := strings.CutSuffix(text, unit)
@@ -269,20 +272,20 @@
 	return 0, fmt.Errorf("%q is not a time", text)
 }
 
-// hopHeaders concern one connection only, or are set anew for each.
+// hopHeaders holds the headers that apply to one connection only, or that are rewritten for each hop.
 var hopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true, headerRemaining: true,
 }
 
-// writeHead words the request for a host: method, path, query and headers as they came, framing anew.
+// writeHead writes the head for the host: method, path, query and headers as received, with new framing headers.
 func (q *request) writeHead(r *http.Request) error {
 	w := &wire.FixedWriter{Buf: q.head[:0]}
 	fmt.Fprintf(w, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.RequestURI, r.Host)
-	for _, field := range r.Header["Connection"] { // names further headers of this connection only
+	for _, field := range r.Header["Connection"] { // names further headers that apply to this connection only
 		for name := range strings.SplitSeq(field, ",") {
 			name = http.CanonicalHeaderKey(strings.TrimSpace(name))
-			if name != headerID { // which has to go on
+			if name != headerID { // the ID has to reach the host
 				r.Header.Del(name)
 			}
 		}
--- a/internal/proxy/reply.go
+++ b/internal/proxy/reply.go
@@ -11,24 +11,24 @@
 	"beechwing/internal/wire"
 )
 
-// reply is what a host answered, or why it did not.
+// hostResponse is the response of a host, or the reason why there is none.
 type hostResponse struct {
-	err           error // no whole answer came
-	malformed     bool  // not for want of bytes: what came is no answer
+	err           error // there is no complete response
+	malformed     bool  // the bytes received are not a valid response; false if they merely ended early
 	result        balancer.Result
 	status        int
 	contentType   string
 	body          wire.Body
 	loadReport    []float32
 	reusable      bool
-	stream        *stream // of an answer that begins to go on; body is empty then
-	contentLength int64   // of that; negative: nobody knows
+	stream        *stream // a long response that is passed on while it arrives; body is then empty
+	contentLength int64   // of stream; negative: unknown
 }
 
-var errNoLength = errors.New("an answer without a length may be cut short anywhere")
+var errNoLength = errors.New("response has neither a length nor an announced close, so its end cannot be detected")
 
-// readReply reads one answer whole. Interim answers (1xx) ahead of it are passed over, as many as the bytes allowed for
-// heads hold.
+// readResponse reads one complete response. Interim responses (1xx) before it are skipped, as many as fit into
+// maxHeadBytes.
 func (c *hostConn) readResponse(call *call) hostResponse {
 	r := c.readFinalResponse(call)
 	r.malformed = r.err != nil && (c.meter.Err == nil || errors.Is(c.meter.Err, wire.ErrTooLarge))
@@ -64,7 +64,7 @@
 	case r.ContentLength < 0 && len(r.TransferEncoding) == 0 && !closes:
 		return hostResponse{err: errNoLength}
 	}
-	c.meter.Allow(2 * bodies.Longest) // with the framing of chunks
+	c.meter.Allow(2 * bodies.Longest) // twice the limit, to leave room for chunk framing
 	columns := c.upstream.pool.settings.Load().reportColumns
 	out := hostResponse{status: r.StatusCode, result: resultOf(r), contentType: r.Header.Get("Content-Type"),
 		loadReport: parseReport(r.Header.Get(headerReport), columns), contentLength: r.ContentLength}
@@ -73,16 +73,17 @@
 		if out.body, more, out.err = c.upstream.pool.bufs.ReadBody(r.Body); out.err != nil {
 			return hostResponse{err: out.err}
 		}
-		r.Close = r.Close || more && int64(out.body.Size) != r.ContentLength // of a failure, no more is wanted
+		r.Close = r.Close || more && int64(out.body.Size) != r.ContentLength // the rest of an error response is not read
 	} else if out = c.receiveLong(r, out, call, way == bodies.Pieces); out.err != nil {
 		return out
 	}
-	// Bytes beyond the answer belong to nothing; who sends them cannot be trusted with a further request.
+	// Extra bytes after the response belong to no request, and a host that sends them is not trusted with another one.
 	out.reusable = !r.Close && c.br.Buffered() == 0 && r.StatusCode != http.StatusSwitchingProtocols
 	return out
 }
 
-// resultOf reads the protocol's table. Only the host's own word proves that a request has not run.
+// resultOf maps a response to its result as the protocol defines. Only the host's own statement, the X-Turned-Away
+// header, proves that a request has not run.
 func resultOf(r *http.Response) balancer.Result {
 	switch r.StatusCode {
 	case http.StatusOK:
@@ -95,19 +96,19 @@
 	return balancer.Errored
 }
 
-// atFault tells a status that blames the request from one that tells of the host. 429 would be a refusal, which a host's
-// word without X-Turned-Away does not prove.
+// blamesRequest reports whether a status means that the request is at fault, and not the host. 429 is excluded: it
+// would be a refusal, and without X-Turned-Away a status does not prove that nothing has run.
 func blamesRequest(status int) bool {
 	return status >= 400 && status < 500 && status != http.StatusTooManyRequests
 }
 
-// plainNames are the names that a report may use for the columns of the settings.
+// columnAliases maps the report columns in the settings to other names that a load report may use for them.
 var columnAliases = map[string]string{
 	"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms", "rps": "qps", "err_rps": "eps",
 }
 
-// parseReport reads a load report into the order of columns. A broken one counts as none; a value that is missing is
-// not a number.
+// parseReport returns the values of a load report in the order of columns. It returns nil for an invalid report. A
+// missing value becomes NaN.
 func parseReport(text string, columns []string) []float32 {
 	if text == "" || len(columns) == 0 {
 		return nil
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -10,26 +10,26 @@
 	"beechwing/internal/wire"
 )
 
-// streamBuffers is how many buffers of a long message may be here at once.
+// maxStreamBuffers is the most buffers of a long message that are held at once.
 const maxStreamBuffers = bodies.Kept / wire.BufferSize
 
-var errAbandoned = errors.New("nobody takes it any more")
+var errAbandoned = errors.New("the receiver has stopped reading")
 
-// stream passes a long message from the goroutine that reads it to the one that writes it. Whoever reads waits while it
-// is full, so that a slow peer slows the other.
+// stream passes a long message from the goroutine that reads it to the one that writes it. The reading side waits while
+// the stream is full, so that a slow receiver slows the sender down.
 type stream struct {
 	bufs       *wire.Pool
-	dataReady  chan struct{} // something has come, or the end
-	spaceFreed chan struct{} // something has been taken, or nobody will
+	dataReady  chan struct{} // signals new data or the end of the message
+	spaceFreed chan struct{} // signals that data was taken or the stream abandoned
 
 	mu        sync.Mutex
 	queue     []piece
 	ended     bool
-	err       error // nil with ended: the message is whole
-	abandoned bool  // nobody takes more
+	err       error // with ended, nil means that the message is complete
+	abandoned bool  // the receiver takes no more
 }
 
-// piece is a buffer with n bytes.
+// piece is a buffer that holds size bytes.
 type piece struct {
 	buf  *[wire.BufferSize]byte
 	size int
@@ -41,12 +41,12 @@
 	return &stream{bufs: bufs, dataReady: make(chan struct{}, 1), spaceFreed: make(chan struct{}, 1)}
 }
 
-// fill reads r until its end, which the caller tells with end. It waits while the stream is full, and calls whenFull
-// first.
-func (s *stream) fill(r io.Reader, whenFull func()) error {
+// fill reads r to its end into the stream; the caller then calls end. While the stream is full, fill calls onFull and
+// waits.
+func (s *stream) fill(r io.Reader, onFull func()) error {
 	for total := 0; ; {
 		if s.full() {
-			whenFull()
+			onFull()
 		}
 		if !s.awaitSpace() {
 			return errAbandoned
@@ -67,27 +67,28 @@
 	}
 }
 
-// full says whether the stream holds as much as it may.
+// full reports whether the stream holds as much as it may.
 func (s *stream) full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.queue) >= maxStreamBuffers
 }
 
-// awaitRoom waits until there is room, and says whether anybody still takes what comes.
+// awaitSpace waits until the stream is not full. It returns false if the stream has been abandoned.
 func (s *stream) awaitSpace() bool {
 	for {
 		s.mu.Lock()
-		full, left := len(s.queue) >= maxStreamBuffers, s.abandoned
+		full, abandoned := len(s.queue) >= maxStreamBuffers, s.abandoned
 		s.mu.Unlock()
-		if !full || left {
-			return !left
+		if !full || abandoned {
+			return !abandoned
 		}
 		<-s.spaceFreed
 	}
 }
 
-// put adds a piece. Small ones are gathered in one buffer, so that a peer that sends byte by byte fills no memory.
+// put appends a piece. Small pieces are merged into one buffer, so that a sender of single bytes cannot use up memory.
+// It returns false if the stream has been abandoned.
 func (s *stream) put(p piece) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +111,7 @@
 	return true
 }
 
-// end tells that nothing more comes. Without an error the message is whole.
+// end marks the end of the message. A nil error means that the message is complete.
 func (s *stream) end(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +119,8 @@
 	ask(s.dataReady)
 }
 
-// take gives the next piece, whose buffer is the caller's from then on. io.EOF: the message is whole.
+// take returns the next piece, whose buffer then belongs to the caller. It returns io.EOF at the end of a complete
+// message.
 func (s *stream) take(ctx context.Context) (piece, error) {
 	for {
 		s.mu.Lock()
@@ -145,7 +147,7 @@
 	}
 }
 
-// leave gives back what is held. Who fills it learns that nobody takes more.
+// abandon frees what the stream holds and makes fill return errAbandoned.
 func (s *stream) abandon() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,7 +159,7 @@
 	ask(s.spaceFreed)
 }
 
-// whole gives all of a message that has ended, of which nothing has been taken, as a body.
+// takeBody returns the whole message as a body. The message has ended and no piece has been taken.
 func (s *stream) takeBody() (b wire.Body) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// timer is an event that the module asked for.
+// timer is a timer event that the balancer has scheduled.
 type timer struct {
 	at    float64
 	token uint64
 }
 
-// timerHeap holds the timers, the next one due first.
+// timerHeap is a heap of timers ordered by due time.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -25,8 +25,8 @@
 	return t
 }
 
-// fire plays one timer that is due and says how long to wait for the next event. One at a time: what the module asked
-// for in it comes first.
+// fire runs one timer that is due and returns how long to wait for the next event. It runs only one, because events
+// that the balancer causes in it come first.
 func (o *owner) fire() time.Duration {
 	const idle = time.Second
 	if len(o.timers) == 0 {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// idleShare of the time after which a host closes an idle connection: from then on it is not used again. A request
-	// written to it as it closes would end as a reset, and an unsafe one would be lost.
+	// idleTimeoutShare is the share of the host's idle timeout for which an idle connection is used. A request written
+	// while the host closes the connection would end in a reset, and a request that must not run twice would be lost.
 	idleTimeoutShare             = 0.7
 	idleTimeoutJitter            = 0.2
 	defaultConnIdleSeconds       = 10.0
 	defaultConnectTimeoutSeconds = 1.0
 )
 
-var errNoCapacity = errors.New("no room for a further connection")
+var errNoCapacity = errors.New("connection limit reached and no connection became free in time")
 
-// hosts holds what is kept for the hosts of the list: addresses and connections. Only the owner adds and removes.
+// hostPool holds an upstream for each listed host. Only the owner adds and removes hosts.
 type hostPool struct {
 	bufs          *wire.Pool
 	clock         clock
-	lastByteDelay time.Duration // for which a message's last byte is held back
+	lastByteDelay time.Duration // time for which the last byte of a message is held back
 	budget        *connBudget
 	settings      atomic.Pointer[hostSettings]
 
@@ -41,11 +41,11 @@
 	byID map[balancer.HostID]*upstream
 }
 
-// hostSettings is what the settings say of connections to hosts.
+// hostSettings holds the settings that concern connections to hosts.
 type hostSettings struct {
 	reportColumns               []string
 	connectTimeout, idleTimeout time.Duration
-	drainGraceSeconds           float64 // seconds after word of a drain in which a request may still be written
+	drainGraceSeconds           float64 // time after a host starts to drain in which requests may still be sent to it
 }
 
 func newHostSettings(s *settings.Settings, c *balancer.Config) *hostSettings {
@@ -54,16 +54,16 @@
 		idleTimeout:    seconds(idleTimeoutShare * cmp.Or(s.Limits.ConnIdleS, defaultConnIdleSeconds))}
 }
 
-// upstream is one host as the sockets see it.
+// upstream is one host, with its address and idle connections.
 type upstream struct {
 	pool   *hostPool
-	listed bool // guarded by hosts.mu
+	listed bool // guarded by pool.mu
 
 	mu        sync.Mutex
 	addr      string
-	startedAt float64     // of its process, as the list says
-	drainedAt float64     // clock time of word that it drains or is gone; 0: it takes requests
-	idle      []*hostConn // the one used last comes last and is used first
+	startedAt float64     // start time of its process, from the list
+	drainedAt float64     // clock time when its drain or removal was learned; 0: it takes requests
+	idle      []*hostConn // most recently used last; the last is used first
 }
 
 func newHostPool(cfg *Config, c clock, bufs *wire.Pool, r *connBudget, t timing) *hostPool {
@@ -78,7 +78,7 @@
 	return h.byID[id]
 }
 
-// update takes a list or changes to one. Idle connections to hosts that want nothing new are closed.
+// update applies a host list or changes to one. It closes idle connections to hosts that take no new requests.
 func (h *hostPool) update(kind balancer.ListKind, list catalog, now float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -98,13 +98,13 @@
 	}
 	for id, u := range h.byID {
 		if !u.listed {
-			u.applyEntry("", balancer.Host{Status: balancer.Removed}, now) // whoever still has it keeps no connection
+			u.applyEntry("", balancer.Host{Status: balancer.Removed}, now) // for attempts that still refer to this upstream
 			delete(h.byID, id)
 		}
 	}
 }
 
-// told takes a host's entry.
+// applyEntry applies a list entry of the host. An empty addr leaves the address as it is.
 func (u *upstream) applyEntry(addr string, e balancer.Host, now float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -112,7 +112,7 @@
 	if moved {
 		u.addr = addr
 	}
-	// A machine that was cut off resets the connections to its old process only when they are used.
+	// A host that lost its network for a time resets the connections to its old process only when they are used.
 	restarted := e.Started != 0 && e.Started != u.startedAt
 	u.startedAt = e.Started
 	if e.Status == balancer.Ready {
@@ -125,15 +125,15 @@
 	}
 }
 
-// closeIdle closes all idle connections. u.mu is held.
+// closeIdle closes all idle connections. The caller holds u.mu.
 func (u *upstream) closeIdle() {
 	for _, c := range u.idle {
-		go c.close() // not here: the owner does no I/O
+		go c.close() // in a goroutine, since the owner does no I/O
 	}
 	u.idle = nil
 }
 
-// connect gives a connection to the host: an idle one if there is and none is wanted fresh, else a new one.
+// connect returns an idle connection to the host, or a new one if there is none or if fresh is set.
 func (u *upstream) connect(ctx context.Context, fresh bool) (*hostConn, error) {
 	u.mu.Lock()
 	addr, drained := u.addr, u.drainedAt
@@ -146,7 +146,7 @@
 		if c != nil {
 			c.close()
 		}
-		return nil, errors.New("the host drains") // guards requests that were on their way when word came
+		return nil, errors.New("host is draining") // for requests that were on their way when the drain was learned
 	}
 	if c != nil {
 		c.reused = true
@@ -171,7 +171,7 @@
 	return c, nil
 }
 
-// reserve takes a place for a connection. If all are taken, an idle connection to some host makes room.
+// reserve reserves a connection. If the limit is reached, it closes an idle connection to some host and waits.
 func (h *hostPool) reserve(ctx context.Context) bool {
 	if h.budget.tryAcquireHost() {
 		return true
@@ -182,14 +182,15 @@
 	return h.budget.awaitHost(ctx, h.settings.Load().connectTimeout)
 }
 
-// retire is how long a connection may be idle: up to a fifth less than the most, so that those of one burst do not all end
-// and come anew together. The one used last is used first, so no more stay than were in use at once in that time.
+// idleTimeout returns how long a connection may be idle. It is shortened by a random part of up to a fifth, so that the
+// connections opened in one burst do not all end, and have to be opened again, at the same time. The most recently used
+// connection is reused first, so no more connections stay open than were in use at once within this time.
 func (h *hostPool) idleTimeout() time.Duration {
 	idle := h.settings.Load().idleTimeout
 	return idle - time.Duration(rand.Float64()*idleTimeoutJitter*float64(idle))
 }
 
-// giveBack closes up to n idle connections.
+// closeIdle closes up to n idle connections.
 func (h *hostPool) closeIdle(n int) {
 	for range n {
 		c := h.takeLeastUseful()
@@ -200,8 +201,8 @@
 	}
 }
 
-// takeIdle takes an idle connection away from the host that has most of them: the one used longest ago, which is missed
-// least, as the others carry what comes first.
+// takeLeastUseful removes and returns the least recently used idle connection of the host that has the most of them:
+// the other connections of that host are used first. It returns nil if there is none.
 func (h *hostPool) takeLeastUseful() *hostConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -235,7 +236,7 @@
 	return c
 }
 
-// keep takes a connection back for later use, unless the host wants nothing new.
+// putIdle keeps a connection for later use. It returns false if the host takes no new requests or has moved.
 func (u *upstream) putIdle(c *hostConn) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -246,7 +247,7 @@
 	return true
 }
 
-// forget removes a connection that has ended while it was idle.
+// removeIdle removes an idle connection that has ended.
 func (u *upstream) removeIdle(c *hostConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -258,49 +259,49 @@
 	}
 }
 
-// hostConn is one connection to a host. It carries one call at a time. Its reader goroutine ends with it, and watches
-// it while it is idle.
+// hostConn is a connection to a host. It carries one call at a time. Its reading goroutine lives as long as the
+// connection and also watches it while it is idle.
 type hostConn struct {
 	upstream *upstream
 	addr     string
 	conn     net.Conn
 	meter    wire.Meter
 	br       *bufio.Reader
-	reused   bool // it carried a call before
+	reused   bool // it has carried a call before
 
 	mu   sync.Mutex
-	call *call // at hand; nil: idle
+	call *call // current call; nil: the connection is idle
 	dead bool
 }
 
-// call is one message to a host and the answer to it. done gets exactly one reply.
+// call is one message to a host and its response. done receives exactly one hostResponse.
 type call struct {
 	done    chan hostResponse
-	started chan hostResponse // the begin of a long answer, ahead of done
+	started chan hostResponse // receives the first part of a long response, before done
 }
 
 func newCall() *call {
 	return &call{done: make(chan hostResponse, 1), started: make(chan hostResponse, 1)}
 }
 
-// wait gives the reply, and tells begun first if its answer is a long one: the two may have come together.
+// wait returns the response. For a long response it calls begun first; started and done may both be ready.
 func (c *call) wait(begun func(hostResponse)) hostResponse {
 	select {
 	case b := <-c.started:
 		begun(b)
 		return <-c.done
 	case r := <-c.done:
-		if r.stream != nil { // its begin is on the way, or there
+		if r.stream != nil { // started has it or is about to
 			begun(<-c.started)
 		}
 		return r
 	}
 }
 
-// drop waits for a reply that nobody wants.
+// discard waits for a response that is not wanted.
 func (c *call) discard() hostResponse { return c.wait(func(b hostResponse) { b.stream.abandon() }) }
 
-// stands fails once the host has answered or its connection has broken.
+// checkOpen fails once the host has responded or the connection has broken.
 func (c *call) checkOpen() error {
 	if len(c.done) > 0 || len(c.started) > 0 {
 		return errBroken
@@ -308,7 +309,8 @@
 	return nil
 }
 
-// begin readies the connection for a call. It fails if the host has closed it meanwhile, or said something unasked.
+// startCall prepares the connection for a call. It fails if the host has closed the connection or sent bytes that no
+// call asked for.
 func (c *hostConn) startCall(call *call) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -329,7 +331,7 @@
 	c.conn.Close()
 }
 
-// read waits for answers until the connection ends.
+// read reads responses until the connection ends.
 func (c *hostConn) read() {
 	for c.readOne() {
 	}
@@ -338,7 +340,7 @@
 	c.upstream.pool.budget.releaseHost()
 }
 
-// readOne waits for what comes next and says whether the connection goes on.
+// readOne waits for the next response and reports whether the connection stays open.
 func (c *hostConn) readOne() bool {
 	c.meter.Allow(maxHeadBytes)
 	_, err := c.br.Peek(1)
@@ -348,7 +350,7 @@
 		c.upstream.removeIdle(c)
 		return false
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return true // it was about to be retired when the call came
+		return true // the idle timeout passed just as the call started
 	case err != nil:
 		call.done <- hostResponse{err: err}
 		return false
@@ -361,8 +363,8 @@
 	return r.reusable
 }
 
-// atHand gives the call that something read belongs to. If there is none, the host has ended or broken an idle
-// connection, or it is time to retire it.
+// currentCall returns the call that received bytes belong to. Without one, the host has closed the idle connection or
+// sent unexpected bytes, or the idle timeout has passed, and the connection is marked dead.
 func (c *hostConn) currentCall() *call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -372,7 +374,7 @@
 	return c.call
 }
 
-// rest makes the connection idle. Whose call it carried does so, after nothing of that call can close it any more.
+// release makes the connection idle. It is called once nothing of the call can close the connection any more.
 func (c *hostConn) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
