--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -15,43 +15,43 @@
 	"beechwing/balancer"
 )
 
-// TestHostAnswers plays the protocol's table: what comes back of a host's answer, and what the module is told.
+// TestHostAnswers checks, for each kind of host response, what the client gets and what the balancer is told.
 func TestHostAnswers(t *testing.T) {
-	turned := "HTTP/1.1 503 S\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+	turnedAway := "HTTP/1.1 503 S\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
 		name, raw string
 		result    balancer.Result
-		reused    bool // the connection carries the next request
+		reused    bool // the connection is used for the next request
 	}{
 		{"served", ok, balancer.OK, true},
 		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", balancer.OK, true},
 		{"served, then closes", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", balancer.OK, false},
-		{"after an interim answer", "HTTP/1.1 103 Early Hints\r\n\r\n" + ok, balancer.OK, true},
+		{"after an interim response", "HTTP/1.1 103 Early Hints\r\n\r\n" + ok, balancer.OK, true},
 		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
-		{"turned away", turned, balancer.Rejected, true},
-		{"turned away late", strings.Replace(turned, "503", "504", 1), balancer.Rejected, true},
-		{"503 without the word", "HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
-		{"too many requests without the word", "HTTP/1.1 429 T\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
-		{"500 with the word", strings.Replace(turned, "503", "500", 1), balancer.Errored, true},
+		{"turned away", turnedAway, balancer.Rejected, true},
+		{"turned away late", strings.Replace(turnedAway, "503", "504", 1), balancer.Rejected, true},
+		{"503 without X-Turned-Away", "HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
+		{"429 without X-Turned-Away", "HTTP/1.1 429 T\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
+		{"500 with X-Turned-Away", strings.Replace(turnedAway, "503", "500", 1), balancer.Errored, true},
 		{"garbage", "no such thing\r\n\r\n", balancer.Malformed, false},
-		{"cut in the head", "HTTP/1.1 200 OK\r\nContent-", balancer.Reset, false},
-		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nabc", balancer.Reset, false},
+		{"truncated head", "HTTP/1.1 200 OK\r\nContent-", balancer.Reset, false},
+		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nabc", balancer.Reset, false},
 		{"broken chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", balancer.Malformed, false},
 		{"body over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc", balancer.Malformed, false},
-		{"ended by the close, as announced", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok", balancer.OK, false},
+		{"ended by an announced close", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok", balancer.OK, false},
 		{"head over the limit", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeadBytes), balancer.Malformed, false},
-		{"endless interim answers", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxHeadBytes/4), balancer.Malformed, false},
-		{"many interim answers", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", 20) + ok, balancer.OK, true},
-		{"a length beside chunks", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n" +
+		{"too many interim responses", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxHeadBytes/4), balancer.Malformed, false},
+		{"many interim responses", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", 20) + ok, balancer.OK, true},
+		{"length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"2\r\nok\r\n0\r\n\r\n", balancer.Malformed, false},
-		{"two lengths alike", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok", balancer.Malformed, false},
+		{"two equal lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok", balancer.Malformed, false},
 		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", balancer.Malformed, false},
 		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", balancer.Malformed, false},
 		{"folded head", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n 0\r\n\r\nok", balancer.Malformed, false},
-		{"a name with a space", "HTTP/1.1 200 OK\r\nContent-Length : 2\r\n\r\nok", balancer.Malformed, false},
-		{"a report that is none", "HTTP/1.1 200 OK\r\nX-Pressure: %%%\r\nContent-Length: 2\r\n\r\nok", balancer.OK, true},
-		{"noise behind the answer", ok + "\x00\x01noise", balancer.OK, false},
-		{"bytes beyond the answer", ok + ok, balancer.OK, false},
+		{"header name with a space", "HTTP/1.1 200 OK\r\nContent-Length : 2\r\n\r\nok", balancer.Malformed, false},
+		{"invalid load report", "HTTP/1.1 200 OK\r\nX-Pressure: %%%\r\nContent-Length: 2\r\n\r\nok", balancer.OK, true},
+		{"garbage after the response", ok + "\x00\x01noise", balancer.OK, false},
+		{"second response after the response", ok + ok, balancer.OK, false},
 		{"nothing", "", balancer.Reset, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -73,14 +73,14 @@
 				t.Fatalf("outcome %+v, want %v", o, c.result)
 			}
 			if want := c.result == balancer.OK; (a.status == http.StatusOK) != want {
-				t.Fatalf("the client got %d", a.status)
+				t.Fatalf("the client got status %d", a.status)
 			}
 			h.seen.next(t, "the request")
 			if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
-				t.Fatalf("the next request got %d", a.status)
+				t.Fatalf("the next request got status %d", a.status)
 			}
 			if again := h.seen.next(t, "the next request").again; again != c.reused {
-				t.Errorf("connection used again: %v", again)
+				t.Errorf("connection reused: %v", again)
 			}
 			s.outcomes.next(t, "the next outcome")
 			s.outcomes.none(t, "a second outcome of one attempt")
@@ -88,7 +88,8 @@
 	}
 }
 
-// TestRequestAtFault: a host that cannot use a request is not blamed for it, nor is the request sent elsewhere.
+// TestRequestAtFault: a host that rejects a request as invalid is not blamed for it, and the request is not sent to
+// another host.
 func TestRequestAtFault(t *testing.T) {
 	for _, status := range []int{400, 404, 413} {
 		h := newHost(t, says(fmt.Sprintf("HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n", status)))
@@ -96,41 +97,42 @@
 		s.onRequest = sendsOnceTo("h1")
 		g := startOneHost(t, h, s.install)
 		if a := g.raw(requestText("read", "")); a.status != status {
-			t.Errorf("host said %d, the client got %d", status, a.status)
+			t.Errorf("host sent status %d, the client got %d", status, a.status)
 		}
 		if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.Cancelled || !o.Final {
-			t.Errorf("host said %d: outcome %+v", status, o)
+			t.Errorf("host sent status %d: outcome %+v", status, o)
 		}
 	}
 }
 
-// TestHugeAnswer: an answer said to be huge is not waited for, however long the host goes on.
+// TestHugeAnswer: a response whose announced length is over the limit fails at once, without reading its body.
 func TestHugeAnswer(t *testing.T) {
 	h := newHost(t, func(c net.Conn, _ seenRequest) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc")
-		_, err := c.Read(make([]byte, 1)) // the end is the proxy's
+		_, err := c.Read(make([]byte, 1)) // until the proxy closes it
 		return err == nil
 	})
 	s := newFakeBalancer()
 	s.onRequest = sendsOnceTo("h1")
 	g := startOneHost(t, h, s.install)
 	if a := g.raw(requestText("write", "x", "X-Remaining: 60000m")); a.status != http.StatusBadGateway {
-		t.Fatalf("the client got %d", a.status)
+		t.Fatalf("the client got status %d", a.status)
 	}
 	if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.Malformed {
 		t.Fatalf("outcome %+v", o)
 	}
 }
 
-// TestReports: a report in the answer reaches the module in the order of the settings; a broken one is none.
+// TestReports: a load report in a response reaches the balancer in the order of the columns in the settings. An invalid
+// report is ignored.
 func TestReports(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
-		want       []float32 // NaN is told as -1 here
+		want       []float32 // -1 stands for NaN
 	}{
-		{"whole", `{"inflight":7,"queue":2,"util":0.5}`, []float32{7, 2, 0.5}},
-		{"under the settings' names", `{"cpu":0.5,"active":7,"waiting":2}`, []float32{7, 2, 0.5}},
-		{"a value short", `{"inflight":7,"util":0.5}`, []float32{7, -1, 0.5}},
+		{"complete", `{"inflight":7,"queue":2,"util":0.5}`, []float32{7, 2, 0.5}},
+		{"with the settings' column names", `{"cpu":0.5,"active":7,"waiting":2}`, []float32{7, 2, 0.5}},
+		{"missing value", `{"inflight":7,"util":0.5}`, []float32{7, -1, 0.5}},
 		{"not JSON", `{"inflight":`, nil},
 		{"not numbers", `{"inflight":"many"}`, nil},
 		{"empty", `{}`, nil},
@@ -161,28 +163,29 @@
 	}
 }
 
-// TestReusedConnectionBreaks: an unsafe request on a connection that has carried others. As long as its last byte has not
-// gone out it may take another connection; once it has, a break is a reset, and it is not sent again.
+// TestReusedConnectionBreaks: a request that must not run twice is sent on a reused connection. If the connection
+// breaks before the last byte of the request is sent, the request is sent on another connection; if it breaks later,
+// the request fails and is not repeated.
 func TestReusedConnectionBreaks(t *testing.T) {
 	t.Run("before its last byte", func(t *testing.T) {
 		h := newHost(t, says(ok))
 		g := startOneHost(t, h)
 		if a := g.raw(requestText("write", "first")); a.status != http.StatusOK {
-			t.Fatalf("the first got %d", a.status)
+			t.Fatalf("the first got status %d", a.status)
 		}
 		h.seen.next(t, "the first")
 		h.mu.Lock()
-		for c := range h.open { // the idle connection dies, whether the proxy has noticed or not
+		for c := range h.open { // the idle connection dies, whether or not the proxy has noticed
 			resets(c)
 		}
 		h.mu.Unlock()
 		if a := g.raw(requestText("write", "second")); a.status != http.StatusOK {
-			t.Fatalf("the second got %d", a.status)
+			t.Fatalf("the second got status %d", a.status)
 		}
 		if r := h.seen.next(t, "the second"); r.again || r.text != "second" {
-			t.Fatalf("it came as %q, again %v", r.text, r.again)
+			t.Fatalf("the host got %q, on a reused connection: %v", r.text, r.again)
 		}
-		h.seen.none(t, "it came twice")
+		h.seen.none(t, "the request was sent twice")
 	})
 	t.Run("after its last byte", func(t *testing.T) {
 		h := newHost(t, func(c net.Conn, r seenRequest) bool {
@@ -197,18 +200,18 @@
 		h.seen.next(t, "the first")
 		a := g.raw(requestText("write", "second"))
 		if a.status != http.StatusBadGateway {
-			t.Fatalf("answered %d: after a reset nothing is promised", a.status)
+			t.Fatalf("got status %d, want a failure: the request may have run", a.status)
 		}
 		h.seen.next(t, "the second")
-		h.seen.none(t, "it was sent again")
+		h.seen.none(t, "the request was sent again")
 	})
 }
 
-// TestResetAtOnce: a host that resets a connection at a request's first bytes has not begun it. A connection kept from
-// before is replaced; a new one is an outcome that proves that nothing ran.
+// TestResetAtOnce: a host that resets a connection on the first bytes of a request has not started it. A reused
+// connection is replaced by a new one. On a new connection the attempt ends with a result that proves that nothing ran.
 func TestResetAtOnce(t *testing.T) {
 	var resetFirst atomic.Bool
-	whole := make(eventChan[bool], 16) // for each connection that carried whole requests: whether it had before
+	whole := make(eventChan[bool], 16) // one value per complete request: whether the connection had carried one before
 	h := newToy(t, func(c net.Conn, br *bufio.Reader) {
 		for again := false; ; again = true {
 			if _, err := br.Peek(1); err != nil {
@@ -234,7 +237,7 @@
 	g.waitReady()
 	for _, text := range []string{"first", "second"} {
 		if a := g.raw(requestText("write", text, "X-Remaining: 9000m")); a.status != http.StatusOK {
-			t.Fatalf("the %s got %d", text, a.status)
+			t.Fatalf("the %s got status %d", text, a.status)
 		}
 		whole.next(t, text)
 		if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.OK {
@@ -243,15 +246,15 @@
 	}
 	resetFirst.Store(true)
 	if a := g.raw(requestText("write", "third", "X-Remaining: 9000m")); a.status != http.StatusBadGateway {
-		t.Fatalf("the third got %d", a.status) // the script gives every request up
+		t.Fatalf("the third got status %d", a.status) // the fake balancer fails every request
 	}
 	if o := s.outcomes.next(t, "the outcome"); !o.Result.NeverRan() {
 		t.Fatalf("outcome of the third %+v", o)
 	}
-	whole.none(t, "a host took it whole")
+	whole.none(t, "the host got the complete third request")
 }
 
-// TestNothingHalfWritten: a host that breaks the connection before the last byte of a large request has not begun it.
+// TestNothingHalfWritten: a host that resets the connection before the last byte of a large request has not started it.
 func TestNothingHalfWritten(t *testing.T) {
 	h := newToy(t, func(c net.Conn, br *bufio.Reader) {
 		c.(*net.TCPConn).SetReadBuffer(2048)
@@ -264,14 +267,14 @@
 	g := startProxy(t, l.addr(), "null", s.install)
 	g.waitReady()
 	up := g.p.hosts.find(hostID("h1"))
-	// A request larger than both sockets hold together, so that writing it cannot end before the host breaks off.
+	// The message is larger than both socket buffers together, so that the write cannot finish before the reset.
 	_, result := up.exchange(t.Context(), largeMessage{})
 	if result != balancer.ConnectFailed || !result.NeverRan() {
 		t.Fatalf("result %v", result)
 	}
 }
 
-// flood is a message of 16 MB.
+// largeMessage is a message of 16 MB.
 type largeMessage struct{}
 
 func (largeMessage) responseStarted(hostResponse) bool { return false }
@@ -281,7 +284,8 @@
 	return err
 }
 
-// TestRefusedConnection: nothing listens, so nothing has run; the request goes elsewhere or is refused.
+// TestRefusedConnection: if a host refuses connections, the request has not run. It is sent to another host, or refused
+// if there is none.
 func TestRefusedConnection(t *testing.T) {
 	h := newHost(t, says(ok))
 	l := newList(t, entry("h1", h.addr()), entry("h2", refusingAddr))
@@ -289,17 +293,17 @@
 	g.waitReady()
 	for n := range 20 {
 		if a := g.raw(requestText("write", "x", "X-Entity: k"+string(rune('a'+n)))); a.status != http.StatusOK {
-			t.Fatalf("answered %d", a.status)
+			t.Fatalf("got status %d", a.status)
 		}
 	}
 	l.set(entry("h2", refusingAddr))
 	g.awaitListApplied(l)
 	if a := g.raw(requestText("write", "x")); a.status != http.StatusServiceUnavailable {
-		t.Fatalf("with no host left: %d, want a refusal", a.status)
+		t.Fatalf("with no host left: got status %d, want a refusal", a.status)
 	}
 }
 
-// settled waits until the proxy has taken the newest list: its next call says so.
+// awaitListApplied waits until the proxy has applied the newest list: its next call to discovery names that version.
 func (g *testProxy) awaitListApplied(l *toyList) {
 	g.t.Helper()
 	l.mu.Lock()
@@ -307,12 +311,12 @@
 	l.mu.Unlock()
 	for !strings.Contains(l.calls.next(g.t, "a call with "+want), want) {
 	}
-	// The event was queued before that call went out, and the owner plays its queue in order.
+	// The event was queued before that call was made, and the owner processes its queue in order.
 	g.raw(requestText("read", "", "X-Remaining: 0m"))
 }
 
-// TestTimeouts: an attempt ends with the time that the client has left, and its connection with it, whether the host
-// is silent or does not come to an end.
+// TestTimeouts: an attempt ends when the client's remaining time is over, and its connection is closed, whether the
+// host sends nothing or never completes its response.
 func TestTimeouts(t *testing.T) {
 	for _, c := range []struct{ name, first, rest string }{
 		{"silent", "", ""},
@@ -323,7 +327,7 @@
 	}
 }
 
-// runsOut plays a host that begins an answer and goes on with it for ever.
+// checkTimesOut runs a request against a host that starts a response and never completes it.
 func checkTimesOut(t *testing.T, first, rest string) {
 	h := newHost(t, func(c net.Conn, r seenRequest) bool {
 		for text := first; text != ""; text = rest {
@@ -344,25 +348,25 @@
 		t.Fatalf("outcome %+v", o)
 	}
 	if a.status != http.StatusBadGateway || took < 80*time.Millisecond {
-		t.Fatalf("answered %d after %v", a.status, took)
+		t.Fatalf("got status %d after %v", a.status, took)
 	}
 	if err := h.ended.next(t, "the end of the connection"); err == nil {
 		t.Fatal("the host ended it")
 	}
 }
 
-// TestNoTimeLeft: a request that comes with no time left is answered at once, and not sent.
+// TestNoTimeLeft: a request that arrives with no time left is refused at once and not sent.
 func TestNoTimeLeft(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h)
 	if a := g.raw(requestText("write", "x", "X-Remaining: 0u")); a.status != http.StatusServiceUnavailable {
-		t.Fatalf("answered %d", a.status)
+		t.Fatalf("got status %d", a.status)
 	}
-	h.seen.none(t, "it was sent")
+	h.seen.none(t, "the request was sent")
 }
 
-// TestKeyedStaysInGroup: a keyed request that may have run goes on only inside the zone that drops its repeats. With
-// one host in each zone it has nowhere to go, and may not be refused either.
+// TestKeyedStaysInGroup: a keyed request that may have run is retried only within its zone, where repeats are dropped.
+// With one host in each zone it cannot be retried, and it must not be refused either, since it may have run.
 func TestKeyedStaysInGroup(t *testing.T) {
 	breaks := func(c net.Conn, r seenRequest) bool {
 		resets(c)
@@ -375,7 +379,7 @@
 	g := startProxy(t, l.addr(), "null")
 	g.waitReady()
 	if a := g.raw(requestText("log", "x")); a.status != http.StatusBadGateway {
-		t.Fatalf("answered %d", a.status)
+		t.Fatalf("got status %d", a.status)
 	}
 	if n := len(h1.seen) + len(h2.seen); n != 1 {
 		t.Fatalf("sent %d times", n)
--- a/internal/proxy/client_test.go
+++ b/internal/proxy/client_test.go
@@ -15,14 +15,14 @@
 	"beechwing/internal/wire"
 )
 
-// TestServed: what a client sends reaches the host as the protocol says, and the host's answer comes back unchanged.
+// TestServed: a request reaches the host as the protocol defines, and the host's response reaches the client unchanged.
 func TestServed(t *testing.T) {
 	big := strings.Repeat("0123456789abcdef", wire.MaxBody/16)
 	for _, c := range []struct{ name, class, method, text string }{
 		{"safe", "read", "GET", ""},
 		{"unsafe", "write", "POST", "a=1"},
 		{"keyed", "log", "POST", "done"},
-		{"as large as may be", "write", "POST", big},
+		{"largest body read at once", "write", "POST", big},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHost(t, func(conn net.Conn, r seenRequest) bool {
@@ -33,7 +33,7 @@
 			g := startOneHost(t, h)
 			a := g.raw(requestText(c.class, c.text, "X-Txn: id-1", "X-Own: kept", "X-Hop: x", "Connection: X-Hop"))
 			if a.status != http.StatusOK || a.text != c.text || a.header.Get("Content-Type") != "text/x" {
-				t.Fatalf("answer %d, %d bytes, %v", a.status, len(a.text), a.header)
+				t.Fatalf("status %d, %d bytes, %v", a.status, len(a.text), a.header)
 			}
 			r := h.seen.next(t, "the request")
 			if r.Method != c.method || r.RequestURI != "/api?x=1" || r.text != c.text || r.Header.Get(headerID) != "id-1" ||
@@ -48,23 +48,24 @@
 	}
 }
 
-// TestChunked: a body without a length goes on with one.
+// TestChunked: a short chunked body is sent to the host with a Content-Length.
 func TestChunked(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h)
 	a := g.raw(requestText("write", "3\r\nabc\r\n0\r\n\r\n", "Content-Length: ", "Transfer-Encoding: chunked"))
 	if r := h.seen.next(t, "the request"); a.status != http.StatusOK || r.text != "abc" || r.ContentLength != 3 {
-		t.Fatalf("answer %d, the host got %q", a.status, r.text)
+		t.Fatalf("status %d, the host got %q", a.status, r.text)
 	}
 }
 
-// TestExpect: a client that waits for leave to send its body gets it.
+// TestExpect: a client that sends Expect: 100-continue gets the interim response, even if the write deadline of the
+// last response has passed.
 func TestExpect(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h, func(p *Proxy) { p.times.responseTimeout = 200 * time.Millisecond })
 	c := g.dial()
 	br := bufio.NewReader(c)
-	io.WriteString(c, requestText("read", "")) // the time to take this answer is long over when the next request comes
+	io.WriteString(c, requestText("read", "")) // the write deadline of this response passes before the next request
 	readResponse(t, br)
 	h.seen.next(t, "the first request")
 	time.Sleep(250 * time.Millisecond)
@@ -76,25 +77,26 @@
 	br.ReadString('\n')
 	io.WriteString(c, text)
 	if a := readResponse(t, br); a.status != http.StatusOK || h.seen.next(t, "the request").text != "abc" {
-		t.Fatalf("answer %d", a.status)
+		t.Fatalf("got status %d", a.status)
 	}
 }
 
-// TestBadRequests: what is not a request gets one plain answer, neither 429 nor 503, and a close; nothing is sent.
+// TestBadRequests: an invalid request gets one error response, neither 429 nor 503. The connection is closed, and no
+// host gets anything.
 func TestBadRequests(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h)
 	for _, c := range []struct {
 		name, text string
-		status     int // 0: closed without a word
+		status     int // 0: closed without a response
 	}{
 		{"garbage", "\x16\x03\x01\x02\r\n\r\n", 400},
 		{"bad version", "GET / HTTP/9\r\n\r\n", 400},
 		{"header without colon", "GET / HTTP/1.1\r\nnonsense\r\n\r\n", 400},
 		{"huge header", "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maxHeadBytes) + "\r\n\r\n", 431},
-		{"endless request line", strings.Repeat("G", 2*maxHeadBytes), 431},
-		{"no id", requestText("read", "", "X-Txn: "), 400},
-		{"endless id", requestText("read", "", "X-Txn: "+strings.Repeat("i", 300)), 400},
+		{"request line too long", strings.Repeat("G", 2*maxHeadBytes), 431},
+		{"no ID", requestText("read", "", "X-Txn: "), 400},
+		{"ID too long", requestText("read", "", "X-Txn: "+strings.Repeat("i", 300)), 400},
 		{"unknown class", requestText("novel", ""), 400},
 		{"no class", requestText("read", "", "X-Lane: "), 400},
 		{"unknown tenant", requestText("read", "", "X-Org: nobody"), 400},
@@ -102,8 +104,8 @@
 		{"time without unit", requestText("read", "", "X-Remaining: 480"), 400},
 		{"negative time", requestText("read", "", "X-Remaining: -480m"), 400},
 		{"time not a number", requestText("read", "", "X-Remaining: NaNm"), 400},
-		{"endless time", requestText("read", "", "X-Remaining: Infm"), 400},
-		{"absurd time", requestText("read", "", "X-Remaining: 99999999999m"), 400},
+		{"infinite time", requestText("read", "", "X-Remaining: Infm"), 400},
+		{"time too long", requestText("read", "", "X-Remaining: 99999999999m"), 400},
 		{"GET for an unsafe class", strings.Replace(requestText("write", ""), "POST", "GET", 1), 405},
 		{"POST for a safe class", strings.Replace(requestText("read", ""), "GET", "POST", 1), 405},
 		{"DELETE", strings.Replace(requestText("write", ""), "POST", "DELETE", 1), 405},
@@ -111,22 +113,22 @@
 		{"body over the limit", requestText("write", "x", "Content-Length: 60000000"), 413},
 		{"broken chunks", requestText("write", "zz\r\nabc", "Content-Length: ", "Transfer-Encoding: chunked"), 400},
 		{"two lengths", requestText("write", "abc", "Content-Length: 3\r\nContent-Length: 4"), 400},
-		{"two lengths alike", requestText("write", "abc", "Content-Length: 3\r\nContent-Length: 3"), 400},
+		{"two equal lengths", requestText("write", "abc", "Content-Length: 3\r\nContent-Length: 3"), 400},
 		{"negative length", requestText("write", "abc", "Content-Length: -3"), 400},
 		{"length and chunks", requestText("write", "0\r\n\r\n"+requestText("read", ""), "Transfer-Encoding: chunked"), 400},
 		{"chunks and length", strings.Replace(requestText("write", "0\r\n\r\n"+requestText("read", ""), "Content-Length: "),
 			"\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n", 1), 400},
-		{"chunks twice", requestText("write", "0\r\n\r\n", "Content-Length: ",
+		{"two chunked encodings", requestText("write", "0\r\n\r\n", "Content-Length: ",
 			"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked"), 400},
-		{"another coding", requestText("write", "abc", "Content-Length: ", "Transfer-Encoding: gzip"), 400},
+		{"other transfer coding", requestText("write", "abc", "Content-Length: ", "Transfer-Encoding: gzip"), 400},
 		{"folded length", requestText("write", "abc", "Content-Length: 3\r\n 4"), 400},
-		{"a name with a space", requestText("write", "abc", "Content-Length : 3"), 400},
+		{"header name with a space", requestText("write", "abc", "Content-Length : 3"), 400},
 		{"control character", requestText("read", "", "X-Own: a\x00b"), 400},
 		{"bare carriage return", requestText("read", "", "X-Own: a\rX-Txn: b"), 400},
-		{"two ids", requestText("read", "", "X-Txn: a\r\nX-Txn: b"), 400},
+		{"two IDs", requestText("read", "", "X-Txn: a\r\nX-Txn: b"), 400},
 		{"two classes", requestText("read", "", "X-Lane: read\r\nX-Lane: write"), 400},
-		{"one request behind another", requestText("read", "") + requestText("write", "x"), 400},
-		{"body beyond its length", requestText("write", "abc", "Content-Length: 2"), 400},
+		{"pipelined request", requestText("read", "") + requestText("write", "x"), 400},
+		{"body longer than its length", requestText("write", "abc", "Content-Length: 2"), 400},
 		{"HTTP/2", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 400},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -135,21 +137,21 @@
 			br := bufio.NewReader(conn)
 			a := readResponse(t, br)
 			if a.status != c.status || !a.closes {
-				t.Fatalf("answered %d, last %v; want %d", a.status, a.closes, c.status)
+				t.Fatalf("got status %d, closes %v; want status %d", a.status, a.closes, c.status)
 			}
 			if _, err := br.ReadByte(); err == nil {
-				t.Fatal("more came after the answer")
+				t.Fatal("more bytes after the response")
 			}
 			conn.Close()
 		})
 	}
 	h.seen.none(t, "the host got a request")
 	if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
-		t.Fatalf("after all that a good request got %d", a.status)
+		t.Fatalf("a valid request after these got status %d", a.status)
 	}
 }
 
-// TestTruncated: a request that never came whole was not taken; its connection ends without an answer.
+// TestTruncated: a connection that ends within a request gets no response.
 func TestTruncated(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h)
@@ -159,13 +161,13 @@
 		io.WriteString(c, whole[:cut])
 		c.(*net.TCPConn).CloseWrite()
 		if a := readResponse(t, bufio.NewReader(c)); a.status != 0 {
-			t.Errorf("cut at %d: answered %d", cut, a.status)
+			t.Errorf("cut at %d: got status %d", cut, a.status)
 		}
 	}
 	h.seen.none(t, "the host got a request")
 }
 
-// TestSilentClients: a connection that brings nothing, or stops within a request, is closed in time.
+// TestSilentClients: a connection that sends nothing, or stops within a request, is closed in time.
 func TestSilentClients(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h, func(p *Proxy) { p.times.firstRequestTimeout = 20 * time.Millisecond })
@@ -180,10 +182,10 @@
 	}
 }
 
-// TestSentEarly: a client that sends more before it is answered has broken the protocol; what is out for it is called
-// off, and the host gets nothing more.
+// TestSentEarly: a client that sends more before it has its response violates the protocol. The attempt is aborted, and
+// the host gets nothing more.
 func TestSentEarly(t *testing.T) {
-	h := newHost(t, func(c net.Conn, r seenRequest) bool { return true }) // answers nothing
+	h := newHost(t, func(c net.Conn, r seenRequest) bool { return true }) // never responds
 	g := startOneHost(t, h)
 	c := g.dial()
 	io.WriteString(c, requestText("read", ""))
@@ -191,17 +193,17 @@
 	io.WriteString(c, requestText("read", ""))
 	br := bufio.NewReader(c)
 	if a := readResponse(t, br); a.status != http.StatusBadRequest || !a.closes {
-		t.Fatalf("answer %+v", a)
+		t.Fatalf("response %+v", a)
 	}
 	if _, err := br.ReadByte(); err != io.EOF {
-		t.Fatalf("after it: %v", err)
+		t.Fatalf("after the response: %v", err)
 	}
 	h.ended.next(t, "the end of the attempt's connection")
-	h.seen.none(t, "sent on")
+	h.seen.none(t, "the second request was sent")
 }
 
-// TestOpenID: a request with the id of one that is open is turned down before the module sees it; the first goes on, and
-// once it is answered its id is free again.
+// TestOpenID: a request with the ID of an open request is rejected before the balancer sees it. The open request goes
+// on, and its ID can be used again once it is answered.
 func TestOpenID(t *testing.T) {
 	release := newGate()
 	defer release.open()
@@ -218,21 +220,22 @@
 	h.seen.none(t, "the same id was sent on")
 	release.open()
 	if a := readResponse(t, bufio.NewReader(first)); a.status != http.StatusOK {
-		t.Fatalf("the first got %d", a.status)
+		t.Fatalf("the first got status %d", a.status)
 	}
 	if a := g.raw(requestText("write", "x", "X-Txn: a")); a.status != http.StatusOK {
-		t.Fatalf("once it was free the id got %d", a.status)
+		t.Fatalf("the ID used again got status %d", a.status)
 	}
 }
 
-// ended says whether the proxy ends a connection: by a close or a reset, and not after a time limit of the test's own.
+// closedByProxy reports whether the proxy closes or resets the connection before the test's own deadline passes.
 func closedByProxy(c net.Conn) bool {
 	_, err := c.Read(make([]byte, 1))
 	var ne net.Error
 	return err != nil && !(errors.As(err, &ne) && ne.Timeout())
 }
 
-// TestDripFed: bytes sent one by one renew no time limit, neither in a connection's first request nor in a further one.
+// TestDripFed: bytes sent one by one extend no deadline, neither for the first request of a connection nor for a
+// further one.
 func TestDripFed(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h, func(p *Proxy) {
@@ -243,9 +246,9 @@
 		if served {
 			io.WriteString(c, requestText("read", ""))
 			if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
-				t.Fatalf("the first request got %d", a.status)
+				t.Fatalf("the first request got status %d", a.status)
 			}
-			h.seen.next(t, "it")
+			h.seen.next(t, "the first request")
 		}
 		go func() {
 			for _, b := range []byte(strings.Repeat("X-Pad: x\r\n", 1000)) {
@@ -256,14 +259,15 @@
 			}
 		}()
 		if !closedByProxy(c) {
-			t.Errorf("served before %v: still open", served)
+			t.Errorf("after a served request (%v): still open", served)
 		}
 	}
-	h.seen.none(t, "sent on")
+	h.seen.none(t, "a partial request was sent")
 }
 
-// TestGivesWay: when all places are taken, a connection that has brought nothing goes before one that has begun a request,
-// that before one between two requests, and what is worked on stays.
+// TestGivesWay: at the connection limit, a connection that has sent nothing is closed first, then one that has sent
+// part of its first request, then one that is idle between requests. A connection whose request is being processed
+// stays.
 func TestGivesWay(t *testing.T) {
 	release := newGate()
 	defer release.open()
@@ -281,12 +285,12 @@
 	})
 	busy, idle, begun, silent := g.dial(), g.dial(), g.dial(), g.dial()
 	io.WriteString(busy, requestText("write", "x", "X-Remaining: 9000m"))
-	h.seen.next(t, "the request worked on")
+	h.seen.next(t, "the request being processed")
 	io.WriteString(idle, requestText("read", ""))
 	readResponse(t, bufio.NewReader(idle))
-	h.seen.next(t, "the request before")
+	h.seen.next(t, "the first request of the idle connection")
 	io.WriteString(begun, "GET /api HTTP/1.1\r\n")
-	for g.p.front.figures().Places.Held[places.Partial] == 0 { // until its first bytes are read
+	for g.p.front.figures().Places.Held[places.Partial] == 0 { // until the partial request is read
 		time.Sleep(time.Millisecond)
 	}
 	for _, c := range []struct {
@@ -296,17 +300,17 @@
 		next := g.dial()
 		io.WriteString(next, requestText("write", "x", "X-Remaining: 9000m"))
 		if !closedByProxy(c.conn) {
-			t.Fatalf("the %s one is still open", c.name)
+			t.Fatalf("the %s connection is still open", c.name)
 		}
-		h.seen.next(t, "the request that took its place")
+		h.seen.next(t, "the request on the new connection")
 	}
 	release.open()
 	if a := readResponse(t, bufio.NewReader(busy)); a.status != http.StatusOK {
-		t.Errorf("the one worked on got %d", a.status)
+		t.Errorf("the request being processed got status %d", a.status)
 	}
 }
 
-// TestFlood: hundreds that connect and say nothing, or send what is no request, keep usual clients from nothing.
+// TestFlood: hundreds of connections that send nothing or invalid requests do not affect other clients.
 func TestFlood(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h, func(p *Proxy) {
@@ -321,12 +325,12 @@
 			}
 		}
 		if a := g.raw(requestText("write", "x")); a.status != http.StatusOK {
-			t.Fatalf("usual request %d got %d", n, a.status)
+			t.Fatalf("valid request %d got status %d", n, a.status)
 		}
 	}
 }
 
-// TestKeepAlive: a connection carries one request after another.
+// TestKeepAlive: a connection carries several requests, one after another.
 func TestKeepAlive(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h)
@@ -335,16 +339,17 @@
 	for n, text := range []string{requestText("read", ""), requestText("write", "x")} {
 		io.WriteString(c, text)
 		if a := readResponse(t, br); a.status != http.StatusOK || a.closes {
-			t.Fatalf("answer %d: %+v", n, a)
+			t.Fatalf("response %d: %+v", n, a)
 		}
 	}
 	io.WriteString(c, requestText("read", "", "Connection: close"))
 	if a := readResponse(t, br); a.status != http.StatusOK || !a.closes {
-		t.Fatalf("last answer %+v", a)
+		t.Fatalf("last response %+v", a)
 	}
 }
 
-// TestTooManyClients: over the bound an idle connection makes room; if none is idle, the new one gets a plain failure.
+// TestTooManyClients: at the connection limit, an idle connection is closed for a new one. If none is idle, the new
+// connection gets an error response.
 func TestTooManyClients(t *testing.T) {
 	release := newGate()
 	defer release.open()
@@ -360,18 +365,18 @@
 		t.Errorf("the idle connection: %v", err)
 	}
 	if a := g.raw(requestText("write", "x")); a.status != http.StatusInternalServerError || !a.closes {
-		t.Errorf("the one over the bound got %d", a.status)
+		t.Errorf("the connection over the limit got status %d", a.status)
 	}
-	h.seen.none(t, "it was sent")
+	h.seen.none(t, "the request over the limit was sent")
 	release.open()
 	for _, c := range busy {
 		if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
-			t.Errorf("a busy one got %d", a.status)
+			t.Errorf("a busy connection got status %d", a.status)
 		}
 	}
 }
 
-// narrow hands out connections whose socket holds little of what is written to them.
+// smallBufferListener accepts connections with a small socket write buffer.
 type smallBufferListener struct{ net.Listener }
 
 func (n smallBufferListener) Accept() (net.Conn, error) {
@@ -382,7 +387,8 @@
 	return c, err
 }
 
-// TestSlowReader: a client that does not take its answer is cut off, and the buffers come back (checked at the end).
+// TestSlowReader: a client that does not read its response is disconnected. That all buffers are returned is checked
+// when the proxy stops.
 func TestSlowReader(t *testing.T) {
 	large := strings.Repeat("x", wire.MaxBody)
 	h := newHost(t, says(httpOK(large)))
@@ -398,19 +404,19 @@
 	c.(*net.TCPConn).SetReadBuffer(4096)
 	io.WriteString(c, requestText("read", ""))
 	h.seen.next(t, "the request")
-	eventually(t, "the client that takes nothing is cut off", g.noClientConns)
+	eventually(t, "the client that does not read is disconnected", g.noClientConns)
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return
 	}
 	if got, err := io.Copy(io.Discard, r.Body); err == nil {
-		t.Fatalf("all %d bytes came", got)
+		t.Fatalf("all %d bytes were received", got)
 	}
 }
 
-// TestClientLeaves: when a client hangs up its attempt is called off by closing the connection to the host.
+// TestClientLeaves: when a client closes its connection, its attempt is aborted by closing the connection to the host.
 func TestClientLeaves(t *testing.T) {
-	h := newHost(t, func(c net.Conn, r seenRequest) bool { return true }) // answers nothing
+	h := newHost(t, func(c net.Conn, r seenRequest) bool { return true }) // never responds
 	g := startOneHost(t, h)
 	c := g.dial()
 	io.WriteString(c, requestText("write", "x"))
@@ -421,8 +427,9 @@
 	}
 }
 
-// TestAskOnceAndKeep: clients that ask once and keep their connection, up to a bound of their own that is under the
-// proxy's, always find a place for the next: what they do not use again is closed long before its idle time is over.
+// TestAskOnceAndKeep: clients that use each connection for one request and keep it open, up to a limit of their own
+// below that of the proxy, can always open the next one. The proxy closes connections that are not used again long
+// before their idle timeout.
 func TestAskOnceAndKeep(t *testing.T) {
 	const own, asked = 40, 300
 	h := newHost(t, says(ok))
@@ -432,15 +439,15 @@
 		select {
 		case places <- struct{}{}:
 		case <-time.After(testTimeout):
-			t.Fatalf("request %d finds no place: %+v", n, g.p.front.figures())
+			t.Fatalf("request %d: none of the client's connections was closed: %+v", n, g.p.front.figures())
 		}
 		c := g.dial()
 		io.WriteString(c, requestText("read", ""))
 		if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
-			t.Fatalf("request %d got %d", n, a.status)
+			t.Fatalf("request %d got status %d", n, a.status)
 		}
 		go func() {
-			c.Read(make([]byte, 1)) // until the proxy ends it
+			c.Read(make([]byte, 1)) // until the proxy closes it
 			c.Close()
 			<-places
 		}()
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -12,25 +12,28 @@
 	"beechwing/internal/wire"
 )
 
-// mute is a connection whose other side takes everything and says nothing.
+// silentConn is a connection whose peer reads everything and sends nothing.
 type silentConn struct{ net.Conn }
 
 func (silentConn) Write(b []byte) (int, error)      { return len(b), nil }
 func (silentConn) SetWriteDeadline(time.Time) error { return nil }
 
-// FuzzRequest: whatever a client sends is a request, a plain 4xx or a close, and nothing stays taken from the pool.
+// FuzzRequest: any input from a client gives a request, a 4xx response or a closed connection, and all buffers are
+// returned.
 func FuzzRequest(f *testing.F) {
 	for _, text := range []string{"", "GET", requestText("read", ""), requestText("write", "abc"),
 		requestText("write", "3\r\nabc\r\n0\r\n\r\n", "Content-Length: ", "Transfer-Encoding: chunked"),
 		requestText("log", "x", "Expect: 100-continue"), "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n",
-		requestText("read", "", "Connection: X-Txn, X-Entity"), requestText("novel", ""), requestText("read", "", "X-Remaining: 1e999m")} {
+		requestText("read", "", "Connection: X-Txn, X-Entity"), requestText("novel", ""),
+		requestText("read", "", "X-Remaining: 1e999m")} {
 		f.Add([]byte(text))
 	}
 	n := &nameIndex{classes: map[string]int{"read": 0, "write": 1, "log": 2}, tenants: map[string]int{"acme": 0},
 		effects: []balancer.Effect{balancer.Safe, balancer.Unsafe, balancer.Keyed}}
 	f.Fuzz(func(t *testing.T, in []byte) {
 		bufs := wire.NewPool()
-		c := &clientConn{front: &frontend{bufs: bufs, times: testTiming()}, conn: silentConn{}, meter: wire.Meter{R: bytes.NewReader(in)}}
+		c := &clientConn{front: &frontend{bufs: bufs, times: testTiming()}, conn: silentConn{},
+			meter: wire.Meter{R: bytes.NewReader(in)}}
 		c.front.names.Store(n)
 		c.br = bufio.NewReaderSize(&c.meter, wire.BufferSize)
 		c.meter.Allow(maxHeadBytes)
@@ -39,7 +42,7 @@
 		bad := c.readError(err)
 		if err == nil {
 			if q, bad = c.parse(r); (q == nil) == (bad == nil) {
-				t.Fatal("neither a request nor an answer, or both")
+				t.Fatal("want either a request or an error response")
 			}
 		}
 		if q != nil {
@@ -50,15 +53,15 @@
 			freeRequest(bufs, q)
 		}
 		if bad != nil && bad.status != 0 && (bad.status < 400 || bad.status > 499 || bad.status == 429) {
-			t.Fatalf("answered %d", bad.status)
+			t.Fatalf("got status %d", bad.status)
 		}
 		if bufs.Live() != 0 {
-			t.Fatalf("%d buffers left", bufs.Live())
+			t.Fatalf("%d buffers not returned to the pool", bufs.Live())
 		}
 	})
 }
 
-// FuzzReply: whatever a host answers is an outcome, and only its own word proves that nothing has run.
+// FuzzReply: any input from a host gives a result, and only X-Turned-Away proves that the request has not run.
 func FuzzReply(f *testing.F) {
 	for _, text := range []string{"", "HTTP", ok, ok + ok, httpOK(""), "HTTP/1.1 103 E\r\n\r\n" + ok,
 		"HTTP/1.1 503 S\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nX-Pressure: {\"util\":1}\r\n\r\n",
@@ -77,7 +80,7 @@
 		c.br = bufio.NewReaderSize(&c.meter, wire.BufferSize)
 		call := newCall()
 		read, over := make(chan struct{}), make(chan struct{})
-		go func() { // takes nothing of a long one
+		go func() { // abandons a long response
 			defer close(over)
 			select {
 			case b := <-call.started:
@@ -89,26 +92,26 @@
 		close(read)
 		<-over
 		if r.err == nil && r.result.NeverRan() && !bytes.Contains(bytes.ToLower(in), []byte("x-turned-away")) {
-			t.Fatalf("%v without the host's word", r.result)
+			t.Fatalf("%v without X-Turned-Away", r.result)
 		}
 		if r.err != nil && r.reusable || r.body.Size > wire.MaxBody {
-			t.Fatalf("reply %+v", r)
+			t.Fatalf("response %+v", r)
 		}
 		bufs.FreeBody(&r.body)
 		if bufs.Live() != 0 {
-			t.Fatalf("%d buffers left", bufs.Live())
+			t.Fatalf("%d buffers not returned to the pool", bufs.Live())
 		}
 	})
 }
 
-// FuzzCatalog: whatever discovery says is a list or an error, and each host of a list can be reached by name.
+// FuzzCatalog: any input from discovery gives a list or an error, and each host in a list has an address.
 func FuzzCatalog(f *testing.F) {
 	f.Add([]byte(listText(3, true, entry("a", "127.0.0.1:1"))))
 	f.Add([]byte(`{"version":1,"servers":[{"id":"a","state":"gone"},null,5]}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		c, err := parseCatalog(in, newZones("a"))
 		if err == nil && len(c.hosts) != len(c.addrs) {
-			t.Fatal("hosts and addresses do not match")
+			t.Fatal("numbers of hosts and addresses differ")
 		}
 		for i, h := range c.hosts {
 			if h.Started < 0 || h.Status != balancer.Removed && c.addrs[i] == "" {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -19,10 +19,11 @@
 	"beechwing/internal/site"
 )
 
-// patience bounds every wait of the tests; nothing that passes comes near it.
+// testTimeout bounds every wait in the tests. It is far longer than any wait in a test that passes.
 const testTimeout = 40 * time.Second
 
-// nobody is an address that refuses connections. One that a test has freed could be given to the next listener.
+// refusingAddr is an address that refuses connections. The port of a closed test listener would not do: the next
+// listener may get it.
 const refusingAddr = "127.0.0.1:1"
 
 const testSettings = `{"Balancers": 2, "Me": 0, "Zone": 0, "Dcs": ["a", "b"], "Discovery": "ask",
@@ -38,20 +39,22 @@
  "Rules": {"AskWithinS": 10.0, "StopSendingWithinS": 1.0, "ColdFrom": 0.3, "ColdS": 9.0, "FallMultiple": 3.0,
   "TipAfterS": 2.0}}`
 
-// watched is a channel of what a toy saw, with waiting that fails the test.
+// eventChan is a channel of events that a test server has recorded. Its methods fail the test.
 type eventChan[T any] chan T
 
+// next returns the next event and fails the test if none comes in time.
 func (w eventChan[T]) next(t testing.TB, what string) T {
 	t.Helper()
 	select {
 	case v := <-w:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
+// none fails the test if an event is waiting.
 func (w eventChan[T]) none(t testing.TB, what string) {
 	t.Helper()
 	select {
@@ -61,24 +64,25 @@
 	}
 }
 
-// rig is a running client proxy.
+// testProxy is a running client proxy.
 type testProxy struct {
 	t        testing.TB
 	p        *Proxy
 	addr     string
-	shutDown context.CancelFunc // as SIGTERM does
+	shutDown context.CancelFunc // ends the proxy, as SIGTERM does
 	ended    chan error
 }
 
-// quickTiming is short where a test would only wait, and long where it would race.
+// testTiming is short where a test would only wait, and long where a test depends on something happening in time.
 func testTiming() timing {
 	q := defaultTiming()
 	q.set(site.Default().Connections)
-	q.drainPeriod, q.backlogPeriod, q.lastRequestPeriod, q.lingerTimeout = 20*time.Millisecond, 20*time.Millisecond, 20*time.Millisecond, testTimeout
+	q.drainPeriod, q.backlogPeriod, q.lastRequestPeriod, q.lingerTimeout =
+		20*time.Millisecond, 20*time.Millisecond, 20*time.Millisecond, testTimeout
 	return q
 }
 
-// start runs a client proxy with the list that discovery has. known is what it held before.
+// startProxy runs a client proxy that uses the given discovery address. known is the host list from before its start.
 func startProxy(t testing.TB, discovery string, known string, change ...func(*Proxy)) *testProxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -105,7 +109,7 @@
 	return g
 }
 
-// stop ends the proxy and checks that nothing of it is left.
+// stop ends the proxy and checks that all its buffers are back in the pool.
 func (g *testProxy) stop() {
 	g.t.Helper()
 	g.shutDown()
@@ -115,18 +119,18 @@
 			g.t.Errorf("the proxy ended with %v", err)
 		}
 	case <-time.After(testTimeout):
-		g.t.Fatal("the proxy does not end")
+		g.t.Fatal("the proxy does not stop")
 	}
-	g.ended <- nil // for a second stop
-	// Attempts and connections of the last requests end on their own; wait for the pool to be whole again.
+	g.ended <- nil // for a second call of stop
+	// Attempts and connections of the last requests end on their own; wait until all buffers are back in the pool.
 	for end := time.Now().Add(testTimeout); g.p.bufs.Live() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			g.t.Fatalf("%d buffers left", g.p.bufs.Live())
+			g.t.Fatalf("%d buffers not returned to the pool", g.p.bufs.Live())
 		}
 	}
 }
 
-// one starts a proxy with a single host.
+// startOneHost starts a proxy with a single host.
 func startOneHost(t testing.TB, h *toyHost, change ...func(*Proxy)) *testProxy {
 	t.Helper()
 	l := newList(t, entry("h1", h.addr()))
@@ -156,13 +160,13 @@
 			break
 		}
 		if time.Now().After(end) {
-			g.t.Fatal("the proxy does not get ready")
+			g.t.Fatal("the proxy does not become ready")
 		}
 	}
-	eventually(g.t, "the connections that asked are gone", g.noClientConns)
+	eventually(g.t, "the connections of the health checks are closed", g.noClientConns)
 }
 
-// nobodyHeld says whether the proxy holds no connection of a client.
+// noClientConns reports whether the proxy holds no client connection.
 func (g *testProxy) noClientConns() bool {
 	n := 0
 	for _, held := range g.p.front.figures().Places.Held {
@@ -171,15 +175,15 @@
 	return n == 0
 }
 
-// heard is an answer as a client got it.
+// receivedResponse is a response as a client received it.
 type receivedResponse struct {
 	status int
 	header http.Header
 	text   string
-	closes bool // the connection ends
+	closes bool // the connection is closed after it
 }
 
-// hear reads an answer. A status of zero means that the connection ended without one.
+// readResponse reads a response. A status of zero means that the connection ended without one.
 func readResponse(t testing.TB, br *bufio.Reader) receivedResponse {
 	t.Helper()
 	r, err := http.ReadResponse(br, nil)
@@ -188,12 +192,12 @@
 	}
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
-		t.Fatalf("answer cut short: %v", err)
+		t.Fatalf("response truncated: %v", err)
 	}
 	return receivedResponse{r.StatusCode, r.Header, string(text), r.Close}
 }
 
-// raw sends bytes on a new connection and returns the answer.
+// raw sends bytes on a new connection and returns the response.
 func (g *testProxy) raw(text string) receivedResponse {
 	g.t.Helper()
 	c := g.dial()
@@ -204,14 +208,15 @@
 
 var lastTxnID atomic.Int64
 
-// message words a request of a class under an id of its own; further headers may replace the usual ones.
+// requestText returns the text of a request of a class, with a new request ID. headers replace or, if empty, remove the
+// default headers.
 func requestText(class, text string, headers ...string) string {
 	method := http.MethodPost
 	if class == "read" {
 		method = http.MethodGet
 	}
-	lines := map[string]string{"Host": "api.internal", headerID: fmt.Sprint("id-", lastTxnID.Add(1)), headerClass: class, headerTenant: "acme",
-		headerKey: "k", headerRemaining: "1400m"}
+	lines := map[string]string{"Host": "api.internal", headerID: fmt.Sprint("id-", lastTxnID.Add(1)), headerClass: class,
+		headerTenant: "acme", headerKey: "k", headerRemaining: "1400m"}
 	if method == http.MethodPost {
 		lines["Content-Length"] = strconv.Itoa(len(text))
 	}
--- a/internal/proxy/hosts_test.go
+++ b/internal/proxy/hosts_test.go
@@ -12,23 +12,24 @@
 	"beechwing/balancer"
 )
 
-// TestDrainWhileQueued: word of a drain comes while attempts wait for a connection. Past the grace none is written.
+// TestDrainWhileQueued: a host starts to drain while attempts wait for a connection to it. After the grace time no
+// request may be sent to it.
 func TestDrainWhileQueued(t *testing.T) {
 	h := newHost(t, says(ok))
 	s := newFakeBalancer()
 	s.onRequest = sendsOnceTo("h1")
 	g := startOneHost(t, h, s.install)
 	up := g.p.hosts.find(hostID("h1"))
-	up.mu.Lock() // attempts stop on their way to a connection
+	up.mu.Lock() // holds the attempts up on their way to a connection
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
 			if a := g.raw(requestText("write", "x")); a.status != http.StatusBadGateway {
-				t.Errorf("answered %d", a.status)
+				t.Errorf("got status %d", a.status)
 			}
 		})
 	}
-	// Told so long ago that the grace is over.
+	// The drain was learned so long ago that the grace time is over.
 	up.drainedAt = g.p.hosts.clock.now() - g.p.hosts.settings.Load().drainGraceSeconds - 1
 	up.mu.Unlock()
 	for range 8 {
@@ -37,10 +38,10 @@
 		}
 	}
 	wg.Wait()
-	h.seen.none(t, "something was written to a draining host")
+	h.seen.none(t, "a draining host got a request")
 }
 
-// TestDrained: once the list says that a host drains it gets nothing new, and its idle connections are closed.
+// TestDrained: a host that is listed as draining gets no new requests, and its idle connections are closed.
 func TestDrained(t *testing.T) {
 	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
 	l := newList(t, entry("h1", h1.addr()))
@@ -52,18 +53,18 @@
 	drains.State = "draining"
 	l.set(drains, entry("h2", h2.addr()))
 	if err := h1.ended.next(t, "the end of the idle connection"); !errors.Is(err, io.EOF) {
-		t.Fatalf("it ended with %v", err)
+		t.Fatalf("the connection ended with %v", err)
 	}
 	g.awaitListApplied(l)
 	for n := range 20 {
 		if a := g.raw(requestText("read", "", fmt.Sprintf("X-Entity: k%d", n))); a.status != http.StatusOK {
-			t.Fatalf("answered %d", a.status)
+			t.Fatalf("got status %d", a.status)
 		}
 	}
 	h1.seen.none(t, "the draining host got a request")
 }
 
-// TestMovedHost: a host that comes back under another address is reached there, and only there.
+// TestMovedHost: a host that is listed under a new address gets its requests there, and none at the old address.
 func TestMovedHost(t *testing.T) {
 	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
 	l := newList(t, entry("h", h1.addr()))
@@ -74,43 +75,45 @@
 	l.set(entry("h", h2.addr()))
 	g.awaitListApplied(l)
 	if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
-		t.Fatalf("answered %d", a.status)
+		t.Fatalf("got status %d", a.status)
 	}
 	h2.seen.next(t, "a request at the second address")
 	h1.seen.none(t, "a request at the first address")
 }
 
-// TestIdleRetired: an idle connection is closed before the host would.
+// TestIdleRetired: the proxy closes an idle connection before the host does.
 func TestIdleRetired(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h, func(p *Proxy) { p.cfg.Settings.Limits.ConnIdleS = 0.02 })
 	g.raw(requestText("read", ""))
 	if err := h.ended.next(t, "the end of the idle connection"); !errors.Is(err, io.EOF) {
-		t.Fatalf("it ended with %v", err)
+		t.Fatalf("the connection ended with %v", err)
 	}
 }
 
-// TestFewDescriptors: with all places for connections to hosts taken by idle ones, the oldest makes room.
+// TestFewDescriptors: if idle connections use up the limit of connections to hosts, the oldest is closed for a new one.
 func TestFewDescriptors(t *testing.T) {
 	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
 	s := newFakeBalancer()
-	s.onRequest = func(s *fakeBalancer, r balancer.Request) { s.act.Send(r.ID, balancer.HostID(r.Key), 0) } // hashed alike
+	// The key selects the host: keys and host IDs are hashed alike.
+	s.onRequest = func(s *fakeBalancer, r balancer.Request) { s.act.Send(r.ID, balancer.HostID(r.Key), 0) }
 	l := newList(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
 	g := startProxy(t, l.addr(), "null", s.install, func(p *Proxy) {
-		p.cfg.Limits.Sockets = spareSockets + shedReserve + 2 // one to hosts
+		p.cfg.Limits.Sockets = spareSockets + shedReserve + 2 // leaves one connection to hosts
 	})
 	g.waitReady()
-	c := g.dial() // one for all: the bound holds for clients too, and one that has just left may still count
+	// All requests use one connection: the limit covers clients too, and a closed connection may still count.
+	c := g.dial()
 	br := bufio.NewReader(c)
 	for _, to := range []string{"h1", "h2", "h1"} {
 		io.WriteString(c, requestText("write", "x", "X-Entity: "+to))
 		if a := readResponse(t, br); a.status != http.StatusOK {
-			t.Fatalf("%s: answered %d", to, a.status)
+			t.Fatalf("%s: got status %d", to, a.status)
 		}
 	}
 }
 
-// TestNamesAlike: the number of a host depends on its name only, so that all proxies rank hosts alike.
+// TestNamesAlike: the ID of a host depends on its name only, so that all proxies rank hosts in the same way.
 func TestNamesAlike(t *testing.T) {
 	read := func(addr string) balancer.HostID {
 		c, err := parseCatalog([]byte(listText(1, true, entry("s-5be2a07c", addr))), newZones())
@@ -123,6 +126,6 @@
 		t.Fatalf("%x and %x", a, b)
 	}
 	if hostID("s-5be2a07c") == hostID("s-5be2a07d") {
-		t.Fatal("two names have one number")
+		t.Fatal("two names have the same ID")
 	}
 }
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -21,10 +21,12 @@
 	"beechwing/internal/wire"
 )
 
-// desks lets every address be a caller, as on a site with desk tools, so that none is judged by the others.
+// callersByAddress counts each source address as a caller of its own, as sites with desktop tools do, so that the use
+// of one connection does not affect how another is judged.
 func callersByAddress(p *Proxy) { p.cfg.Site.Connections.Callers = site.Address }
 
-// crowd opens connections from addresses of their own that ask once, and waits until all are parked.
+// openIdleConns opens n connections, each from its own address, sends one request on each, and waits until all are
+// parked.
 func (g *testProxy) openIdleConns(n int) []net.Conn {
 	g.t.Helper()
 	conns := make([]net.Conn, n)
@@ -38,7 +40,7 @@
 		c.SetDeadline(time.Now().Add(testTimeout))
 		io.WriteString(c, requestText("read", ""))
 		if a := readResponse(g.t, bufio.NewReader(c)); a.status != http.StatusOK {
-			g.t.Fatalf("connection %d got %d", i, a.status)
+			g.t.Fatalf("connection %d got status %d", i, a.status)
 		}
 		conns[i] = c
 	}
@@ -46,7 +48,7 @@
 	return conns
 }
 
-// parked is how many idle connections wait without a goroutine.
+// parkedConns returns the number of idle connections without a goroutine.
 func (g *testProxy) parkedConns() int {
 	f := g.p.front.figures()
 	return f.Places.Held[places.Once] + f.Places.Held[places.Often] + f.Places.Held[places.Trial] - f.Warm - f.Desk.Serving
@@ -56,12 +58,12 @@
 	g.t.Helper()
 	for end := time.Now().Add(testTimeout); !true(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			g.t.Fatalf("waited in vain until %s: %+v", what, g.p.front.figures())
+			g.t.Fatalf("timed out waiting until %s: %+v", what, g.p.front.figures())
 		}
 	}
 }
 
-// TestWatchers: few connections wait as any reader does, many without a goroutine each.
+// TestWatchers: with few connections, each parked one has a goroutine; with many, or little memory, none has.
 func TestWatchers(t *testing.T) {
 	for l, want := range map[Limits]bool{
 		{MemoryMB: 64, Sockets: 384}: true, {MemoryMB: 32, Sockets: 1024}: true, {MemoryMB: 192, Sockets: 12000}: false,
@@ -74,25 +76,27 @@
 	}
 }
 
-// TestParkedCost: of many an idle connection has neither a goroutine nor a buffer, and is served like any other when it wakes.
+// TestParkedCost: an idle connection has neither a goroutine nor a buffer if there are many, and is served as usual
+// when a request arrives.
 func TestParkedCost(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h, callersByAddress, func(p *Proxy) { p.cfg.Limits.MemoryMB = 16 }) // too little for a goroutine each
 	g.openIdleConns(1)
 	goroutines, buffers := runtime.NumGoroutine(), g.p.bufs.Live()
 	conns := g.openIdleConns(200)
-	g.waitUntil("the rest has settled", func() bool { return runtime.NumGoroutine() <= goroutines+20 }) // of the host, mostly
+	// Those that are left are mostly goroutines of the host.
+	g.waitUntil("the other goroutines have ended", func() bool { return runtime.NumGoroutine() <= goroutines+20 })
 	if n := g.p.bufs.Live(); n > buffers+4 {
 		t.Errorf("%d buffers with 200 more idle connections, %d before", n, buffers)
 	}
 	io.WriteString(conns[7], requestText("write", "x"))
 	if a := readResponse(t, bufio.NewReader(conns[7])); a.status != http.StatusOK {
-		t.Errorf("woken: %d", a.status)
+		t.Errorf("the request on a parked connection got status %d", a.status)
 	}
 }
 
-// TestWave: every idle connection brings a request at once, and memory allows few to be worked on. Each gets one answer,
-// served or refused with a time to come back, and nothing runs twice.
+// TestWave: a request arrives on every idle connection at once, and memory allows only a few to be processed. Each gets
+// one response, either a success or a refusal with Retry-After, and none runs twice.
 func TestWave(t *testing.T) {
 	const many = 300
 	h := newHost(t, func(c net.Conn, r seenRequest) bool {
@@ -117,7 +121,7 @@
 	count := map[int]int{}
 	for a := range got {
 		if count[a.status]++; a.status == http.StatusServiceUnavailable && a.text == "busy\n" && a.header.Get("Retry-After") == "" {
-			t.Error("refused without a time to come back")
+			t.Error("refused without Retry-After")
 		}
 	}
 	if count[http.StatusOK] == 0 || count[http.StatusOK]+count[http.StatusServiceUnavailable] != many {
@@ -136,7 +140,7 @@
 	}
 }
 
-// TestBusyDesk: with nobody leaving the desk, who waits is read and refused in time; the connection goes on.
+// TestBusyDesk: while no request ends, a queued request is read and refused in time, and its connection stays open.
 func TestBusyDesk(t *testing.T) {
 	release := newGate()
 	defer release.open()
@@ -159,27 +163,27 @@
 	for range 2 {
 		io.WriteString(c, requestText("write", "x", "X-Remaining: 9000m"))
 		if a := readResponse(t, br); a.status != http.StatusServiceUnavailable || a.closes || a.header.Get("Retry-After") == "" {
-			t.Fatalf("answer %+v", a)
+			t.Fatalf("response %+v", a)
 		}
 	}
 	h.seen.none(t, "a refused request was sent")
 	release.open()
 	for _, c := range busy {
 		if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
-			t.Errorf("one that was worked on got %d", a.status)
+			t.Errorf("a request being processed got status %d", a.status)
 		}
 	}
 }
 
-// TestCloseCrossesRequest: a connection is told to end with a request whole in its socket, which nobody has seen yet. It is
-// served, and told that the connection ends.
+// TestCloseCrossesRequest: a connection is selected to be closed while a complete request is in its socket buffer,
+// unread. The request is served, and its response announces the close.
 func TestCloseCrossesRequest(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h, callersByAddress)
 	c := g.openIdleConns(1)[0]
 	h.seen.next(t, "its first request")
 	f := g.p.front
-	f.mu.Lock() // the report of the request waits for it
+	f.mu.Lock() // delays the processing of the wake-up for the request
 	held := f.connTable.Held(places.Once)
 	io.WriteString(c, requestText("write", "x"))
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -190,14 +194,14 @@
 	f.connTable.Shed(f.now())
 	f.unlockAndClose(f.now(), maxInlineCloses)
 	if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK || !a.closes {
-		t.Fatalf("answer %+v", a)
+		t.Fatalf("response %+v", a)
 	}
 	h.seen.next(t, "the request")
-	h.seen.none(t, "it ran twice")
+	h.seen.none(t, "the request ran twice")
 }
 
-// TestExpireTogether: many idle times are over at once, while the proxy is told to end and requests come. All of these
-// are answered.
+// TestExpireTogether: many connections reach their idle timeout at once, while the proxy starts to drain and requests
+// arrive. All these requests are answered.
 func TestExpireTogether(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h, callersByAddress, func(p *Proxy) { p.times.drainPeriod = 300 * time.Millisecond })
@@ -213,17 +217,17 @@
 		c := g.dial()
 		io.WriteString(c, requestText("write", "x"))
 		if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
-			t.Fatalf("request %d got %d", i, a.status)
+			t.Fatalf("request %d got status %d", i, a.status)
 		}
 	}
-	g.waitUntil("the idle ones are gone", func() bool { return f.figures().Places.Callers <= 1 })
+	g.waitUntil("the idle connections are closed", func() bool { return f.figures().Places.Callers <= 1 })
 	g.stop()
 }
 
-// short is a listener that fails for want of descriptors until it is told otherwise.
+// failingListener fails with EMFILE until its channel failing is closed.
 type failingListener struct {
 	net.Listener
-	failing  chan struct{} // closed: no longer
+	failing  chan struct{} // closed when accepts may succeed
 	attempts eventChan[bool]
 }
 
@@ -240,8 +244,8 @@
 	}
 }
 
-// TestNoDescriptors: accept fails for want of descriptors. An idle connection gives way, the log says so once, and when
-// there are descriptors again connections are taken.
+// TestNoDescriptors: accept fails because descriptors are short. An idle connection is closed, the failure is logged
+// once, and new connections are accepted once descriptors are available again.
 func TestNoDescriptors(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -275,10 +279,10 @@
 	if _, err := far.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the idle connection: %v", err)
 	}
-	l.attempts.next(t, "another accept")
-	l.attempts.next(t, "one more")
+	l.attempts.next(t, "a second accept")
+	l.attempts.next(t, "a third accept")
 	if n := logs.FilterMessage("accept failed").Len(); n != 1 {
-		t.Errorf("%d lines in the log", n)
+		t.Errorf("the failure was logged %d times", n)
 	}
 	close(l.failing)
 	f.close()
@@ -286,8 +290,8 @@
 	f.wg.Wait()
 }
 
-// TestLoweredLimit: SIGHUP with an operator's file that allows fewer connections than are held. Idle ones end, one that is
-// worked on does not. A broken file changes nothing.
+// TestLoweredLimit: a reload (SIGHUP) lowers the connection limit below the number of open connections. Idle
+// connections are closed, and one whose request is being processed is not. A broken file changes nothing.
 func TestLoweredLimit(t *testing.T) {
 	release := newGate()
 	defer release.open()
@@ -301,7 +305,7 @@
 	g.openIdleConns(50)
 	busy := g.dial()
 	io.WriteString(busy, requestText("write", "x", "X-Remaining: 9000m"))
-	g.waitUntil("it is worked on", func() bool { return g.p.front.figures().Places.Held[places.Active] == 1 })
+	g.waitUntil("its request is being processed", func() bool { return g.p.front.figures().Places.Held[places.Active] == 1 })
 	path := filepath.Join(t.TempDir(), "site.toml")
 	reread := func() (*Config, error) {
 		c := *g.p.cfg
@@ -312,7 +316,7 @@
 	g.p.cfg.reread = reread
 	os.WriteFile(path, []byte("[connections]\ncallers = \"address\"\nlimit = -5\n"), 0o600)
 	if err := g.p.adopt(); err == nil || g.p.front.figures().Places.Most < 50 {
-		t.Fatalf("a broken file: %v", err)
+		t.Fatalf("after a broken file: %v", err)
 	}
 	os.WriteFile(path, []byte("[connections]\ncallers = \"address\"\nlimit = 10\n"), 0o600)
 	if err := g.p.adopt(); err != nil {
@@ -327,42 +331,42 @@
 	})
 	release.open()
 	if a := readResponse(t, bufio.NewReader(busy)); a.status != http.StatusOK {
-		t.Errorf("the one worked on got %d", a.status)
+		t.Errorf("the request being processed got status %d", a.status)
 	}
 }
 
-// TestLent: clients hold descriptors beyond their own part. When hosts lack one, an idle client gives way and the attempt
-// that waits gets it; and what is held together never passes what there is.
+// TestLent: clients hold connections beyond their guaranteed share. When hosts need one, an idle client connection is
+// closed and the waiting attempt gets its place. Both sides together never exceed the total.
 func TestLent(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h, callersByAddress, func(p *Proxy) { p.cfg.Limits.Sockets = 240 })
 	total, clients, hosts := g.p.cfg.Limits.shares()
-	room := g.p.hosts.budget
+	budget := g.p.hosts.budget
 	g.p.hosts.closeIdle(total)
-	g.waitUntil("no connection to the host is left", func() bool { return room.hostCount() == 0 })
+	g.waitUntil("no connection to the host is left", func() bool { return budget.hostCount() == 0 })
 	most := total - hosts
-	g.openIdleConns(most - 1) // one place is that of the connection that asks the host for them
+	g.openIdleConns(most - 1) // one place is held by the connection to the host that serves them
 	if most-1 <= clients {
-		t.Fatalf("%d of %d lent", most-1-clients, total)
+		t.Fatalf("clients hold only %d of %d connections beyond their share", most-1-clients, total)
 	}
-	for room.hostCount() < hosts+5 {
-		if !room.tryAcquireHost() && !room.awaitHost(t.Context(), testTimeout) {
-			t.Fatalf("no place for a host with %d of them and %+v", room.hostCount(), g.p.front.figures())
+	for budget.hostCount() < hosts+5 {
+		if !budget.tryAcquireHost() && !budget.awaitHost(t.Context(), testTimeout) {
+			t.Fatalf("no connection to a host could be reserved; %d reserved, %+v", budget.hostCount(), g.p.front.figures())
 		}
-		if held := g.p.front.figures(); room.hostCount()+held.Places.Held[places.Once] > total {
-			t.Fatalf("%d to hosts, %+v", room.hostCount(), held)
+		if held := g.p.front.figures(); budget.hostCount()+held.Places.Held[places.Once] > total {
+			t.Fatalf("%d to hosts, %+v", budget.hostCount(), held)
 		}
 	}
 	if n := g.p.front.figures().Places.Ended[places.Full]; n == 0 {
-		t.Error("no client gave way")
+		t.Error("no client connection was closed")
 	}
-	for room.hostCount() > 0 {
-		room.releaseHost()
+	for budget.hostCount() > 0 {
+		budget.releaseHost()
 	}
 }
 
-// TestSlowHeads: connections that never end their first head take every turn. They give way to one that brings a request
-// whole, well before their own time is over.
+// TestSlowHeads: connections that never complete their first request head use up the concurrency limit. One of them is
+// closed for a connection that sends a complete request, well before its own deadline.
 func TestSlowHeads(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h, callersByAddress, func(p *Proxy) {
@@ -373,10 +377,10 @@
 	for range most {
 		io.WriteString(g.dial(), "GET /api HTTP/1.1\r\n")
 	}
-	g.waitUntil("all turns are taken", func() bool { return g.p.front.figures().Places.Held[places.Partial] == most })
+	g.waitUntil("the concurrency limit is reached", func() bool { return g.p.front.figures().Places.Held[places.Partial] == most })
 	for n := range 5 {
 		if a := g.raw(requestText("write", "x")); a.status != http.StatusOK {
-			t.Fatalf("request %d got %d: %+v", n, a.status, g.p.front.figures())
+			t.Fatalf("request %d got status %d: %+v", n, a.status, g.p.front.figures())
 		}
 		io.WriteString(g.dial(), "GET /api HTTP/1.1\r\n")
 	}
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -17,7 +17,7 @@
 	"beechwing/internal/wire"
 )
 
-// noise is n bytes that are the same for a seed.
+// randomBytes returns n pseudo-random bytes that depend on the seed only.
 func randomBytes(seed uint64, n int64) io.Reader {
 	return io.LimitReader(rand.NewChaCha8([32]byte{byte(seed)}), n)
 }
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%d %x %v", n, h.Sum(nil)[:4], err)
 }
 
-// bulkHost takes bodies as they come and answers with what answer writes.
+// bulkHost reads bodies as they arrive, posts their digests to seen, and responds with what answer writes.
 func bulkHost(t testing.TB, seen eventChan[string], answer func(c net.Conn, got string) bool) *toy {
 	return newToy(t, func(c net.Conn, br *bufio.Reader) {
 		for {
@@ -45,7 +45,7 @@
 	})
 }
 
-// chunks frames what r brings in chunks of odd sizes, with extensions and a trailer.
+// writeChunked writes r in chunks of irregular sizes, with extensions and a trailer.
 func writeChunked(w io.Writer, r io.Reader) {
 	for n := int64(1); ; n = n*7%50021 + 1 {
 		b, _ := io.ReadAll(io.LimitReader(r, n))
@@ -59,8 +59,8 @@
 
 const bulkSize = 32 << 20
 
-// TestLongBothWays: 32 MB there and back, with and without a length, arrive as they were sent, and little of them is held at
-// any time though the client is slow to read.
+// TestLongBothWays: bodies of 32 MB, with and without a length, arrive unchanged in both directions. The proxy holds
+// only a small part of them at any time, even if the client reads slowly.
 func TestLongBothWays(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		t.Run(fmt.Sprint("chunked ", chunked), func(t *testing.T) {
@@ -97,7 +97,7 @@
 			}
 			r, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil || r.StatusCode != http.StatusOK || (r.ContentLength < 0) != chunked {
-				t.Fatalf("answer %+v, %v", r, err)
+				t.Fatalf("response %+v, %v", r, err)
 			}
 			sampled := readerFunc(func(b []byte) (int, error) {
 				most = max(most, g.p.bufs.Live())
@@ -106,9 +106,9 @@
 			if got, want := digest(sampled), digest(randomBytes(2, bulkSize)); got != want {
 				t.Fatalf("the client got %s, want %s", got, want)
 			}
-			// Readers and heads of both sides, what is kept of the request, and a full stream.
+			// Readers and heads of both sides, the kept part of the request, and a full stream.
 			if limit := int64(8 + bodies.Kept/wire.BufferSize + maxStreamBuffers + 2); most > limit {
-				t.Fatalf("%d buffers held, at most %d wanted", most, limit)
+				t.Fatalf("%d buffers held, want at most %d", most, limit)
 			}
 		})
 	}
@@ -118,16 +118,16 @@
 
 func (f readerFunc) Read(b []byte) (int, error) { return f(b) }
 
-// TestLongRequestBreaks: whatever breaks before the last byte has reached the host has run nowhere; after it, an unsafe
-// request may have run.
+// TestLongRequestBreaks: if the connection to the host breaks before the last byte of a long request is sent, the
+// request has not run and is refused. If it breaks later, a request that must not run twice may have run, and fails.
 func TestLongRequestBreaks(t *testing.T) {
 	const length = 4 << 20
 	for _, k := range []struct {
 		name   string
-		taken  int64 // bytes of the body that the host takes before it breaks off
+		taken  int64 // bytes of the body that the host reads before it resets the connection
 		status int
 	}{
-		{"at its begin", 0, http.StatusServiceUnavailable},
+		{"at the start", 0, http.StatusServiceUnavailable},
 		{"in the middle", length / 2, http.StatusServiceUnavailable},
 		{"after the last byte", length, http.StatusBadGateway},
 	} {
@@ -146,14 +146,14 @@
 				io.Copy(c, randomBytes(1, length))
 			}()
 			if a := readResponse(t, bufio.NewReader(c)); a.status != k.status {
-				t.Fatalf("answered %d, want %d", a.status, k.status)
+				t.Fatalf("got status %d, want %d", a.status, k.status)
 			}
 		})
 	}
 }
 
-// TestLongRequestStops: of a body that stops or whose client leaves, no host gets a whole request, and the module hears that
-// its client has gone.
+// TestLongRequestStops: if the client leaves within a long body, the balancer is told, and no host gets the whole
+// request.
 func TestLongRequestStops(t *testing.T) {
 	seen := make(eventChan[string], 8)
 	h := newToy(t, func(c net.Conn, br *bufio.Reader) {
@@ -174,17 +174,17 @@
 		io.Copy(c, randomBytes(1, sent))
 		seen.next(t, "the head")
 		c.Close()
-		s.clientsLeft.next(t, "the departure")
+		s.clientsLeft.next(t, "the event that the client has left")
 		if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.Cancelled {
 			t.Fatalf("outcome %+v", o)
 		}
-		if got := seen.next(t, "the break"); !strings.HasSuffix(got, "unexpected EOF") {
+		if got := seen.next(t, "the end of the partial body"); !strings.HasSuffix(got, "unexpected EOF") {
 			t.Fatalf("the host got %s", got)
 		}
 	}
 }
 
-// TestLongAnswerBreaks: an answer that breaks midway ends so that its client can tell, and counts as failed.
+// TestLongAnswerBreaks: if a long response breaks off, its client can detect that, and the request counts as failed.
 func TestLongAnswerBreaks(t *testing.T) {
 	for name, head := range map[string]string{
 		"length": fmt.Sprint("Content-Length: ", bulkSize), "chunks": "Transfer-Encoding: chunked", "close": "Connection: close",
@@ -201,7 +201,7 @@
 						fmt.Fprint(c, "\r\n")
 					}
 				}
-				time.Sleep(20 * time.Millisecond) // a reset at once would take what is in the sockets with it
+				time.Sleep(20 * time.Millisecond) // an immediate reset would discard what is in the socket buffers
 				resets(c)
 				return false
 			})
@@ -213,7 +213,7 @@
 				t.Fatal(err)
 			}
 			if n, err := io.Copy(io.Discard, r.Body); err == nil {
-				t.Fatalf("%d bytes came as if they were all", n)
+				t.Fatalf("%d bytes were received as a complete response", n)
 			}
 			for end := time.Now().Add(testTimeout); g.p.owner.tally.of("read").errors.Load() != 1; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
@@ -224,8 +224,8 @@
 	}
 }
 
-// TestLongAnswerBegins: the first bytes of an answer of unknown length go on though it has not ended, and the time that its
-// client gave binds no longer.
+// TestLongAnswerBegins: the first part of a response of unknown length is passed on before the response is complete.
+// From then on the request's deadline no longer applies.
 func TestLongAnswerBegins(t *testing.T) {
 	end := newGate()
 	defer end.open()
@@ -244,14 +244,15 @@
 	}
 	first := make([]byte, 3)
 	io.ReadFull(r.Body, first)
-	time.Sleep(400 * time.Millisecond) // past the client's time
+	time.Sleep(400 * time.Millisecond) // past the deadline
 	end.open()
 	if rest, err := io.ReadAll(r.Body); err != nil || string(first)+string(rest) != "abcdef" {
 		t.Fatalf("%q%q, %v", first, rest, err)
 	}
 }
 
-// TestClientLeavesLongAnswer: the host's connection ends with the client's, while the host has nothing more to give.
+// TestClientLeavesLongAnswer: if the client leaves during a long response, the connection to the host is closed, even
+// while the host sends nothing.
 func TestClientLeavesLongAnswer(t *testing.T) {
 	h := newHost(t, func(c net.Conn, _ seenRequest) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nabc", bulkSize)
@@ -268,8 +269,8 @@
 	h.ended.next(t, "the end of the host's connection")
 }
 
-// TestBeginAndEndTogether: an answer that has begun and ended by the time somebody looks is still told as begun, first; taken
-// for one that was held whole it would be served empty.
+// TestBeginAndEndTogether: if the start and the end of a long response are both pending, the start is still reported.
+// Otherwise the response would be taken for one without a stream and passed on with an empty body.
 func TestBeginAndEndTogether(t *testing.T) {
 	for range 100 {
 		c, s := newCall(), newStream(wire.NewPool())
@@ -278,21 +279,22 @@
 		told := 0
 		c.wait(func(hostResponse) { told++ })
 		if told != 1 {
-			t.Fatalf("told %d times", told)
+			t.Fatalf("reported %d times", told)
 		}
 	}
 }
 
-// TestLongAnswerAhead: a long answer that comes ahead of a request's last byte is no answer to it; nothing has run, and
-// the request is not left hanging.
+// TestLongAnswerAhead: a long response that arrives before the last byte of the request was sent is not a response to
+// the request. The request has not run and is refused; it must not hang.
 func TestLongAnswerAhead(t *testing.T) {
 	h := newToy(t, func(c net.Conn, br *bufio.Reader) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bulkSize)
 		io.Copy(c, randomBytes(2, bulkSize))
 	})
-	g := startProxy(t, newList(t, entry("h1", h.addr())).addr(), "null", func(p *Proxy) { p.times.lastByteDelay = 50 * time.Millisecond })
+	g := startProxy(t, newList(t, entry("h1", h.addr())).addr(), "null",
+		func(p *Proxy) { p.times.lastByteDelay = 50 * time.Millisecond })
 	g.waitReady()
 	if a := g.raw(requestText("write", "x")); a.status != http.StatusServiceUnavailable {
-		t.Fatalf("answered %d, want a refusal", a.status)
+		t.Fatalf("got status %d, want a refusal", a.status)
 	}
 }
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -2,7 +2,7 @@
 
 import "beechwing/balancer"
 
-// script is a stand-in for the module: it notes what it is told and acts as the test says.
+// fakeBalancer replaces the balancer: it records its events and reacts as the test defines.
 type fakeBalancer struct {
 	act         balancer.Actions
 	onRequest   func(s *fakeBalancer, r balancer.Request)
@@ -23,7 +23,7 @@
 		clientsLeft: make(eventChan[balancer.RequestID], 16), lists: make(eventChan[listEvent], 4096)}
 }
 
-// decides puts the script in the module's place.
+// install makes the proxy use the fake balancer.
 func (s *fakeBalancer) install(p *Proxy) {
 	p.decide = func(_ float64, _ balancer.Config, act balancer.Actions) balancer.Handler {
 		s.act = act
@@ -63,7 +63,7 @@
 func (s *fakeBalancer) Configure(float64, balancer.Config, []int)        {}
 func (s *fakeBalancer) PeerMessage(float64, int, []byte)                 {}
 
-// sends makes the script send every request once to a host.
+// sendsOnceTo returns a handler that sends every request once to the given host.
 func sendsOnceTo(host string) func(*fakeBalancer, balancer.Request) {
 	return func(s *fakeBalancer, r balancer.Request) { s.act.Send(r.ID, hostID(host), 0) }
 }
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -14,8 +14,8 @@
 	"beechwing/internal/wire"
 )
 
-// TestLookBeforeUse: a connection that the host has closed, or said something unasked on, does not take a call, even
-// if the goroutine that watches it has not run yet. Here there is none.
+// TestLookBeforeUse: a connection that the host has closed, or on which it has sent bytes, takes no call, even if the
+// reading goroutine has not noticed yet. In this test there is no such goroutine.
 func TestLookBeforeUse(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -41,7 +41,7 @@
 			defer conn.Close()
 			fresh := &hostConn{conn: conn}
 			if !fresh.startCall(newCall()) {
-				t.Fatal("a quiet connection is not taken")
+				t.Fatal("an open idle connection does not take a call")
 			}
 			close(ready)
 			for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
@@ -54,13 +54,13 @@
 				}
 			}
 			if (&hostConn{conn: conn}).startCall(newCall()) {
-				t.Fatal("it takes a call")
+				t.Fatal("the connection takes a call")
 			}
 		})
 	}
 }
 
-// TestNoPlaceInTime: with all places for connections taken, an attempt does not outlast its time waiting for one.
+// TestNoPlaceInTime: with all connections to hosts reserved, an attempt that waits for one ends at its deadline.
 func TestNoPlaceInTime(t *testing.T) {
 	h := newHost(t, says(ok))
 	g := startOneHost(t, h)
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestRestartedHost: idle connections to a host's old process are not kept once the list tells of a new one.
+// TestRestartedHost: idle connections to a host's old process are closed once the list shows a new start time.
 func TestRestartedHost(t *testing.T) {
 	h := newHost(t, says(ok))
 	l := newList(t, entry("h1", h.addr()))
@@ -91,12 +91,12 @@
 	again.Started = time.Now().UnixMilli()
 	l.set(again)
 	if err := h.ended.next(t, "the end of the idle connection"); !errors.Is(err, io.EOF) {
-		t.Fatalf("it ended with %v", err)
+		t.Fatalf("the connection ended with %v", err)
 	}
 }
 
-// TestReplacedHosts: thousands of hosts that come under new ids, at addresses of those that have gone, and thousands of
-// clients that ask once leave nothing behind: no host, id, flight or connection beyond those of the last.
+// TestReplacedHosts: thousands of hosts are replaced by hosts with new IDs at the same address, and hundreds of clients
+// send one request each. No upstream, request ID, flight or connection beyond the current ones is left.
 func TestReplacedHosts(t *testing.T) {
 	h := newHost(t, says(ok))
 	l := newList(t, entry("h1", h.addr()))
@@ -110,14 +110,14 @@
 		g.p.hosts.update(balancer.ListFull, list, float64(n))
 		if n%10 == 0 {
 			if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
-				t.Fatalf("request %d got %d", n, a.status)
+				t.Fatalf("request %d got status %d", n, a.status)
 			}
 		}
 	}
 	sizes := make(eventChan[[3]int], 1)
 	g.p.owner.post(inside(func(o *owner) { sizes <- [3]int{len(o.hosts.byID), len(o.flights), len(o.open)} }))
 	if got := sizes.next(t, "the sizes"); got != [3]int{2, 0, 0} {
-		t.Errorf("hosts, flights and ids left: %v", got)
+		t.Errorf("hosts, flights and request IDs left: %v", got)
 	}
 	if n := g.p.hosts.budget.hostCount(); n > 1 {
 		t.Errorf("%d connections to hosts", n)
