--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -38,14 +38,14 @@
 	closeIdleHostConns func(int)
 	start              time.Time     // zero point of the times passed to connTable and admission
 	slotFreed          chan struct{} // wakes an accept loop that waits for capacity
-	poller             *park.Lot
+	poller             *park.Lot     // wakes parked connections
 	maintenanceDue     chan struct{} // wakes the maintenance loop
 	closed             chan struct{} // closed together with the listener; ends an accept loop that waits for capacity
 	stopped            chan struct{} // ends the maintenance loop
 
 	wg             sync.WaitGroup // one per connection
-	mu             sync.Mutex
-	open           int // connections, including those over the limit that get an error response
+	mu             sync.Mutex     // guards what follows
+	open           int            // connections, including those over the limit that get an error response
 	connTable      *places.Book
 	admission      *places.Desk
 	warm           int  // idle connections that still have a goroutine and a reader
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -40,12 +40,12 @@
 	}
 }
 
-// Refuse answers that the request has not run and may safely be repeated.
+// Refuse answers a request with 503: it is safe to repeat the request.
 func (o *owner) Refuse(id balancer.RequestID, coolDown float64) {
 	o.respondTo(id, clientResponse{status: http.StatusServiceUnavailable, text: "refused\n", retryAfterSeconds: coolDown})
 }
 
-// Fail answers that the request has failed and may have run.
+// Fail answers a request with 502, which promises nothing: the request may have run.
 func (o *owner) Fail(id balancer.RequestID) {
 	o.respondTo(id, clientResponse{status: http.StatusBadGateway, text: "failed\n"})
 }
@@ -72,7 +72,7 @@
 // Probe asks a host for its state.
 func (o *owner) Probe(host balancer.HostID) {
 	o.probes++
-	p := probeEnded{host: host, sent: o.clock.now(), result: balancer.ConnectFailed}
+	p := probeEnded{host: host, sentAt: o.clock.now(), result: balancer.ConnectFailed}
 	up := o.hosts.find(host)
 	if up == nil {
 		o.local = append(o.local, p)
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -19,7 +19,7 @@
 	host    balancer.HostID
 	zone    string  // of the host, if zones are observed; used by the owner only
 	sentAt  float64 // on the owner's clock
-	ended   bool    // its outcome has been processed; used by the owner only
+	ended   bool    // its result has been processed; used by the owner only
 
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
@@ -35,7 +35,8 @@
 	writeMu sync.Mutex // held while bytes are written
 }
 
-// run sends the request and waits for the response. It produces exactly one outcome and never sends the request twice.
+// run sends the request and waits for the response. It returns exactly one result and never sends the complete
+// request twice.
 func (a *attempt) run(up *upstream) attemptEnded {
 	defer a.cancel(nil)
 	defer a.stopTimer()
--- a/internal/proxy/clock.go
+++ b/internal/proxy/clock.go
@@ -20,6 +20,6 @@
 
 // seconds converts a number of seconds to a Duration, limited to what that type holds.
 func seconds(s float64) time.Duration {
-	const most = 1 << 32 // about 136 years
-	return time.Duration(min(max(s, -most), most) * float64(time.Second))
+	const limit = 1 << 32 // about 136 years
+	return time.Duration(min(max(s, -limit), limit) * float64(time.Second))
 }
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -35,7 +35,7 @@
 // probeEnded is posted when a probe has ended.
 type probeEnded struct {
 	host   balancer.HostID
-	sent   float64
+	sentAt float64
 	result balancer.Result
 	report []float32
 }
@@ -49,7 +49,8 @@
 // stopRequested stops the owner once no request or probe is open.
 type stopRequested struct{}
 
-// apply rejects a request whose ID is that of an open request, since a host could not tell the two apart.
+// apply passes the request to the balancer. A request with the ID of an open one is rejected, since a host could not
+// tell the two apart.
 func (e requestReceived) apply(o *owner) {
 	q := e.request
 	if o.open[q.txnID] {
@@ -122,7 +123,7 @@
 func (e probeEnded) apply(o *owner) {
 	o.probes--
 	now := o.clock.now()
-	o.bal.Probed(now, balancer.ProbeResult{Host: e.host, Result: e.result, Took: now - e.sent, Report: e.report})
+	o.bal.Probed(now, balancer.ProbeResult{Host: e.host, Result: e.result, Took: now - e.sentAt, Report: e.report})
 }
 
 func (e hostListReceived) apply(o *owner) {
@@ -175,8 +176,8 @@
 
 func (e shutdownScheduled) apply(o *owner) { o.endBy = e.at }
 
-// dropCheck drops a flight if it has ended. It runs after the balancer has returned from the call that answered the
-// request.
+// dropCheck drops a flight if nothing is pending for it. It is queued when the balancer answers a request, and runs once
+// the balancer has returned.
 type dropCheck struct{ flight *flight }
 
 func (e dropCheck) apply(o *owner) { o.drop(e.flight) }
--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -130,7 +130,7 @@
 	timer := time.NewTimer(maintenanceInterval)
 	defer timer.Stop()
 	report := reporter{front: f, due: time.Now().Add(reportEvery)}
-	collect := memoryReleaser{due: time.Now().Add(quietInterval)}
+	releaser := memoryReleaser{due: time.Now().Add(quietInterval)}
 	for {
 		select {
 		case <-f.stopped:
@@ -143,10 +143,10 @@
 			f.closeIdleHostConns(n)
 		}
 		f.shedForHosts()
-		f.closeNamed()
+		f.closeSelected()
 		now := time.Now()
 		report.look(now, false)
-		collect.check(now, f)
+		releaser.check(now, f)
 		timer.Reset(f.serveQueue())
 	}
 }
@@ -210,7 +210,8 @@
 	})
 }
 
-func (f *frontend) closeNamed() {
+// closeSelected closes the connections that the table has selected, in batches.
+func (f *frontend) closeSelected() {
 	for range maxClosesPerPass / closeBatch {
 		f.mu.Lock()
 		if f.unlockAndClose(f.now(), closeBatch) {
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -20,7 +20,8 @@
 	extendInterval = 100 * time.Millisecond // interval at which progress of a body extends the client's read deadline
 )
 
-// bodyPace is the pace required of request bodies from clients. The platform's slowest clients send 64 kB a second.
+// bodyPace is the least pace at which clients have to send request bodies. The platform's slowest clients send 64 kB a
+// second.
 var bodyPace = bodies.Pace{Grace: 2200 * time.Millisecond, Rate: 48e3}
 
 // ---- Requests
@@ -55,7 +56,7 @@
 	startedAt   time.Time // moved on by the time between two reads, so that only the client's own time counts
 	lastReadEnd time.Time // end of the last read
 	extendedAt  time.Time // when the deadline was last extended
-	received    int64
+	received    int64     // bytes
 }
 
 func (p *pacedReader) Read(b []byte) (int, error) {
--- a/internal/proxy/reply.go
+++ b/internal/proxy/reply.go
@@ -20,7 +20,7 @@
 	contentType   string
 	body          wire.Body
 	loadReport    []float32
-	reusable      bool
+	reusable      bool    // the connection can carry another call
 	stream        *stream // a long response that is passed on while it arrives; body is then empty
 	contentLength int64   // of stream; negative: unknown
 }
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -25,8 +25,8 @@
 	return t
 }
 
-// fire runs one timer that is due and returns how long to wait for the next event. It runs only one, because events
-// that the balancer causes in it come first.
+// fire runs one timer that is due and returns how long to wait for the next event. It runs only one, because the
+// events that the balancer causes in it are processed first.
 func (o *owner) fire() time.Duration {
 	const idle = time.Second
 	if len(o.timers) == 0 {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// applyEntry applies a list entry of the host. An empty addr leaves the address as it is.
+// applyEntry applies an entry of the host list to the upstream. An empty addr keeps the known address.
 func (u *upstream) applyEntry(addr string, e balancer.Host, now float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -146,7 +146,7 @@
 		if c != nil {
 			c.close()
 		}
-		return nil, errors.New("host is draining") // for requests that were on their way when the drain was learned
+		return nil, errors.New("host is draining") // catches requests that were under way when the drain was learned
 	}
 	if c != nil {
 		c.reused = true
