--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -267,7 +267,8 @@
 func (p *Proxy) part(context.Context) (Phase, error) {
 	p.front.close()
 	end := p.told.Add(seconds(p.longest()))
-	p.owner.post(shutdownScheduled{p.owner.clock.now() + time.Until(end.Add(p.times.shutdownSpare-p.times.finalWritePeriod)).Seconds()})
+	p.owner.post(shutdownScheduled{p.owner.clock.now() +
+		time.Until(end.Add(p.times.shutdownSpare-p.times.finalWritePeriod)).Seconds()})
 	p.front.closeAfterResponses()
 	left := make(chan struct{})
 	go func() {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -130,7 +130,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := newFrontend(ln, frontendLimits{maxConns: 1}, newConnBudget(Limits{Sockets: 100}), nil, nil, wire.NewPool(), nil, testTiming(), zap.NewNop())
+	f, err := newFrontend(ln, frontendLimits{maxConns: 1}, newConnBudget(Limits{Sockets: 100}), nil, nil,
+		wire.NewPool(), nil, testTiming(), zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
