--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -70,7 +70,7 @@
 		closed: make(chan struct{}), ended: make(chan struct{}), desk: places.NewDesk(l.desk),
 		book: places.New(bookConfig(l, t))}
 	f.names.Store(n)
-	r.owing = func() { ask(f.kick) }
+	r.owing = func() { signal(f.kick) }
 	wake := func(holder any) { f.wake(holder.(*client)) }
 	if l.watchers {
 		f.lot = park.NewWatchers(wake)
@@ -87,7 +87,7 @@
 	defer timer.Stop()
 	for {
 		f.mu.Lock()
-		free := f.open < min(f.limits.connections, f.room.limit(places.Callers))+shedReserve
+		free := f.open < min(f.limits.connections, f.room.limit(places.Callers))+overflowConns
 		f.mu.Unlock()
 		if free {
 			return true
@@ -173,7 +173,7 @@
 	count := f.book.Count()
 	limit := f.room.clients(count + more)
 	if limit < count+more {
-		ask(f.kick) // hosts may hold some that they can give back
+		signal(f.kick) // hosts may hold some that they can give back
 	}
 	f.book.SetMost(min(f.limits.connections, limit))
 }
@@ -236,7 +236,7 @@
 		f.endParked(c)
 	}
 	if len(named) == n {
-		ask(f.kick)
+		signal(f.kick)
 	}
 	return len(named) < n
 }
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -12,7 +12,7 @@
 
 // Send starts the next attempt of a request.
 func (o *owner) Send(id balancer.RequestID, host balancer.HostID, timeout float64) {
-	f := o.flights[id]
+	f := o.pending[id]
 	if f == nil {
 		return
 	}
@@ -21,16 +21,16 @@
 	if timeout != 0 {
 		until = min(until, now+timeout)
 	}
-	a := &attempt{request: f.request, number: len(f.attempts), host: host, sent: now, tally: o.tally, post: o.post,
-		within: seconds(timeout), zone: o.sight.zoneOf(host)}
+	a := &attempt{request: f.request, number: len(f.attempts), host: host, sent: now, tally: o.stats, post: o.post,
+		within: seconds(timeout), zone: o.zoneObserver.zoneOf(host)}
 	f.attempts = append(f.attempts, a)
-	f.out++
+	f.outstanding++
 	up := o.hosts.find(host)
 	switch {
-	case f.answered, f.bound(), until <= now && f.request.up == nil, f.most > 0 && a.number >= f.most:
-		o.local = append(o.local, outcome{attempt: a, result: balancer.Skipped})
+	case f.answered, f.bound(), until <= now && f.request.up == nil, f.maxAttempts > 0 && a.number >= f.maxAttempts:
+		o.localEvents = append(o.localEvents, outcome{attempt: a, result: balancer.Skipped})
 	case up == nil:
-		o.local = append(o.local, outcome{attempt: a, result: balancer.ConnectFailed})
+		o.localEvents = append(o.localEvents, outcome{attempt: a, result: balancer.ConnectFailed})
 	default:
 		a.ctx, a.cancel = context.WithCancelCause(o.ctx)
 		if f.request.up == nil {
@@ -52,17 +52,17 @@
 
 // give answers a request.
 func (o *owner) give(id balancer.RequestID, a answer) {
-	f := o.flights[id]
+	f := o.pending[id]
 	if f == nil {
 		return
 	}
-	o.conclude(f, a)
-	o.local = append(o.local, dropped{f})
+	o.complete(f, a)
+	o.localEvents = append(o.localEvents, dropped{f})
 }
 
 // Cancel stops waiting for an attempt.
 func (o *owner) Cancel(id balancer.RequestID, n int) {
-	f := o.flights[id]
+	f := o.pending[id]
 	if f == nil || n < 0 || n >= len(f.attempts) {
 		return
 	}
@@ -71,11 +71,11 @@
 
 // Probe asks a host for its state.
 func (o *owner) Probe(host balancer.HostID) {
-	o.probes++
+	o.pendingProbes++
 	p := probed{host: host, sent: o.clock.now(), result: balancer.ConnectFailed}
 	up := o.hosts.find(host)
 	if up == nil {
-		o.local = append(o.local, p)
+		o.localEvents = append(o.localEvents, p)
 		return
 	}
 	go func() { o.post(p.run(o.ctx, up)) }()
@@ -87,10 +87,10 @@
 }
 
 // Watch asks for the list and its changes.
-func (o *owner) Watch() { ask(o.list.watch) }
+func (o *owner) Watch() { signal(o.discovery.watchRequests) }
 
 // Fetch asks for the list once.
-func (o *owner) Fetch() { ask(o.list.fetch) }
+func (o *owner) Fetch() { signal(o.discovery.fetchRequests) }
 
 // Broadcast would send a message to every peer. The protocol has none, and the module is told so in its Config.
 func (o *owner) Broadcast([]byte) {}
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/admin_test.go
@@ -17,7 +17,7 @@
 )
 
 // withDoor gives a proxy an operators' address and a folder for state.
-func withDoor(t testing.TB, dir string) func(*Proxy) {
+func withAdminServer(t testing.TB, dir string) func(*Proxy) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,7 +28,7 @@
 }
 
 // operate makes a call at the door and gives its status and text.
-func (g *rig) operate(path, body string) (int, string) {
+func (g *rig) adminCall(path, body string) (int, string) {
 	g.t.Helper()
 	method := http.MethodPost
 	if body == "" {
@@ -47,9 +47,9 @@
 	return a.StatusCode, string(text)
 }
 
-func (g *rig) figures() map[string]int {
+func (g *rig) adminStats() map[string]int {
 	g.t.Helper()
-	_, text := g.operate("/admin/stats", "")
+	_, text := g.adminCall("/admin/stats", "")
 	f := map[string]int{}
 	for line := range strings.Lines(text) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), "=")
@@ -77,30 +77,30 @@
 func TestFiguresAddUp(t *testing.T) {
 	var mu sync.Mutex
 	whole, rng := 0, rand.New(rand.NewPCG(5, 5))
-	faulty := func(c net.Conn, _ seenRequest) bool {
+	faulty := func(c net.Conn, _ receivedRequest) bool {
 		mu.Lock()
 		whole++
 		n := rng.IntN(10)
 		mu.Unlock()
 		switch n {
 		case 0:
-			resets(c)
+			resetConn(c)
 			return false
 		case 1:
-			return says("HTTP/1.1 503 S\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")(c, seenRequest{})
+			return respondWith("HTTP/1.1 503 S\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")(c, receivedRequest{})
 		case 2:
-			return says("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")(c, seenRequest{})
+			return respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")(c, receivedRequest{})
 		case 3:
-			says("nonsense\r\n\r\n")(c, seenRequest{})
+			respondWith("nonsense\r\n\r\n")(c, receivedRequest{})
 			return false
 		}
-		return says(ok)(c, seenRequest{})
+		return respondWith(okResponse)(c, receivedRequest{})
 	}
-	h1, h2 := newHost(t, faulty), newHost(t, faulty)
-	l := newList(t, entry("h1", h1.addr()), entry("h2", h2.addr()), entry("h3", nobody))
-	g := start(t, l.addr(), "null", withDoor(t, t.TempDir()))
+	h1, h2 := newFakeHost(t, faulty), newFakeHost(t, faulty)
+	l := newFakeDiscovery(t, entry("h1", h1.addr()), entry("h2", h2.addr()), entry("h3", nobody))
+	g := start(t, l.addr(), "null", withAdminServer(t, t.TempDir()))
 	g.waitReady()
-	if f := g.figures(); f["proxy.ok.log"] != 0 || len(f) != 3*3+4 {
+	if f := g.adminStats(); f["proxy.ok.log"] != 0 || len(f) != 3*3+4 {
 		t.Fatalf("figures at the start: %v", f)
 	}
 	seen := map[string]int{}
@@ -124,8 +124,8 @@
 			wg.Wait()
 		}
 	}
-	eventually(t, "nothing is active", func() bool { return g.figures()["proxy.active"] == 0 })
-	f := g.figures()
+	eventually(t, "nothing is active", func() bool { return g.adminStats()["proxy.active"] == 0 })
+	f := g.adminStats()
 	for name, n := range seen {
 		if f[name] != n {
 			t.Errorf("%s is %d, clients saw %d", name, f[name], n)
@@ -142,10 +142,10 @@
 // next process too, until it is put back, cold. With all hosts out requests are refused, as panic spreads over hosts that
 // serve only.
 func TestTakeOut(t *testing.T) {
-	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
-	l := newList(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
+	h1, h2 := newFakeHost(t, respondWith(okResponse)), newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
 	dir := t.TempDir()
-	g := start(t, l.addr(), "null", withDoor(t, dir))
+	g := start(t, l.addr(), "null", withAdminServer(t, dir))
 	g.waitReady()
 	send := func(g *rig, n int) (status int) {
 		for i := range n {
@@ -155,7 +155,7 @@
 	}
 	want := func(status int, path, who string) {
 		t.Helper()
-		if got, text := g.operate(path, `{"who":"`+who+`"}`); got != status {
+		if got, text := g.adminCall(path, `{"who":"`+who+`"}`); got != status {
 			t.Fatalf("%s %s: %d %s", path, who, got, text)
 		}
 	}
@@ -164,21 +164,21 @@
 	want(200, "/admin/cordon", "h1")
 	h1.ended.next(t, "the end of an idle connection")
 	want(200, "/admin/cordon", "h1") // once more is no harm
-	h1.seen = drained(h1.seen)
+	h1.requests = emptied(h1.requests)
 	moved := entry("h1", h1.addr())
 	moved.Zone, moved.Started = "b", time.Now().UnixMilli()
 	l.set(moved, entry("h2", h2.addr()))
 	g.settled(l)
-	if send(g, 20) != http.StatusOK || len(h1.seen) > 0 {
-		t.Fatalf("%d requests at a host that is out", len(h1.seen))
+	if send(g, 20) != http.StatusOK || len(h1.requests) > 0 {
+		t.Fatalf("%d requests at a host that is out", len(h1.requests))
 	}
-	eventually(t, "the host counts as avoided", func() bool { return g.figures()["proxy.pool_ejected"] == 1 })
+	eventually(t, "the host counts as avoided", func() bool { return g.adminStats()["proxy.pool_ejected"] == 1 })
 	g.stop()
 
-	g = start(t, l.addr(), "null", withDoor(t, dir))
+	g = start(t, l.addr(), "null", withAdminServer(t, dir))
 	g.waitReady()
-	if send(g, 20) != http.StatusOK || len(h1.seen) > 0 {
-		t.Fatalf("%d requests at a host that is out, after a restart", len(h1.seen))
+	if send(g, 20) != http.StatusOK || len(h1.requests) > 0 {
+		t.Fatalf("%d requests at a host that is out, after a restart", len(h1.requests))
 	}
 	want(200, "/admin/cordon", "h2")
 	if status := send(g, 1); status != http.StatusServiceUnavailable {
@@ -190,7 +190,7 @@
 }
 
 // drained empties a channel of what was seen.
-func drained[T any](w watched[T]) watched[T] {
+func emptied[T any](w watched[T]) watched[T] {
 	for len(w) > 0 {
 		<-w
 	}
@@ -200,12 +200,12 @@
 // TestBackIsCold: the module hears that a host put back has been started since, also where the list has not said so yet, and a
 // word given to one process of an upgrade reaches the other.
 func TestBackIsCold(t *testing.T) {
-	l := newList(t, entry("h1", nobody))
+	l := newFakeDiscovery(t, entry("h1", nobody))
 	dir := t.TempDir()
 	s, other := newScript(), newScript()
-	g := start(t, l.addr(), "null", s.decides, withDoor(t, dir))
+	g := start(t, l.addr(), "null", s.decides, withAdminServer(t, dir))
 	g.waitReady()
-	g2 := start(t, l.addr(), "null", other.decides, withDoor(t, dir))
+	g2 := start(t, l.addr(), "null", other.decides, withAdminServer(t, dir))
 	g2.waitReady()
 	heard := func(s *script, what string, is func(balancer.Host) bool) {
 		t.Helper()
@@ -217,11 +217,11 @@
 		}
 	}
 	began := float64(time.Now().Unix())
-	g.operate("/admin/cordon", `{"who":"h1"}`)
+	g.adminCall("/admin/cordon", `{"who":"h1"}`)
 	for _, s := range []*script{s, other} {
 		heard(s, "the call out", func(h balancer.Host) bool { return h.Status == balancer.Draining })
 	}
-	g2.operate("/admin/uncordon", `{"who":"h1"}`)
+	g2.adminCall("/admin/uncordon", `{"who":"h1"}`)
 	for _, s := range []*script{s, other} {
 		heard(s, "the call back", func(h balancer.Host) bool { return h.Status == balancer.Ready && h.Started >= began })
 	}
@@ -231,21 +231,21 @@
 func TestOutIsDurable(t *testing.T) {
 	dir := t.TempDir() + "/state"
 	s := newScript()
-	g := start(t, newList(t, entry("h1", nobody)).addr(), "null", s.decides, withDoor(t, dir))
+	g := start(t, newFakeDiscovery(t, entry("h1", nobody)).addr(), "null", s.decides, withAdminServer(t, dir))
 	g.waitReady()
-	if status, text := g.operate("/admin/cordon", `{"who":"h1"}`); status != http.StatusServiceUnavailable {
+	if status, text := g.adminCall("/admin/cordon", `{"who":"h1"}`); status != http.StatusServiceUnavailable {
 		t.Fatalf("with no folder to write to: %d %s", status, text)
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(outFile(dir, "n1"), []byte(`{"version":1,"sta`), 0o600); err != nil {
+	if err := os.WriteFile(cordonFile(dir, "n1"), []byte(`{"version":1,"sta`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if status, text := g.operate("/admin/cordon", `{"who":"h1"}`); status != http.StatusOK {
+	if status, text := g.adminCall("/admin/cordon", `{"who":"h1"}`); status != http.StatusOK {
 		t.Fatalf("over a torn file: %d %s", status, text)
 	}
-	if text, err := os.ReadFile(outFile(dir, "n1")); err != nil || !bytes.Contains(text, []byte(`"h1"`)) {
+	if text, err := os.ReadFile(cordonFile(dir, "n1")); err != nil || !bytes.Contains(text, []byte(`"h1"`)) {
 		t.Fatalf("the file says %s, %v", text, err)
 	}
 }
@@ -259,19 +259,19 @@
 		<-hold.opened
 		s.act.Refuse(r.ID, 0)
 	}
-	g := start(t, newList(t, entry("h1", nobody)).addr(), "null", s.decides, withDoor(t, t.TempDir()))
+	g := start(t, newFakeDiscovery(t, entry("h1", nobody)).addr(), "null", s.decides, withAdminServer(t, t.TempDir()))
 	g.waitReady()
 	for range queueLength/16 + 2 {
 		io.WriteString(g.dial(), message("read", ""))
 	}
-	eventually(t, "requests are taken", func() bool { return g.p.owner.tally.active.Load() > 8 })
+	eventually(t, "requests are taken", func() bool { return g.p.owner.stats.active.Load() > 8 })
 	for _, path := range []string{"/admin/health", "/admin/stats"} {
 		began := time.Now()
-		if status, text := g.operate(path, ""); status != http.StatusOK || time.Since(began) > patience/4 {
+		if status, text := g.adminCall(path, ""); status != http.StatusOK || time.Since(began) > patience/4 {
 			t.Fatalf("%s: %d %s after %v", path, status, text, time.Since(began))
 		}
 	}
-	if status, _ := g.operate("/admin/cordon", `{"who":"h1"}`); status != http.StatusServiceUnavailable {
+	if status, _ := g.adminCall("/admin/cordon", `{"who":"h1"}`); status != http.StatusServiceUnavailable {
 		t.Fatalf("a call that cannot be in force in time: %d", status)
 	}
 }
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -26,10 +26,10 @@
 }
 
 // respond waits for the owner's answer and writes it. It says whether the connection may go on.
-func (c *client) respond(q *request, class *classTally, last bool) bool {
+func (c *client) respond(q *request, class *classStats, last bool) bool {
 	a := <-q.answer
 	defer c.front.bufs.FreeBody(&a.body)
-	defer func() { c.front.owner.tally.end(class, a.status) }()
+	defer func() { c.front.owner.stats.end(class, a.status) }()
 	if a.long != nil {
 		defer a.long.leave()
 	}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -31,7 +31,7 @@
 	long    *stream // that answer
 
 	post    func(event)
-	tally   *tally
+	tally   *requestStats
 	writing sync.Mutex // held while bytes go out
 }
 
@@ -107,7 +107,7 @@
 	if err := a.put(l, net.Buffers{last}); err != nil {
 		return err
 	}
-	a.tally.tries.Add(1)
+	a.tally.attempts.Add(1)
 	return nil
 }
 
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -23,10 +23,10 @@
 		result    balancer.Result
 		reused    bool // the connection carries the next request
 	}{
-		{"served", ok, balancer.OK, true},
+		{"served", okResponse, balancer.OK, true},
 		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", balancer.OK, true},
 		{"served, then closes", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", balancer.OK, false},
-		{"after an interim answer", "HTTP/1.1 103 Early Hints\r\n\r\n" + ok, balancer.OK, true},
+		{"after an interim answer", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, balancer.OK, true},
 		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
 		{"turned away", turned, balancer.Rejected, true},
 		{"turned away late", strings.Replace(turned, "503", "504", 1), balancer.Rejected, true},
@@ -41,7 +41,7 @@
 		{"ended by the close, as announced", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok", balancer.OK, false},
 		{"head over the limit", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHead), balancer.Malformed, false},
 		{"endless interim answers", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxHead/4), balancer.Malformed, false},
-		{"many interim answers", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", 20) + ok, balancer.OK, true},
+		{"many interim answers", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", 20) + okResponse, balancer.OK, true},
 		{"a length beside chunks", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"2\r\nok\r\n0\r\n\r\n", balancer.Malformed, false},
 		{"two lengths alike", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok", balancer.Malformed, false},
@@ -50,15 +50,15 @@
 		{"folded head", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n 0\r\n\r\nok", balancer.Malformed, false},
 		{"a name with a space", "HTTP/1.1 200 OK\r\nContent-Length : 2\r\n\r\nok", balancer.Malformed, false},
 		{"a report that is none", "HTTP/1.1 200 OK\r\nX-Pressure: %%%\r\nContent-Length: 2\r\n\r\nok", balancer.OK, true},
-		{"noise behind the answer", ok + "\x00\x01noise", balancer.OK, false},
-		{"bytes beyond the answer", ok + ok, balancer.OK, false},
+		{"noise behind the answer", okResponse + "\x00\x01noise", balancer.OK, false},
+		{"bytes beyond the answer", okResponse + okResponse, balancer.OK, false},
 		{"nothing", "", balancer.Reset, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			first := true
-			h := newHost(t, func(conn net.Conn, r seenRequest) bool {
+			h := newFakeHost(t, func(conn net.Conn, r receivedRequest) bool {
 				if !first {
-					return says(ok)(conn, r)
+					return respondWith(okResponse)(conn, r)
 				}
 				first = false
 				io.WriteString(conn, c.raw)
@@ -75,11 +75,11 @@
 			if want := c.result == balancer.OK; (a.status == http.StatusOK) != want {
 				t.Fatalf("the client got %d", a.status)
 			}
-			h.seen.next(t, "the request")
+			h.requests.next(t, "the request")
 			if a := g.raw(message("read", "")); a.status != http.StatusOK {
 				t.Fatalf("the next request got %d", a.status)
 			}
-			if again := h.seen.next(t, "the next request").again; again != c.reused {
+			if again := h.requests.next(t, "the next request").reusedConn; again != c.reused {
 				t.Errorf("connection used again: %v", again)
 			}
 			s.outcomes.next(t, "the next outcome")
@@ -91,7 +91,7 @@
 // TestRequestAtFault: a host that cannot use a request is not blamed for it, nor is the request sent elsewhere.
 func TestRequestAtFault(t *testing.T) {
 	for _, status := range []int{400, 404, 413} {
-		h := newHost(t, says(fmt.Sprintf("HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n", status)))
+		h := newFakeHost(t, respondWith(fmt.Sprintf("HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n", status)))
 		s := newScript()
 		s.request = sends("h1")
 		g := one(t, h, s.decides)
@@ -106,7 +106,7 @@
 
 // TestHugeAnswer: an answer said to be huge is not waited for, however long the host goes on.
 func TestHugeAnswer(t *testing.T) {
-	h := newHost(t, func(c net.Conn, _ seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, _ receivedRequest) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc")
 		_, err := c.Read(make([]byte, 1)) // the end is the proxy's
 		return err == nil
@@ -151,7 +151,7 @@
 			}
 		})
 	}
-	h := newHost(t, says(strings.Replace(ok, "\r\n\r\n", "\r\nX-Pressure: {\"util\":0.25}\r\n\r\n", 1)))
+	h := newFakeHost(t, respondWith(strings.Replace(okResponse, "\r\n\r\n", "\r\nX-Pressure: {\"util\":0.25}\r\n\r\n", 1)))
 	s := newScript()
 	s.request = sends("h1")
 	g := one(t, h, s.decides)
@@ -165,42 +165,42 @@
 // gone out it may take another connection; once it has, a break is a reset, and it is not sent again.
 func TestReusedConnectionBreaks(t *testing.T) {
 	t.Run("before its last byte", func(t *testing.T) {
-		h := newHost(t, says(ok))
+		h := newFakeHost(t, respondWith(okResponse))
 		g := one(t, h)
 		if a := g.raw(message("write", "first")); a.status != http.StatusOK {
 			t.Fatalf("the first got %d", a.status)
 		}
-		h.seen.next(t, "the first")
+		h.requests.next(t, "the first")
 		h.mu.Lock()
 		for c := range h.open { // the idle connection dies, whether the proxy has noticed or not
-			resets(c)
+			resetConn(c)
 		}
 		h.mu.Unlock()
 		if a := g.raw(message("write", "second")); a.status != http.StatusOK {
 			t.Fatalf("the second got %d", a.status)
 		}
-		if r := h.seen.next(t, "the second"); r.again || r.text != "second" {
-			t.Fatalf("it came as %q, again %v", r.text, r.again)
+		if r := h.requests.next(t, "the second"); r.reusedConn || r.body != "second" {
+			t.Fatalf("it came as %q, again %v", r.body, r.reusedConn)
 		}
-		h.seen.none(t, "it came twice")
+		h.requests.none(t, "it came twice")
 	})
 	t.Run("after its last byte", func(t *testing.T) {
-		h := newHost(t, func(c net.Conn, r seenRequest) bool {
-			if r.again {
-				resets(c)
+		h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
+			if r.reusedConn {
+				resetConn(c)
 				return false
 			}
-			return says(ok)(c, r)
+			return respondWith(okResponse)(c, r)
 		})
 		g := one(t, h)
 		g.raw(message("write", "first"))
-		h.seen.next(t, "the first")
+		h.requests.next(t, "the first")
 		a := g.raw(message("write", "second"))
 		if a.status != http.StatusBadGateway {
 			t.Fatalf("answered %d: after a reset nothing is promised", a.status)
 		}
-		h.seen.next(t, "the second")
-		h.seen.none(t, "it was sent again")
+		h.requests.next(t, "the second")
+		h.requests.none(t, "it was sent again")
 	})
 }
 
@@ -209,13 +209,13 @@
 func TestResetAtOnce(t *testing.T) {
 	var resetFirst atomic.Bool
 	whole := make(watched[bool], 16) // for each connection that carried whole requests: whether it had before
-	h := newToy(t, func(c net.Conn, br *bufio.Reader) {
+	h := newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		for again := false; ; again = true {
 			if _, err := br.Peek(1); err != nil {
 				return
 			}
 			if again || resetFirst.Load() {
-				resets(c)
+				resetConn(c)
 				return
 			}
 			r, err := http.ReadRequest(br)
@@ -224,12 +224,12 @@
 			}
 			io.Copy(io.Discard, r.Body)
 			whole <- again
-			io.WriteString(c, ok)
+			io.WriteString(c, okResponse)
 		}
 	})
 	s := newScript()
 	s.request = sends("h1")
-	l := newList(t, entry("h1", h.addr()))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	g := start(t, l.addr(), "null", s.decides, func(p *Proxy) { p.times.settle = time.Second })
 	g.waitReady()
 	for _, text := range []string{"first", "second"} {
@@ -253,14 +253,14 @@
 
 // TestNothingHalfWritten: a host that breaks the connection before the last byte of a large request has not begun it.
 func TestNothingHalfWritten(t *testing.T) {
-	h := newToy(t, func(c net.Conn, br *bufio.Reader) {
+	h := newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		c.(*net.TCPConn).SetReadBuffer(2048)
 		br.ReadByte()
-		resets(c)
+		resetConn(c)
 	})
 	s := newScript()
 	s.request = sends("h1")
-	l := newList(t, entry("h1", h.addr()))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	g := start(t, l.addr(), "null", s.decides)
 	g.waitReady()
 	up := g.p.hosts.find(hostID("h1"))
@@ -283,8 +283,8 @@
 
 // TestRefusedConnection: nothing listens, so nothing has run; the request goes elsewhere or is refused.
 func TestRefusedConnection(t *testing.T) {
-	h := newHost(t, says(ok))
-	l := newList(t, entry("h1", h.addr()), entry("h2", nobody))
+	h := newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()), entry("h2", nobody))
 	g := start(t, l.addr(), "null")
 	g.waitReady()
 	for n := range 20 {
@@ -300,7 +300,7 @@
 }
 
 // settled waits until the proxy has taken the newest list: its next call says so.
-func (g *rig) settled(l *toyList) {
+func (g *rig) settled(l *fakeDiscovery) {
 	g.t.Helper()
 	l.mu.Lock()
 	want := "since=" + strconv.Itoa(l.version) + "&"
@@ -325,7 +325,7 @@
 
 // runsOut plays a host that begins an answer and goes on with it for ever.
 func runsOut(t *testing.T, first, rest string) {
-	h := newHost(t, func(c net.Conn, r seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
 		for text := first; text != ""; text = rest {
 			if _, err := io.WriteString(c, text); err != nil {
 				return true
@@ -353,31 +353,31 @@
 
 // TestNoTimeLeft: a request that comes with no time left is answered at once, and not sent.
 func TestNoTimeLeft(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h)
 	if a := g.raw(message("write", "x", "X-Remaining: 0u")); a.status != http.StatusServiceUnavailable {
 		t.Fatalf("answered %d", a.status)
 	}
-	h.seen.none(t, "it was sent")
+	h.requests.none(t, "it was sent")
 }
 
 // TestKeyedStaysInGroup: a keyed request that may have run goes on only inside the zone that drops its repeats. With
 // one host in each zone it has nowhere to go, and may not be refused either.
 func TestKeyedStaysInGroup(t *testing.T) {
-	breaks := func(c net.Conn, r seenRequest) bool {
-		resets(c)
+	breaks := func(c net.Conn, r receivedRequest) bool {
+		resetConn(c)
 		return false
 	}
-	h1, h2 := newHost(t, breaks), newHost(t, breaks)
+	h1, h2 := newFakeHost(t, breaks), newFakeHost(t, breaks)
 	other := entry("h2", h2.addr())
 	other.Zone = "b"
-	l := newList(t, entry("h1", h1.addr()), other)
+	l := newFakeDiscovery(t, entry("h1", h1.addr()), other)
 	g := start(t, l.addr(), "null")
 	g.waitReady()
 	if a := g.raw(message("log", "x")); a.status != http.StatusBadGateway {
 		t.Fatalf("answered %d", a.status)
 	}
-	if n := len(h1.seen) + len(h2.seen); n != 1 {
+	if n := len(h1.requests) + len(h2.requests); n != 1 {
 		t.Fatalf("sent %d times", n)
 	}
 }
--- a/internal/proxy/catalog.go
+++ b/internal/proxy/catalog.go
@@ -18,13 +18,13 @@
 	names   []string // the same
 }
 
-var statuses = map[string]balancer.Status{
+var hostStatuses = map[string]balancer.Status{
 	"ready": balancer.Ready, "draining": balancer.Draining, "gone": balancer.Removed,
 }
 
 // parseCatalog reads an answer of discovery. An entry that makes no sense is skipped, so that it does not take the
 // others with it.
-func parseCatalog(text []byte, z *zones) (catalog, error) {
+func parseCatalog(text []byte, z *zoneTable) (catalog, error) {
 	var f struct {
 		Version *uint64           `json:"version"`
 		Full    bool              `json:"full"`
@@ -49,7 +49,7 @@
 	c.names, c.hosts, c.addrs = append(c.names, name), append(c.hosts, h), append(c.addrs, addr)
 }
 
-func parseEntry(raw []byte, z *zones) (name string, h balancer.Host, addr string, ok bool) {
+func parseEntry(raw []byte, z *zoneTable) (name string, h balancer.Host, addr string, ok bool) {
 	var e struct {
 		ID, Addr, Zone, State string
 		Cell                  int
@@ -59,16 +59,16 @@
 	if json.Unmarshal(raw, &e) != nil || e.ID == "" {
 		return "", h, "", false
 	}
-	status, known := statuses[e.State]
+	status, known := hostStatuses[e.State]
 	if _, _, err := net.SplitHostPort(e.Addr); !known || status != balancer.Removed && err != nil {
 		return "", h, "", false
 	}
 	return e.ID, balancer.Host{
-		ID: hostID(e.ID), Weight: e.Weight, Zone: z.number(e.Zone), Cell: e.Cell, Status: status,
+		ID: hostID(e.ID), Weight: e.Weight, Zone: z.index(e.Zone), Cell: e.Cell, Status: status,
 		Started: math.Max(0, e.StartedMS) / 1000,
 	}, e.Addr, true
 }
 
 // hostID makes the number that the module knows a host by of its name alone: the address differs from proxy to
 // proxy, and rendezvous hashing needs the same number in all of them.
-func hostID(name string) balancer.HostID { return balancer.HostID(hash(name)) }
+func hostID(name string) balancer.HostID { return balancer.HostID(hashName(name)) }
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -173,8 +173,8 @@
 	if bad == nil && c.over() {
 		freeRequest(c.front.bufs, q)
 		bad = &badRequest{http.StatusInternalServerError, "too many connections"}
-		c.front.owner.tally.begin()
-		defer c.front.owner.tally.end(q.names.tally[q.Class], bad.status)
+		c.front.owner.stats.begin()
+		defer c.front.owner.stats.end(q.names.tally[q.Class], bad.status)
 	}
 	if bad != nil {
 		c.reject(bad)
@@ -206,7 +206,7 @@
 func (c *client) handOver(q *request, last bool) bool {
 	written := make(chan bool, 1)
 	c.setTaken()
-	c.front.owner.tally.begin()
+	c.front.owner.stats.begin()
 	class := q.names.tally[q.Class] // from now on the owner may number it anew
 	go func() { written <- c.respond(q, class, last) }()
 	c.front.owner.post(arrival{q})
@@ -235,8 +235,8 @@
 func (c *client) turnDown(q *request, last bool) bool {
 	freeRequest(c.front.bufs, q)
 	c.setTaken()
-	c.front.owner.tally.begin()
-	defer c.front.owner.tally.end(q.names.tally[q.Class], http.StatusServiceUnavailable)
+	c.front.owner.stats.begin()
+	defer c.front.owner.stats.end(q.names.tally[q.Class], http.StatusServiceUnavailable)
 	a := answer{status: http.StatusServiceUnavailable, text: "busy\n", coolDown: q.names.coolDown}
 	return c.deliver(&a, last)
 }
--- a/internal/proxy/client_test.go
+++ b/internal/proxy/client_test.go
@@ -25,9 +25,9 @@
 		{"as large as may be", "write", "POST", big},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHost(t, func(conn net.Conn, r seenRequest) bool {
+			h := newFakeHost(t, func(conn net.Conn, r receivedRequest) bool {
 				_, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/x\r\n"+
-					fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(r.text), r.text))
+					fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(r.body), r.body))
 				return err == nil
 			})
 			g := one(t, h)
@@ -35,8 +35,8 @@
 			if a.status != http.StatusOK || a.text != c.text || a.header.Get("Content-Type") != "text/x" {
 				t.Fatalf("answer %d, %d bytes, %v", a.status, len(a.text), a.header)
 			}
-			r := h.seen.next(t, "the request")
-			if r.Method != c.method || r.RequestURI != "/api?x=1" || r.text != c.text || r.Header.Get(headerID) != "id-1" ||
+			r := h.requests.next(t, "the request")
+			if r.Method != c.method || r.RequestURI != "/api?x=1" || r.body != c.text || r.Header.Get(headerID) != "id-1" ||
 				r.Header.Get("X-Own") != "kept" || r.Header.Get("X-Hop") != "" || r.Host != "api.internal" {
 				t.Errorf("the host got %s %s %v", r.Method, r.RequestURI, r.Header)
 			}
@@ -50,23 +50,23 @@
 
 // TestChunked: a body without a length goes on with one.
 func TestChunked(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h)
 	a := g.raw(message("write", "3\r\nabc\r\n0\r\n\r\n", "Content-Length: ", "Transfer-Encoding: chunked"))
-	if r := h.seen.next(t, "the request"); a.status != http.StatusOK || r.text != "abc" || r.ContentLength != 3 {
-		t.Fatalf("answer %d, the host got %q", a.status, r.text)
+	if r := h.requests.next(t, "the request"); a.status != http.StatusOK || r.body != "abc" || r.ContentLength != 3 {
+		t.Fatalf("answer %d, the host got %q", a.status, r.body)
 	}
 }
 
 // TestExpect: a client that waits for leave to send its body gets it.
 func TestExpect(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h, func(p *Proxy) { p.times.answer = 200 * time.Millisecond })
 	c := g.dial()
 	br := bufio.NewReader(c)
 	io.WriteString(c, message("read", "")) // the time to take this answer is long over when the next request comes
 	hear(t, br)
-	h.seen.next(t, "the first request")
+	h.requests.next(t, "the first request")
 	time.Sleep(250 * time.Millisecond)
 	head, text, _ := strings.Cut(message("write", "abc", "Expect: 100-continue"), "\r\n\r\n")
 	io.WriteString(c, head+"\r\n\r\n")
@@ -75,14 +75,14 @@
 	}
 	br.ReadString('\n')
 	io.WriteString(c, text)
-	if a := hear(t, br); a.status != http.StatusOK || h.seen.next(t, "the request").text != "abc" {
+	if a := hear(t, br); a.status != http.StatusOK || h.requests.next(t, "the request").body != "abc" {
 		t.Fatalf("answer %d", a.status)
 	}
 }
 
 // TestBadRequests: what is not a request gets one plain answer, neither 429 nor 503, and a close; nothing is sent.
 func TestBadRequests(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h)
 	for _, c := range []struct {
 		name, text string
@@ -143,7 +143,7 @@
 			conn.Close()
 		})
 	}
-	h.seen.none(t, "the host got a request")
+	h.requests.none(t, "the host got a request")
 	if a := g.raw(message("read", "")); a.status != http.StatusOK {
 		t.Fatalf("after all that a good request got %d", a.status)
 	}
@@ -151,7 +151,7 @@
 
 // TestTruncated: a request that never came whole was not taken; its connection ends without an answer.
 func TestTruncated(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h)
 	whole := message("write", "0123456789")
 	for _, cut := range []int{1, len(whole) / 2, len(whole) - 1} {
@@ -162,12 +162,12 @@
 			t.Errorf("cut at %d: answered %d", cut, a.status)
 		}
 	}
-	h.seen.none(t, "the host got a request")
+	h.requests.none(t, "the host got a request")
 }
 
 // TestSilentClients: a connection that brings nothing, or stops within a request, is closed in time.
 func TestSilentClients(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h, func(p *Proxy) { p.times.fresh = 20 * time.Millisecond })
 	for _, text := range []string{"", "GET /api", message("write", "ab", "Content-Length: 5")} {
 		c := g.dial()
@@ -183,11 +183,11 @@
 // TestSentEarly: a client that sends more before it is answered has broken the protocol; what is out for it is called
 // off, and the host gets nothing more.
 func TestSentEarly(t *testing.T) {
-	h := newHost(t, func(c net.Conn, r seenRequest) bool { return true }) // answers nothing
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool { return true }) // answers nothing
 	g := one(t, h)
 	c := g.dial()
 	io.WriteString(c, message("read", ""))
-	h.seen.next(t, "the request")
+	h.requests.next(t, "the request")
 	io.WriteString(c, message("read", ""))
 	br := bufio.NewReader(c)
 	if a := hear(t, br); a.status != http.StatusBadRequest || !a.last {
@@ -197,7 +197,7 @@
 		t.Fatalf("after it: %v", err)
 	}
 	h.ended.next(t, "the end of the attempt's connection")
-	h.seen.none(t, "sent on")
+	h.requests.none(t, "sent on")
 }
 
 // TestOpenID: a request with the id of one that is open is turned down before the module sees it; the first goes on, and
@@ -205,17 +205,17 @@
 func TestOpenID(t *testing.T) {
 	release := newGate()
 	defer release.open()
-	h := newHost(t, release.says(ok))
+	h := newFakeHost(t, release.respondWith(okResponse))
 	g := one(t, h)
 	first := g.dial()
 	io.WriteString(first, message("read", "", "X-Txn: a"))
-	h.seen.next(t, "the first request")
+	h.requests.next(t, "the first request")
 	for range 3 {
 		if a := g.raw(message("write", "x", "X-Txn: a")); a.status != http.StatusConflict || !a.last {
 			t.Fatalf("the same id got %+v", a)
 		}
 	}
-	h.seen.none(t, "the same id was sent on")
+	h.requests.none(t, "the same id was sent on")
 	release.open()
 	if a := hear(t, bufio.NewReader(first)); a.status != http.StatusOK {
 		t.Fatalf("the first got %d", a.status)
@@ -234,7 +234,7 @@
 
 // TestDripFed: bytes sent one by one renew no time limit, neither in a connection's first request nor in a further one.
 func TestDripFed(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h, func(p *Proxy) { p.times.fresh, p.times.head = 200*time.Millisecond, 200*time.Millisecond })
 	for _, served := range []bool{false, true} {
 		c := g.dial()
@@ -243,7 +243,7 @@
 			if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK {
 				t.Fatalf("the first request got %d", a.status)
 			}
-			h.seen.next(t, "it")
+			h.requests.next(t, "it")
 		}
 		go func() {
 			for _, b := range []byte(strings.Repeat("X-Pad: x\r\n", 1000)) {
@@ -257,7 +257,7 @@
 			t.Errorf("served before %v: still open", served)
 		}
 	}
-	h.seen.none(t, "sent on")
+	h.requests.none(t, "sent on")
 }
 
 // TestGivesWay: when all places are taken, a connection that has brought nothing goes before one that has begun a request,
@@ -265,11 +265,11 @@
 func TestGivesWay(t *testing.T) {
 	release := newGate()
 	defer release.open()
-	h := newHost(t, func(c net.Conn, r seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
 		if r.Method == http.MethodPost {
 			<-release.opened
 		}
-		return says(ok)(c, r)
+		return respondWith(okResponse)(c, r)
 	})
 	s := newScript()
 	s.request = sends("h1")
@@ -279,12 +279,12 @@
 	})
 	busy, idle, begun, silent := g.dial(), g.dial(), g.dial(), g.dial()
 	io.WriteString(busy, message("write", "x", "X-Remaining: 9000m"))
-	h.seen.next(t, "the request worked on")
+	h.requests.next(t, "the request worked on")
 	io.WriteString(idle, message("read", ""))
 	hear(t, bufio.NewReader(idle))
-	h.seen.next(t, "the request before")
+	h.requests.next(t, "the request before")
 	io.WriteString(begun, "GET /api HTTP/1.1\r\n")
-	for g.p.front.figures().Places.Held[places.Partial] == 0 { // until its first bytes are read
+	for g.p.front.stats().Places.Held[places.Partial] == 0 { // until its first bytes are read
 		time.Sleep(time.Millisecond)
 	}
 	for _, c := range []struct {
@@ -296,7 +296,7 @@
 		if !ended(c.conn) {
 			t.Fatalf("the %s one is still open", c.name)
 		}
-		h.seen.next(t, "the request that took its place")
+		h.requests.next(t, "the request that took its place")
 	}
 	release.open()
 	if a := hear(t, bufio.NewReader(busy)); a.status != http.StatusOK {
@@ -306,7 +306,7 @@
 
 // TestFlood: hundreds that connect and say nothing, or send what is no request, keep usual clients from nothing.
 func TestFlood(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h, func(p *Proxy) {
 		p.cfg.Site.Connections.Limit = 8
 		p.times.linger = 50 * time.Millisecond
@@ -326,7 +326,7 @@
 
 // TestKeepAlive: a connection carries one request after another.
 func TestKeepAlive(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h)
 	c := g.dial()
 	br := bufio.NewReader(c)
@@ -346,13 +346,13 @@
 func TestTooManyClients(t *testing.T) {
 	release := newGate()
 	defer release.open()
-	h := newHost(t, release.says(ok))
+	h := newFakeHost(t, release.respondWith(okResponse))
 	g := one(t, h, func(p *Proxy) { p.cfg.Site.Connections.Limit = 2 })
 	idle := g.dial()
 	busy := []net.Conn{g.dial(), g.dial()}
 	for _, c := range busy {
 		io.WriteString(c, message("read", "", "X-Remaining: 9000m"))
-		h.seen.next(t, "a request")
+		h.requests.next(t, "a request")
 	}
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the idle connection: %v", err)
@@ -360,7 +360,7 @@
 	if a := g.raw(message("write", "x")); a.status != http.StatusInternalServerError || !a.last {
 		t.Errorf("the one over the bound got %d", a.status)
 	}
-	h.seen.none(t, "it was sent")
+	h.requests.none(t, "it was sent")
 	release.open()
 	for _, c := range busy {
 		if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK {
@@ -383,7 +383,7 @@
 // TestSlowReader: a client that does not take its answer is cut off, and the buffers come back (checked at the end).
 func TestSlowReader(t *testing.T) {
 	large := strings.Repeat("x", wire.MaxBody)
-	h := newHost(t, says(httpOK(large)))
+	h := newFakeHost(t, respondWith(httpOK(large)))
 	g := one(t, h, func(p *Proxy) {
 		p.times.answer = 100 * time.Millisecond
 		listen := p.listen
@@ -395,7 +395,7 @@
 	c := g.dial()
 	c.(*net.TCPConn).SetReadBuffer(4096)
 	io.WriteString(c, message("read", ""))
-	h.seen.next(t, "the request")
+	h.requests.next(t, "the request")
 	eventually(t, "the client that takes nothing is cut off", g.nobodyHeld)
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -408,11 +408,11 @@
 
 // TestClientLeaves: when a client hangs up its attempt is called off by closing the connection to the host.
 func TestClientLeaves(t *testing.T) {
-	h := newHost(t, func(c net.Conn, r seenRequest) bool { return true }) // answers nothing
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool { return true }) // answers nothing
 	g := one(t, h)
 	c := g.dial()
 	io.WriteString(c, message("write", "x"))
-	h.seen.next(t, "the request")
+	h.requests.next(t, "the request")
 	c.Close()
 	if err := h.ended.next(t, "the end of the connection"); err == nil {
 		t.Fatal("the host ended it")
@@ -423,14 +423,14 @@
 // proxy's, always find a place for the next: what they do not use again is closed long before its idle time is over.
 func TestAskOnceAndKeep(t *testing.T) {
 	const own, asked = 40, 300
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h, func(p *Proxy) { p.cfg.Site.Connections.Limit = 48 })
 	places := make(chan struct{}, own)
 	for n := range asked {
 		select {
 		case places <- struct{}{}:
 		case <-time.After(patience):
-			t.Fatalf("request %d finds no place: %+v", n, g.p.front.figures())
+			t.Fatalf("request %d finds no place: %+v", n, g.p.front.stats())
 		}
 		c := g.dial()
 		io.WriteString(c, message("read", ""))
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -33,12 +33,12 @@
 	Known                   catalog // the list as last held before a restart; it may be old
 	Settings                *settings.Settings
 	Balancer                balancer.Config
-	zones                   *zones
+	zones                   *zoneTable
 	Site                    site.File // what the operator sets
 
-	keys   [][]byte   // of the fleet's words
-	file   configFile // as it was read
-	reread func() (*Config, error)
+	memberKeys [][]byte   // of the fleet's words
+	file       configFile // as it was read
+	reload     func() (*Config, error)
 }
 
 // Limits is what the machine of a client proxy grants it. Zero means that nothing was said.
@@ -49,15 +49,15 @@
 }
 
 const (
-	defaultSockets  = 1024
-	defaultMemoryMB = 192
-	spareSockets    = 48   // of the descriptors: listener, discovery, poller, standard streams, the operators' door (17), and some to spare
-	softMemory      = 0.75 // of the memory limit: from there on the garbage collector works harder
-	memoryPerClient = 2 * (wire.MaxBody + 2*wire.BufferSize)
-	memoryPerParked = 2 << 10 // of a connection that brings nothing
-	parkedShare     = 0.25    // of the soft limit, for them all
-	watcherShare    = 0.125   // of the memory limit, for goroutines that watch what is parked
-	shedReserve     = 32      // connections beyond the bound that still get an answer before they are closed
+	defaultSockets      = 1024
+	defaultMemoryMB     = 192
+	reservedDescriptors = 48   // of the descriptors: listener, discovery, poller, standard streams, the operators' door (17), and some to spare
+	softMemoryShare     = 0.75 // of the memory limit: from there on the garbage collector works harder
+	memoryPerRequest    = 2 * (wire.MaxBody + 2*wire.BufferSize)
+	memoryPerParkedConn = 2 << 10 // of a connection that brings nothing
+	parkedMemoryShare   = 0.25    // of the soft limit, for them all
+	watcherMemoryShare  = 0.125   // of the memory limit, for goroutines that watch what is parked
+	overflowConns       = 32      // connections beyond the bound that still get an answer before they are closed
 )
 
 // configFile is the file that PROXY_CONFIG names.
@@ -91,12 +91,12 @@
 			return nil, err
 		}
 		if file := c.Site.Members.KeyFile; c.Site.Failover.Mode == site.Common && file != "" {
-			if c.keys, err = member.LoadKeys(file); err != nil {
+			if c.memberKeys, err = member.LoadKeys(file); err != nil {
 				return nil, err
 			}
 		}
 	}
-	c.reread = func() (*Config, error) { return LoadConfig(getenv) }
+	c.reload = func() (*Config, error) { return LoadConfig(getenv) }
 	return c, nil
 }
 
@@ -137,8 +137,8 @@
 	}
 	c.Balancer.PeerMessages = false // the protocol has none
 	c.Balancer.AskForList = true    // and no list that comes unasked
-	c.zones = newZones(c.Settings.Dcs...)
-	c.zones.place(&c.Balancer, c.Settings)
+	c.zones = newZoneTable(c.Settings.Dcs...)
+	c.zones.setOwnZone(&c.Balancer, c.Settings)
 	if f.Known != nil && string(f.Known) != "null" {
 		if c.Known, err = parseCatalog(f.Known, c.zones); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
@@ -156,11 +156,11 @@
 	if text == "" {
 		return uint64(time.Now().UnixNano())
 	}
-	return hash(text)
+	return hashName(text)
 }
 
 // hash gives names a number that is the same in every proxy.
-func hash(text string) uint64 {
+func hashName(text string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(text))
 	return h.Sum64()
@@ -178,14 +178,14 @@
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(min(runtime.NumCPU(), int(math.Ceil(l.Cores))))
 	}
-	debug.SetMemoryLimit(int64(softMemory * float64(l.MemoryMB) * (1 << 20)))
+	debug.SetMemoryLimit(int64(softMemoryShare * float64(l.MemoryMB) * (1 << 20)))
 	debug.SetGCPercent(min(300, max(100, 100*l.MemoryMB/48)))
 }
 
 // shares says how many connections there may be in all, and how many of them are always clients' and always hosts'. Clients
 // may hold a third of the descriptors for requests, so that much is theirs.
-func (l Limits) shares() (total, clients, hosts int) {
-	total = max(2, l.Sockets-spareSockets-shedReserve)
+func (l Limits) connectionShares() (total, clients, hosts int) {
+	total = max(2, l.Sockets-reservedDescriptors-overflowConns)
 	clients = min(total-1, max(1, (l.Sockets+2)/3))
 	hosts = max(1, min(total-clients, l.Sockets/4))
 	return total, min(clients, total-hosts), hosts
@@ -193,14 +193,14 @@
 
 // connections says how many clients may be connected at the most, and how many of their requests may be read and worked on
 // at once. A client has one request at a time, so the last bounds the owner's queue and held bodies as well.
-func (l Limits) connections() (clients, requests int) {
-	total, _, hosts := l.shares()
-	memory := softMemory * float64(l.MemoryMB) * (1 << 20)
-	clients = max(1, min(total-hosts, int(parkedShare*memory/memoryPerParked)))
-	return clients, max(1, min(clients, int(memory/memoryPerClient)))
+func (l Limits) clientLimits() (clients, requests int) {
+	total, _, hosts := l.connectionShares()
+	memory := softMemoryShare * float64(l.MemoryMB) * (1 << 20)
+	clients = max(1, min(total-hosts, int(parkedMemoryShare*memory/memoryPerParkedConn)))
+	return clients, max(1, min(clients, int(memory/memoryPerRequest)))
 }
 
 // watchers says whether each of so many connections may have a goroutine that waits for it.
-func (l Limits) watchers(clients int) bool {
-	return float64(clients*park.WatcherStack) <= watcherShare*float64(l.MemoryMB)*(1<<20)
+func (l Limits) allowWatchers(clients int) bool {
+	return float64(clients*park.WatcherStack) <= watcherMemoryShare*float64(l.MemoryMB)*(1<<20)
 }
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -69,15 +69,15 @@
 // hold stays inside the memory.
 func TestConnectionBounds(t *testing.T) {
 	for _, l := range []Limits{{1, 192, 1024}, {1, 16, 1024}, {1, 192, 100}, {1, 192, 10}} {
-		clients, requests := l.connections()
-		total, least, hosts := l.shares()
+		clients, requests := l.clientLimits()
+		total, least, hosts := l.connectionShares()
 		if clients < 1 || least < 1 || hosts < 1 || requests < 1 || requests > clients {
 			t.Errorf("%+v: %d clients, %d requests, %d hosts", l, clients, requests, hosts)
 		}
-		if l.Sockets >= 100 && total+shedReserve+spareSockets > l.Sockets || least+hosts > total || clients+hosts > total {
+		if l.Sockets >= 100 && total+overflowConns+reservedDescriptors > l.Sockets || least+hosts > total || clients+hosts > total {
 			t.Errorf("%+v: %d clients and %d hosts are too many", l, clients, hosts)
 		}
-		if requests > 1 && requests*memoryPerClient+clients*memoryPerParked > l.MemoryMB<<20 {
+		if requests > 1 && requests*memoryPerRequest+clients*memoryPerParkedConn > l.MemoryMB<<20 {
 			t.Errorf("%+v: %d clients with %d requests may hold too much", l, clients, requests)
 		}
 	}
@@ -134,16 +134,16 @@
 	for _, sockets := range []int{256, 384, 1024} {
 		for _, memory := range []int{32, 64, 192} {
 			l := Limits{Sockets: sockets, MemoryMB: memory}
-			clients, requests := l.connections()
-			total, least, hosts := l.shares()
+			clients, requests := l.clientLimits()
+			total, least, hosts := l.connectionShares()
 			if least < sockets/3 || clients < least {
 				t.Errorf("%d descriptors, %d MB: %d clients", sockets, memory, clients)
 			}
-			if all := total + shedReserve + spareSockets; all > sockets || hosts < sockets/4 || least+hosts > total {
+			if all := total + overflowConns + reservedDescriptors; all > sockets || hosts < sockets/4 || least+hosts > total {
 				t.Errorf("%d descriptors: %d in all, %d for hosts", sockets, all, hosts)
 			}
-			if requests*memoryPerClient+clients*memoryPerParked > memory<<20 {
-				t.Errorf("%d MB: %d requests at %d bytes beside %d clients", memory, requests, memoryPerClient, clients)
+			if requests*memoryPerRequest+clients*memoryPerParkedConn > memory<<20 {
+				t.Errorf("%d MB: %d requests at %d bytes beside %d clients", memory, requests, memoryPerRequest, clients)
 			}
 		}
 	}
--- a/internal/proxy/figures.go
+++ b/internal/proxy/connection_stats.go
@@ -9,10 +9,10 @@
 	"beechwing/internal/places"
 )
 
-const reportEvery = time.Minute // at which what connections have done since is logged
+const statsInterval = time.Minute // at which what connections have done since is logged
 
 // frontFigures is what operators can read of a front.
-type frontFigures struct {
+type connectionStats struct {
 	Places places.Figures
 	Desk   places.DeskFigures
 	Warm   int // that wait for a further request with a goroutine
@@ -20,15 +20,15 @@
 	Hosts  int // connections to hosts
 }
 
-func (f *front) figures() frontFigures {
+func (f *front) stats() connectionStats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return frontFigures{Places: f.book.Figures(), Desk: f.desk.Figures(), Warm: f.warm,
+	return connectionStats{Places: f.book.Figures(), Desk: f.desk.Figures(), Warm: f.warm,
 		Limit: min(f.limits.connections, f.room.limit(places.Callers)), Hosts: f.room.hostCount()}
 }
 
 // MarshalLogObject words the figures for the log. Counters run from the start.
-func (g frontFigures) MarshalLogObject(e zapcore.ObjectEncoder) error {
+func (g connectionStats) MarshalLogObject(e zapcore.ObjectEncoder) error {
 	for k, n := range g.Places.Held {
 		if n > 0 {
 			e.AddInt(places.Kind(k).String(), n)
@@ -54,18 +54,18 @@
 }
 
 // reporter logs figures now and then, if anything has happened.
-type reporter struct {
+type statsReporter struct {
 	front *front
-	last  frontFigures
+	last  connectionStats
 	due   time.Time
 }
 
-func (r *reporter) look(now time.Time, atOnce bool) {
-	if !atOnce && now.Before(r.due) {
+func (r *statsReporter) reportIfDue(now time.Time, force bool) {
+	if !force && now.Before(r.due) {
 		return
 	}
-	r.due = now.Add(reportEvery)
-	if g := r.front.figures(); g != r.last {
+	r.due = now.Add(statsInterval)
+	if g := r.front.stats(); g != r.last {
 		r.last = g
 		r.front.log.Info("connections of clients", zap.Object("figures", g))
 	}
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -13,7 +13,7 @@
 )
 
 // descriptors counts what this process holds open.
-func descriptors(t testing.TB) int {
+func openDescriptors(t testing.TB) int {
 	t.Helper()
 	open, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -29,7 +29,7 @@
  {"id":"b","addr":"127.0.0.1:2","zone":"nowhere","state":"draining"},
  {"id":"c","state":"gone"}, {"id":"d","addr":"127.0.0.1:3","state":"confused"}, {"addr":"127.0.0.1:4","state":"ready"},
  {"id":"e","addr":"no address","state":"ready"}, 17, {"id":5}, null,
- {"id":"f","addr":"127.0.0.1:5","state":"ready","started_ms":-4, "novel": [1]}]}`), newZones("x", "y"))
+ {"id":"f","addr":"127.0.0.1:5","state":"ready","started_ms":-4, "novel": [1]}]}`), newZoneTable("x", "y"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 		}
 	}
 	for _, text := range []string{"", "[]", `{"servers":[]}`, `{"version":-1}`, `{"version":1,"servers":{}}`} {
-		if _, err := parseCatalog([]byte(text), newZones()); err == nil {
+		if _, err := parseCatalog([]byte(text), newZoneTable()); err == nil {
 			t.Errorf("%q passes for a list", text)
 		}
 	}
@@ -57,8 +57,8 @@
 // TestWatch: the list held before comes first, as a cached one; then one call that does not wait, and a watch whose
 // calls follow one another on one connection.
 func TestWatch(t *testing.T) {
-	h := newHost(t, says(ok))
-	l := newList(t, entry("h1", h.addr()))
+	h := newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	s := newScript()
 	start(t, l.addr(), listText(1, true, entry("old", h.addr())), s.decides)
 	if e := s.lists.next(t, "the cached list"); e.kind != balancer.ListCached || e.hosts[0].ID != hostID("old") {
@@ -88,14 +88,14 @@
 
 // TestFetch: the whole list, asked for once.
 func TestFetch(t *testing.T) {
-	h := newHost(t, says(ok))
-	l := newList(t, entry("h1", h.addr()))
+	h := newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	s := newScript()
 	g := start(t, l.addr(), "null", func(p *Proxy) {
-		p.decide = func(_ float64, _ balancer.Config, act balancer.Actions) balancer.Handler { return s }
+		p.newHandler = func(_ float64, _ balancer.Config, act balancer.Actions) balancer.Handler { return s }
 	})
 	s.lists.next(t, "the cached list")
-	g.p.owner.post(inside(func(o *owner) { o.Fetch() }))
+	g.p.owner.post(ownerFunc(func(o *owner) { o.Fetch() }))
 	if e := s.lists.next(t, "the list"); e.kind != balancer.ListFull || len(e.hosts) != 1 {
 		t.Fatalf("event %+v", e)
 	}
@@ -103,7 +103,7 @@
 		t.Fatalf("call %s", call)
 	}
 	l.close()
-	g.p.owner.post(inside(func(o *owner) { o.Fetch() }))
+	g.p.owner.post(ownerFunc(func(o *owner) { o.Fetch() }))
 	if e := s.lists.next(t, "word of the failure"); e.kind != balancer.ListFailed {
 		t.Fatalf("event %+v", e)
 	}
@@ -121,14 +121,14 @@
 		{"no entry that can be used", httpOK(listText(6, true, entry("h1", "nowhere")))},
 		{"unavailable", "HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n"},
 		{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{"},
-		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxList)},
-		{"endless body", "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n" + strings.Repeat(" ", maxList)},
+		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxListBytes)},
+		{"endless body", "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n" + strings.Repeat(" ", maxListBytes)},
 		{"closed", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHost(t, says(ok))
-			l := newList(t, entry("h1", h.addr()))
-			l.version, l.raw = 5, []string{c.raw}
+			h := newFakeHost(t, respondWith(okResponse))
+			l := newFakeDiscovery(t, entry("h1", h.addr()))
+			l.version, l.rawAnswers = 5, []string{c.raw}
 			s := newScript()
 			s.request = sends("h1")
 			g := start(t, l.addr(), listText(5, true, entry("h1", h.addr())), s.decides)
@@ -139,7 +139,7 @@
 			if a := g.raw(message("read", "")); a.status != 200 {
 				t.Fatalf("with the list held before: answered %d", a.status)
 			}
-			g.p.owner.post(inside(func(o *owner) { o.Watch() }))
+			g.p.owner.post(ownerFunc(func(o *owner) { o.Watch() }))
 			if e := s.lists.next(t, "the next answer"); e.kind != balancer.ListChanges {
 				t.Fatalf("event %+v", e)
 			}
@@ -149,7 +149,7 @@
 
 // TestSilentDiscovery: a call that is not answered fails in time; one that cannot connect fails too.
 func TestSilentDiscovery(t *testing.T) {
-	quiet := newToy(t, func(c net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) })
+	quiet := newFakeServer(t, func(c net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) })
 	s := newScript()
 	start(t, quiet.addr(), listText(5, true, entry("h1", "127.0.0.1:1")), s.decides,
 		func(p *Proxy) { p.times.call = 50 * time.Millisecond })
@@ -167,9 +167,9 @@
 
 // TestSpentConnection: where discovery closes after an answer the watch goes on with a new connection.
 func TestSpentConnection(t *testing.T) {
-	h := newHost(t, says(ok))
-	l := newList(t, entry("h1", h.addr()))
-	l.raw = []string{strings.Replace(httpOK(listText(1, true, entry("h1", h.addr()))), "\r\n", "\r\nConnection: close\r\n", 1)}
+	h := newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
+	l.rawAnswers = []string{strings.Replace(httpOK(listText(1, true, entry("h1", h.addr()))), "\r\n", "\r\nConnection: close\r\n", 1)}
 	s := newScript()
 	start(t, l.addr(), "null", s.decides)
 	s.lists.next(t, "the cached list")
@@ -185,9 +185,9 @@
 // TestSpentInALargeFleet: one of many proxies pauses between its calls once one has failed. A discovery that closes the
 // connection with its answer is no failing one, and the call that leaves the watch goes out on a new connection.
 func TestSpentInALargeFleet(t *testing.T) {
-	h := newHost(t, says(ok))
-	l := newList(t, entry("h1", h.addr()))
-	l.raw = []string{"HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n",
+	h := newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
+	l.rawAnswers = []string{"HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n",
 		strings.Replace(httpOK(listText(1, true, entry("h1", h.addr()))), "\r\n", "\r\nConnection: close\r\n", 1)}
 	s := newScript()
 	g := start(t, l.addr(), "null", s.decides, func(p *Proxy) { p.cfg.Balancer.Balancers, p.cfg.Balancer.AskWithin = 80, 1 })
@@ -195,7 +195,7 @@
 	if e := s.lists.next(t, "word of the failure"); e.kind != balancer.ListFailed {
 		t.Fatalf("event %+v", e)
 	}
-	g.p.owner.post(inside(func(o *owner) { o.Watch() }))
+	g.p.owner.post(ownerFunc(func(o *owner) { o.Watch() }))
 	for _, want := range []balancer.ListKind{balancer.ListFull, balancer.ListChanges} {
 		if e := s.lists.next(t, "an answer"); e.kind != want {
 			t.Fatalf("event %+v, not of kind %d", e, want)
@@ -205,9 +205,9 @@
 
 // TestModuleAsksAgain: with the module in charge a failed call is followed by another without anybody's help.
 func TestModuleAsksAgain(t *testing.T) {
-	h := newHost(t, says(ok))
-	l := newList(t, entry("h1", h.addr()))
-	l.raw = []string{"", "nonsense\r\n\r\n"}
+	h := newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
+	l.rawAnswers = []string{"", "nonsense\r\n\r\n"}
 	g := start(t, l.addr(), "null", func(p *Proxy) { p.cfg.Balancer.AskWithin = 0.2 })
 	g.waitReady()
 	for range 3 {
@@ -218,12 +218,12 @@
 // TestSilentWatch: a watch that falls silent is told as a failure, and asked anew on another connection at once; what
 // has changed meanwhile comes with the first answer there.
 func TestSilentWatch(t *testing.T) {
-	h := newHost(t, says(ok))
-	l := newList(t, entry("h1", h.addr()))
+	h := newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	s := newScript()
 	start(t, l.addr(), listText(1, true, entry("h1", h.addr())), s.decides, func(p *Proxy) {
 		p.cfg.Balancer.AskWithin, p.times.watch = 0.001, 50*time.Millisecond // waits a second
-		l.deaf = 1
+		l.unansweredWatches = 1
 	})
 	for _, want := range []balancer.ListKind{balancer.ListCached, balancer.ListChanges, balancer.ListFailed,
 		balancer.ListFull} {
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -51,7 +51,7 @@
 // An id that is open already is some other request's: with both out, a host could not tell them apart.
 func (e arrival) apply(o *owner) {
 	q := e.request
-	if o.open[q.name] {
+	if o.openIDs[q.name] {
 		q.answer <- badRequest{http.StatusConflict, "a request with this id is open"}.answer()
 		freeRequest(o.bufs, q)
 		return
@@ -63,21 +63,21 @@
 			return
 		}
 	}
-	o.open[q.name] = true
+	o.openIDs[q.name] = true
 	o.lastID++
 	q.ID = o.lastID
 	now := o.clock.now()
 	q.Budget = max(0, q.Budget-time.Since(q.taken).Seconds()) // it may have waited in the queue
-	if o.endBy > 0 {
-		q.Budget = max(0, min(q.Budget, o.endBy-now))
+	if o.endsAt > 0 {
+		q.Budget = max(0, min(q.Budget, o.endsAt-now))
 	}
-	o.flights[q.ID] = &flight{request: q, deadline: now + q.Budget, most: o.cfg.MaxAttempts}
-	o.sight.took(now)
+	o.pending[q.ID] = &pendingRequest{request: q, deadline: now + q.Budget, maxAttempts: o.cfg.MaxAttempts}
+	o.zoneObserver.requestReceived(now)
 	o.bal.Request(now, q.Request)
 }
 
 func (e departure) apply(o *owner) {
-	f := o.flights[e.request.ID]
+	f := o.pending[e.request.ID]
 	if f == nil {
 		return
 	}
@@ -85,41 +85,41 @@
 		f.leave()
 		return
 	}
-	o.conclude(f, e.answer)
+	o.complete(f, e.answer)
 	o.bal.ClientLeft(o.clock.now(), e.request.ID)
-	o.drop(f)
+	o.release(f)
 }
 
 func (e outcome) apply(o *owner) {
 	a := e.attempt
-	f := o.flights[a.request.ID]
+	f := o.pending[a.request.ID]
 	if line := o.log.Check(zap.DebugLevel, "attempt"); line != nil {
 		line.Write(zap.String("id", a.request.name), zap.Int("class", a.request.Class), zap.Int("attempt", a.number),
 			zap.String("host", fmt.Sprintf("%x", a.host)), zap.Stringer("result", e.result), zap.Int("status", e.reply.status),
 			zap.Float64("took", o.clock.now()-a.sent), zap.NamedError("cause", e.reply.err))
 	}
 	a.over = true
-	f.out--
+	f.outstanding--
 	switch {
 	case f.answered:
 	case e.result == balancer.OK:
-		o.conclude(f, answer{status: http.StatusOK, kind: e.reply.kind, body: e.reply.body})
+		o.complete(f, answer{status: http.StatusOK, kind: e.reply.kind, body: e.reply.body})
 		e.reply.body = wire.Body{}
 	case e.result == balancer.Errored && atFault(e.reply.status):
-		o.conclude(f, answer{status: e.reply.status, text: "a host cannot use the request\n"})
+		o.complete(f, answer{status: e.reply.status, text: "a host cannot use the request\n"})
 		e.result = balancer.Cancelled // says nothing about the host, and no other would take it
 	}
 	o.bufs.FreeBody(&e.reply.body)
 	now := o.clock.now()
 	took := cmp.Or(a.begunAt, now) - a.sent
-	o.sight.ended(now, took, a, e.result, o.cfg.Classes)
+	o.zoneObserver.attemptEnded(now, took, a, e.result, o.cfg.Classes)
 	o.bal.Outcome(now, balancer.Outcome{ID: a.request.ID, Attempt: a.number, Host: a.host, Result: e.result,
 		Took: took, Final: f.answered, Report: e.reply.report})
-	o.drop(f)
+	o.release(f)
 }
 
 func (e probed) apply(o *owner) {
-	o.probes--
+	o.pendingProbes--
 	now := o.clock.now()
 	o.bal.Probed(now, balancer.ProbeResult{Host: e.host, Result: e.result, Took: now - e.sent, Report: e.report})
 }
@@ -128,14 +128,14 @@
 	now := o.clock.now()
 	list := e.list
 	if e.kind != balancer.ListFailed {
-		list = o.roll.take(e.kind, e.list)
+		list = o.registry.update(e.kind, e.list)
 		o.hosts.update(e.kind, list, now)
-		o.sight.listed(e.kind, list)
+		o.zoneObserver.updateHosts(e.kind, list)
 	}
 	o.bal.UpdateHosts(now, e.kind, list.hosts)
-	o.look(now)
+	o.refreshHostStats(now)
 	if len(list.hosts) > 0 && !o.ready.Swap(true) {
-		close(o.known)
+		close(o.hostsKnown)
 	}
 	if e.kind == balancer.ListFull || e.kind == balancer.ListChanges {
 		o.told()
@@ -145,10 +145,10 @@
 // told notes that discovery has told of the list.
 func (o *owner) told() {
 	select {
-	case <-o.fresh:
+	case <-o.listReceived:
 	default:
 		if o.ready.Load() {
-			close(o.fresh)
+			close(o.listReceived)
 		}
 	}
 }
@@ -171,9 +171,9 @@
 // ending is word that the process ends at a time: what it still takes has to be answered by then.
 type ending struct{ by float64 }
 
-func (e ending) apply(o *owner) { o.endBy = e.by }
+func (e ending) apply(o *owner) { o.endsAt = e.by }
 
 // dropped looks, once the module has returned, whether a flight has ended.
-type dropped struct{ flight *flight }
+type dropped struct{ flight *pendingRequest }
 
-func (e dropped) apply(o *owner) { o.drop(e.flight) }
+func (e dropped) apply(o *owner) { o.release(e.flight) }
--- a/internal/proxy/toys_test.go
+++ b/internal/proxy/fakes_test.go
@@ -15,7 +15,7 @@
 )
 
 // toy accepts connections and serves each with serve until it is closed.
-type toy struct {
+type fakeServer struct {
 	ln    net.Listener
 	serve func(c net.Conn, br *bufio.Reader)
 	wg    sync.WaitGroup
@@ -24,19 +24,19 @@
 	open  map[net.Conn]bool
 }
 
-func newToy(t testing.TB, serve func(c net.Conn, br *bufio.Reader)) *toy {
+func newFakeServer(t testing.TB, serve func(c net.Conn, br *bufio.Reader)) *fakeServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &toy{ln: ln, serve: serve, open: map[net.Conn]bool{}, done: make(chan struct{})}
+	s := &fakeServer{ln: ln, serve: serve, open: map[net.Conn]bool{}, done: make(chan struct{})}
 	s.wg.Go(s.run)
 	t.Cleanup(s.close)
 	return s
 }
 
-func (s *toy) run() {
+func (s *fakeServer) run() {
 	for {
 		c, err := s.ln.Accept()
 		if err != nil {
@@ -55,9 +55,9 @@
 	}
 }
 
-func (s *toy) addr() string { return s.ln.Addr().String() }
+func (s *fakeServer) addr() string { return s.ln.Addr().String() }
 
-func (s *toy) close() {
+func (s *fakeServer) close() {
 	if s.ln.Close() == nil { // not closed before
 		close(s.done)
 	}
@@ -70,37 +70,37 @@
 }
 
 // seenRequest is a request as a host got it.
-type seenRequest struct {
+type receivedRequest struct {
 	*http.Request
-	text  string // body
-	again bool   // not the first on its connection
+	body       string // body
+	reusedConn bool   // not the first on its connection
 }
 
 // toyHost is a host. answer is called for each whole request, one at a time on each connection, and says whether the
 // connection goes on.
-type toyHost struct {
-	*toy
-	seen  watched[seenRequest]
-	ended watched[error] // what ended each connection
+type fakeHost struct {
+	*fakeServer
+	requests watched[receivedRequest]
+	ended    watched[error] // what ended each connection
 }
 
-func newHost(t testing.TB, answer func(c net.Conn, r seenRequest) bool) *toyHost {
+func newFakeHost(t testing.TB, answer func(c net.Conn, r receivedRequest) bool) *fakeHost {
 	t.Helper()
-	h := &toyHost{seen: make(watched[seenRequest], 4096), ended: make(watched[error], 4096)}
-	h.toy = newToy(t, func(c net.Conn, br *bufio.Reader) {
-		for again := false; ; again = true {
+	h := &fakeHost{requests: make(watched[receivedRequest], 4096), ended: make(watched[error], 4096)}
+	h.fakeServer = newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
+		for reused := false; ; reused = true {
 			r, err := http.ReadRequest(br)
 			if err != nil {
 				h.ended <- err
 				return
 			}
-			text, err := io.ReadAll(r.Body)
+			body, err := io.ReadAll(r.Body)
 			if err != nil {
 				h.ended <- err
 				return
 			}
-			q := seenRequest{r, string(text), again}
-			h.seen <- q
+			q := receivedRequest{r, string(body), reused}
+			h.requests <- q
 			if !answer(c, q) {
 				h.ended <- nil
 				return
@@ -111,11 +111,11 @@
 }
 
 // ok is the answer of a host that serves.
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
 
 // says answers every request with raw bytes.
-func says(raw string) func(net.Conn, seenRequest) bool {
-	return func(c net.Conn, _ seenRequest) bool {
+func respondWith(raw string) func(net.Conn, receivedRequest) bool {
+	return func(c net.Conn, _ receivedRequest) bool {
 		_, err := io.WriteString(c, raw)
 		return err == nil
 	}
@@ -128,10 +128,10 @@
 }
 
 // says answers as the function of that name does, once the gate is open.
-func (g *gate) says(raw string) func(net.Conn, seenRequest) bool {
-	return func(c net.Conn, r seenRequest) bool {
+func (g *gate) respondWith(raw string) func(net.Conn, receivedRequest) bool {
+	return func(c net.Conn, r receivedRequest) bool {
 		<-g.opened
-		return says(raw)(c, r)
+		return respondWith(raw)(c, r)
 	}
 }
 
@@ -140,7 +140,7 @@
 func (g *gate) open() { g.once.Do(func() { close(g.opened) }) }
 
 // resets ends a connection with a reset.
-func resets(c net.Conn) {
+func resetConn(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
@@ -177,22 +177,22 @@
 }
 
 // toyList is discovery. A watch is answered with the whole list once there is a newer one.
-type toyList struct {
-	*toy
+type fakeDiscovery struct {
+	*fakeServer
 	calls watched[string]
 
-	mu      sync.Mutex
-	version int
-	entries []listEntry
-	changed chan struct{}
-	deaf    int      // watches that are not answered
-	raw     []string // answers to the next calls, in place of the list; "" ends the connection
+	mu                sync.Mutex
+	version           int
+	entries           []listEntry
+	changed           chan struct{}
+	unansweredWatches int      // watches that are not answered
+	rawAnswers        []string // answers to the next calls, in place of the list; "" ends the connection
 }
 
-func newList(t testing.TB, entries ...listEntry) *toyList {
+func newFakeDiscovery(t testing.TB, entries ...listEntry) *fakeDiscovery {
 	t.Helper()
-	l := &toyList{calls: make(watched[string], 4096), version: 1, entries: entries, changed: make(chan struct{})}
-	l.toy = newToy(t, func(c net.Conn, br *bufio.Reader) {
+	l := &fakeDiscovery{calls: make(watched[string], 4096), version: 1, entries: entries, changed: make(chan struct{})}
+	l.fakeServer = newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
 			if err != nil {
@@ -211,23 +211,23 @@
 	return l
 }
 
-func (l *toyList) answer(c net.Conn, r *http.Request) string {
+func (l *fakeDiscovery) answer(c net.Conn, r *http.Request) string {
 	l.mu.Lock()
-	if len(l.raw) > 0 {
-		raw := l.raw[0]
-		l.raw = l.raw[1:]
+	if len(l.rawAnswers) > 0 {
+		raw := l.rawAnswers[0]
+		l.rawAnswers = l.rawAnswers[1:]
 		l.mu.Unlock()
 		return raw
 	}
 	since, err := strconv.Atoi(r.URL.Query().Get("since"))
 	ms, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
-	deaf := l.deaf > 0 && ms > 1
-	if deaf {
-		l.deaf--
+	ignored := l.unansweredWatches > 0 && ms > 1
+	if ignored {
+		l.unansweredWatches--
 	}
 	changed, newer := l.changed, err != nil || l.version > since
 	l.mu.Unlock()
-	if deaf {
+	if ignored {
 		<-l.done
 		return ""
 	}
@@ -246,7 +246,7 @@
 }
 
 // set makes a new version of the list.
-func (l *toyList) set(entries ...listEntry) {
+func (l *fakeDiscovery) set(entries ...listEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version++
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -60,7 +60,7 @@
 
 // FuzzReply: whatever a host answers is an outcome, and only its own word proves that nothing has run.
 func FuzzReply(f *testing.F) {
-	for _, text := range []string{"", "HTTP", ok, ok + ok, httpOK(""), "HTTP/1.1 103 E\r\n\r\n" + ok,
+	for _, text := range []string{"", "HTTP", okResponse, okResponse + okResponse, httpOK(""), "HTTP/1.1 103 E\r\n\r\n" + okResponse,
 		"HTTP/1.1 503 S\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nX-Pressure: {\"util\":1}\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"} {
 		f.Add([]byte(text))
@@ -106,7 +106,7 @@
 	f.Add([]byte(listText(3, true, entry("a", "127.0.0.1:1"))))
 	f.Add([]byte(`{"version":1,"servers":[{"id":"a","state":"gone"},null,5]}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		c, err := parseCatalog(in, newZones("a"))
+		c, err := parseCatalog(in, newZoneTable("a"))
 		if err == nil && len(c.hosts) != len(c.addrs) {
 			t.Fatal("hosts and addresses do not match")
 		}
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -127,9 +127,9 @@
 }
 
 // one starts a proxy with a single host.
-func one(t testing.TB, h *toyHost, change ...func(*Proxy)) *rig {
+func one(t testing.TB, h *fakeHost, change ...func(*Proxy)) *rig {
 	t.Helper()
-	l := newList(t, entry("h1", h.addr()))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	g := start(t, l.addr(), "null", change...)
 	g.waitReady()
 	return g
@@ -165,7 +165,7 @@
 // nobodyHeld says whether the proxy holds no connection of a client.
 func (g *rig) nobodyHeld() bool {
 	n := 0
-	for _, held := range g.p.front.figures().Places.Held {
+	for _, held := range g.p.front.stats().Places.Held {
 		n += held
 	}
 	return n == 0
--- a/internal/proxy/hosts_test.go
+++ b/internal/proxy/hosts_test.go
@@ -14,7 +14,7 @@
 
 // TestDrainWhileQueued: word of a drain comes while attempts wait for a connection. Past the grace none is written.
 func TestDrainWhileQueued(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	s := newScript()
 	s.request = sends("h1")
 	g := one(t, h, s.decides)
@@ -37,17 +37,17 @@
 		}
 	}
 	wg.Wait()
-	h.seen.none(t, "something was written to a draining host")
+	h.requests.none(t, "something was written to a draining host")
 }
 
 // TestDrained: once the list says that a host drains it gets nothing new, and its idle connections are closed.
 func TestDrained(t *testing.T) {
-	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
-	l := newList(t, entry("h1", h1.addr()))
+	h1, h2 := newFakeHost(t, respondWith(okResponse)), newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h1.addr()))
 	g := start(t, l.addr(), "null", func(p *Proxy) { p.cfg.Settings.Limits.ConnIdleS = 1000 })
 	g.waitReady()
 	g.raw(message("read", ""))
-	h1.seen.next(t, "a request")
+	h1.requests.next(t, "a request")
 	drains := entry("h1", h1.addr())
 	drains.State = "draining"
 	l.set(drains, entry("h2", h2.addr()))
@@ -60,29 +60,29 @@
 			t.Fatalf("answered %d", a.status)
 		}
 	}
-	h1.seen.none(t, "the draining host got a request")
+	h1.requests.none(t, "the draining host got a request")
 }
 
 // TestMovedHost: a host that comes back under another address is reached there, and only there.
 func TestMovedHost(t *testing.T) {
-	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
-	l := newList(t, entry("h", h1.addr()))
+	h1, h2 := newFakeHost(t, respondWith(okResponse)), newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h", h1.addr()))
 	g := start(t, l.addr(), "null")
 	g.waitReady()
 	g.raw(message("read", ""))
-	h1.seen.next(t, "a request at the first address")
+	h1.requests.next(t, "a request at the first address")
 	l.set(entry("h", h2.addr()))
 	g.settled(l)
 	if a := g.raw(message("read", "")); a.status != http.StatusOK {
 		t.Fatalf("answered %d", a.status)
 	}
-	h2.seen.next(t, "a request at the second address")
-	h1.seen.none(t, "a request at the first address")
+	h2.requests.next(t, "a request at the second address")
+	h1.requests.none(t, "a request at the first address")
 }
 
 // TestIdleRetired: an idle connection is closed before the host would.
 func TestIdleRetired(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h, func(p *Proxy) { p.cfg.Settings.Limits.ConnIdleS = 0.02 })
 	g.raw(message("read", ""))
 	if err := h.ended.next(t, "the end of the idle connection"); !errors.Is(err, io.EOF) {
@@ -92,12 +92,12 @@
 
 // TestFewDescriptors: with all places for connections to hosts taken by idle ones, the oldest makes room.
 func TestFewDescriptors(t *testing.T) {
-	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
+	h1, h2 := newFakeHost(t, respondWith(okResponse)), newFakeHost(t, respondWith(okResponse))
 	s := newScript()
 	s.request = func(s *script, r balancer.Request) { s.act.Send(r.ID, balancer.HostID(r.Key), 0) } // hashed alike
-	l := newList(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
+	l := newFakeDiscovery(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
 	g := start(t, l.addr(), "null", s.decides, func(p *Proxy) {
-		p.cfg.Limits.Sockets = spareSockets + shedReserve + 2 // one to hosts
+		p.cfg.Limits.Sockets = reservedDescriptors + overflowConns + 2 // one to hosts
 	})
 	g.waitReady()
 	c := g.dial() // one for all: the bound holds for clients too, and one that has just left may still count
@@ -113,7 +113,7 @@
 // TestNamesAlike: the number of a host depends on its name only, so that all proxies rank hosts alike.
 func TestNamesAlike(t *testing.T) {
 	read := func(addr string) balancer.HostID {
-		c, err := parseCatalog([]byte(listText(1, true, entry("s-5be2a07c", addr))), newZones())
+		c, err := parseCatalog([]byte(listText(1, true, entry("s-5be2a07c", addr))), newZoneTable())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -48,7 +48,7 @@
 // comeToDesk reads what a connection brings, or lets it wait for that. mu is held.
 func (f *front) comeToDesk(now time.Duration, c *client) {
 	if f.desk.Come(now, &c.turn, c) == places.Wait {
-		ask(f.kick)
+		signal(f.kick)
 		return
 	}
 	go c.serve(places.Serve, 0)
@@ -118,7 +118,7 @@
 	f.book.Leave(&c.seat)
 	f.room.clients(f.book.Count())
 	f.mu.Unlock()
-	ask(f.space)
+	signal(f.space)
 	f.wg.Done()
 }
 
@@ -127,12 +127,12 @@
 func (f *front) keep() {
 	timer := time.NewTimer(keepEvery)
 	defer timer.Stop()
-	report := reporter{front: f, due: time.Now().Add(reportEvery)}
+	report := statsReporter{front: f, due: time.Now().Add(statsInterval)}
 	collect := collector{due: time.Now().Add(quietSpan)}
 	for {
 		select {
 		case <-f.ended:
-			report.look(time.Now(), true)
+			report.reportIfDue(time.Now(), true)
 			return
 		case <-f.kick:
 		case <-timer.C:
@@ -143,7 +143,7 @@
 		f.takeBack()
 		f.endNamed()
 		now := time.Now()
-		report.look(now, false)
+		report.reportIfDue(now, false)
 		collect.look(now, f)
 		timer.Reset(f.turns())
 	}
@@ -167,7 +167,7 @@
 		return
 	}
 	c.due = now.Add(quietSpan)
-	g := f.figures().Places
+	g := f.stats().Places
 	n := g.Entered + g.Reused
 	if n-c.seen < quietMost && n-c.tidied > rushLeast {
 		c.tidied = n
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -48,7 +48,7 @@
 
 // parked is how many idle connections wait without a goroutine.
 func (g *rig) parked() int {
-	f := g.p.front.figures()
+	f := g.p.front.stats()
 	return f.Places.Held[places.Once] + f.Places.Held[places.Often] + f.Places.Held[places.Trial] - f.Warm - f.Desk.Serving
 }
 
@@ -56,7 +56,7 @@
 	g.t.Helper()
 	for end := time.Now().Add(patience); !true(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			g.t.Fatalf("waited in vain until %s: %+v", what, g.p.front.figures())
+			g.t.Fatalf("waited in vain until %s: %+v", what, g.p.front.stats())
 		}
 	}
 }
@@ -67,8 +67,8 @@
 		{MemoryMB: 64, Sockets: 384}: true, {MemoryMB: 32, Sockets: 1024}: true, {MemoryMB: 192, Sockets: 12000}: false,
 		{MemoryMB: 16, Sockets: 1024}: false,
 	} {
-		clients, _ := l.connections()
-		if got := l.watchers(clients); got != want {
+		clients, _ := l.clientLimits()
+		if got := l.allowWatchers(clients); got != want {
 			t.Errorf("%+v, %d clients: %t", l, clients, got)
 		}
 	}
@@ -76,7 +76,7 @@
 
 // TestParkedCost: of many an idle connection has neither a goroutine nor a buffer, and is served like any other when it wakes.
 func TestParkedCost(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h, desks, func(p *Proxy) { p.cfg.Limits.MemoryMB = 16 }) // too little for a goroutine each
 	g.crowd(1)
 	goroutines, buffers := runtime.NumGoroutine(), g.p.bufs.Live()
@@ -95,14 +95,14 @@
 // served or refused with a time to come back, and nothing runs twice.
 func TestWave(t *testing.T) {
 	const many = 300
-	h := newHost(t, func(c net.Conn, r seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
 		time.Sleep(time.Millisecond)
-		return says(ok)(c, r)
+		return respondWith(okResponse)(c, r)
 	})
 	g := one(t, h, desks, func(p *Proxy) { p.cfg.Limits.MemoryMB = 16 }) // 64 requests at once
 	conns := g.crowd(many)
 	for range many {
-		h.seen.next(t, "the first requests")
+		h.requests.next(t, "the first requests")
 	}
 	var wg sync.WaitGroup
 	got := make(chan heard, many)
@@ -124,8 +124,8 @@
 		t.Errorf("answers by status: %v", count)
 	}
 	seen := map[string]bool{}
-	for len(h.seen) > 0 {
-		id := (<-h.seen).Header.Get(headerID)
+	for len(h.requests) > 0 {
+		id := (<-h.requests).Header.Get(headerID)
 		if seen[id] {
 			t.Errorf("%s ran twice", id)
 		}
@@ -140,19 +140,19 @@
 func TestBusyDesk(t *testing.T) {
 	release := newGate()
 	defer release.open()
-	h := newHost(t, func(c net.Conn, r seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
 		<-release.opened
-		return says(ok)(c, r)
+		return respondWith(okResponse)(c, r)
 	})
 	s := newScript()
 	s.request = sends("h1")
 	g := one(t, h, s.decides, desks, func(p *Proxy) { p.cfg.Limits.MemoryMB = 1 }) // three requests at once
-	most := g.p.front.figures().Desk.Most
+	most := g.p.front.stats().Desk.Most
 	busy := make([]net.Conn, most)
 	for i := range busy {
 		busy[i] = g.dial()
 		io.WriteString(busy[i], message("write", "x", "X-Remaining: 9000m"))
-		h.seen.next(t, "a request")
+		h.requests.next(t, "a request")
 	}
 	c := g.dial()
 	br := bufio.NewReader(c)
@@ -162,7 +162,7 @@
 			t.Fatalf("answer %+v", a)
 		}
 	}
-	h.seen.none(t, "a refused request was sent")
+	h.requests.none(t, "a refused request was sent")
 	release.open()
 	for _, c := range busy {
 		if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK {
@@ -174,10 +174,10 @@
 // TestCloseCrossesRequest: a connection is told to end with a request whole in its socket, which nobody has seen yet. It is
 // served, and told that the connection ends.
 func TestCloseCrossesRequest(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h, desks)
 	c := g.crowd(1)[0]
-	h.seen.next(t, "its first request")
+	h.requests.next(t, "its first request")
 	f := g.p.front
 	f.mu.Lock() // the report of the request waits for it
 	held := f.book.Held(places.Once)
@@ -192,14 +192,14 @@
 	if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK || !a.last {
 		t.Fatalf("answer %+v", a)
 	}
-	h.seen.next(t, "the request")
-	h.seen.none(t, "it ran twice")
+	h.requests.next(t, "the request")
+	h.requests.none(t, "it ran twice")
 }
 
 // TestExpireTogether: many idle times are over at once, while the proxy is told to end and requests come. All of these
 // are answered.
 func TestExpireTogether(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h, desks, func(p *Proxy) { p.times.drain = 300 * time.Millisecond })
 	g.crowd(400)
 	f := g.p.front
@@ -216,7 +216,7 @@
 			t.Fatalf("request %d got %d", i, a.status)
 		}
 	}
-	g.await("the idle ones are gone", func() bool { return f.figures().Places.Callers <= 1 })
+	g.await("the idle ones are gone", func() bool { return f.stats().Places.Callers <= 1 })
 	g.stop()
 }
 
@@ -291,17 +291,17 @@
 func TestLoweredLimit(t *testing.T) {
 	release := newGate()
 	defer release.open()
-	h := newHost(t, func(c net.Conn, r seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
 		if r.Method == http.MethodPost {
 			<-release.opened
 		}
-		return says(ok)(c, r)
+		return respondWith(okResponse)(c, r)
 	})
 	g := one(t, h, desks)
 	g.crowd(50)
 	busy := g.dial()
 	io.WriteString(busy, message("write", "x", "X-Remaining: 9000m"))
-	g.await("it is worked on", func() bool { return g.p.front.figures().Places.Held[places.Active] == 1 })
+	g.await("it is worked on", func() bool { return g.p.front.stats().Places.Held[places.Active] == 1 })
 	path := filepath.Join(t.TempDir(), "site.toml")
 	reread := func() (*Config, error) {
 		c := *g.p.cfg
@@ -309,18 +309,18 @@
 		c.Site, err = site.Load(path)
 		return &c, err
 	}
-	g.p.cfg.reread = reread
+	g.p.cfg.reload = reread
 	os.WriteFile(path, []byte("[connections]\ncallers = \"address\"\nlimit = -5\n"), 0o600)
-	if err := g.p.adopt(); err == nil || g.p.front.figures().Places.Most < 50 {
+	if err := g.p.reloadConfig(); err == nil || g.p.front.stats().Places.Most < 50 {
 		t.Fatalf("a broken file: %v", err)
 	}
 	os.WriteFile(path, []byte("[connections]\ncallers = \"address\"\nlimit = 10\n"), 0o600)
-	if err := g.p.adopt(); err != nil {
+	if err := g.p.reloadConfig(); err != nil {
 		t.Fatal(err)
 	}
 	g.await("ten are left", func() bool {
 		held := 0
-		for _, n := range g.p.front.figures().Places.Held {
+		for _, n := range g.p.front.stats().Places.Held {
 			held += n
 		}
 		return held <= 10
@@ -334,9 +334,9 @@
 // TestLent: clients hold descriptors beyond their own part. When hosts lack one, an idle client gives way and the attempt
 // that waits gets it; and what is held together never passes what there is.
 func TestLent(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h, desks, func(p *Proxy) { p.cfg.Limits.Sockets = 240 })
-	total, clients, hosts := g.p.cfg.Limits.shares()
+	total, clients, hosts := g.p.cfg.Limits.connectionShares()
 	room := g.p.hosts.room
 	g.p.hosts.giveBack(total)
 	g.await("no connection to the host is left", func() bool { return room.hostCount() == 0 })
@@ -347,13 +347,13 @@
 	}
 	for room.hostCount() < hosts+5 {
 		if !room.takeHost() && !room.awaitHost(t.Context(), patience) {
-			t.Fatalf("no place for a host with %d of them and %+v", room.hostCount(), g.p.front.figures())
+			t.Fatalf("no place for a host with %d of them and %+v", room.hostCount(), g.p.front.stats())
 		}
-		if held := g.p.front.figures(); room.hostCount()+held.Places.Held[places.Once] > total {
+		if held := g.p.front.stats(); room.hostCount()+held.Places.Held[places.Once] > total {
 			t.Fatalf("%d to hosts, %+v", room.hostCount(), held)
 		}
 	}
-	if n := g.p.front.figures().Places.Ended[places.Full]; n == 0 {
+	if n := g.p.front.stats().Places.Ended[places.Full]; n == 0 {
 		t.Error("no client gave way")
 	}
 	for room.hostCount() > 0 {
@@ -364,19 +364,19 @@
 // TestSlowHeads: connections that never end their first head take every turn. They give way to one that brings a request
 // whole, well before their own time is over.
 func TestSlowHeads(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h, desks, func(p *Proxy) {
 		p.cfg.Limits.MemoryMB = 1
 		p.times.fresh = patience
 	})
-	most := g.p.front.figures().Desk.Most
+	most := g.p.front.stats().Desk.Most
 	for range most {
 		io.WriteString(g.dial(), "GET /api HTTP/1.1\r\n")
 	}
-	g.await("all turns are taken", func() bool { return g.p.front.figures().Places.Held[places.Partial] == most })
+	g.await("all turns are taken", func() bool { return g.p.front.stats().Places.Held[places.Partial] == most })
 	for n := range 5 {
 		if a := g.raw(message("write", "x")); a.status != http.StatusOK {
-			t.Fatalf("request %d got %d: %+v", n, a.status, g.p.front.figures())
+			t.Fatalf("request %d got %d: %+v", n, a.status, g.p.front.stats())
 		}
 		io.WriteString(g.dial(), "GET /api HTTP/1.1\r\n")
 	}
--- a/internal/proxy/log.go
+++ b/internal/proxy/log.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	logLines  = 512         // that may wait to be written
-	flushTime = time.Second // the end does not wait longer for an output that takes nothing
+	maxQueuedLines = 512         // that may wait to be written
+	flushTimeout   = time.Second // the end does not wait longer for an output that takes nothing
 )
 
 // logSink writes lines from a goroutine of its own. A full pipe behind standard error must not hold up who logs, least
@@ -26,7 +26,7 @@
 
 // NewLogger makes the program's logger and the function that writes out what waits and ends it.
 func NewLogger(out io.Writer, level zapcore.Level) (*zap.Logger, func()) {
-	s := &logSink{out: out, lines: make(chan []byte, logLines), quit: make(chan struct{})}
+	s := &logSink{out: out, lines: make(chan []byte, maxQueuedLines), quit: make(chan struct{})}
 	ended := make(chan struct{})
 	go func() {
 		s.run()
@@ -39,7 +39,7 @@
 		close(s.quit)
 		select {
 		case <-ended:
-		case <-time.After(flushTime):
+		case <-time.After(flushTimeout):
 		}
 	}
 }
--- a/internal/proxy/log_test.go
+++ b/internal/proxy/log_test.go
@@ -9,28 +9,28 @@
 )
 
 // stuck is an output that takes nothing until it is released.
-type stuck struct {
+type blockedWriter struct {
 	release chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *blockedWriter) Write(b []byte) (int, error) {
 	<-s.release
 	return s.Buffer.Write(b)
 }
 
 // TestLogNeverBlocks: an output that takes nothing holds nobody up; what does not fit is dropped and counted.
 func TestLogNeverBlocks(t *testing.T) {
-	out := &stuck{release: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	log, flush := NewLogger(out, zapcore.InfoLevel)
-	for range 2 * logLines {
+	for range 2 * maxQueuedLines {
 		log.Info("a line")
 	}
 	log.Debug("not at this level")
 	close(out.release)
 	flush()
 	text := out.String()
-	if n := strings.Count(text, "a line"); n < logLines || n > logLines+2 || !strings.Contains(text, "lines dropped") {
+	if n := strings.Count(text, "a line"); n < maxQueuedLines || n > maxQueuedLines+2 || !strings.Contains(text, "lines dropped") {
 		t.Fatalf("%d lines written, dropped ones told: %v", n, strings.Contains(text, "lines dropped"))
 	}
 	if strings.Contains(text, "not at this level") {
@@ -40,7 +40,7 @@
 
 // TestLogEnds: an output that takes nothing does not keep the program from ending, and a late line is no crash.
 func TestLogEnds(t *testing.T) {
-	out := &stuck{release: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	log, flush := NewLogger(out, zapcore.InfoLevel)
 	log.Info("a line")
 	flush()
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -35,7 +35,7 @@
 }
 
 // bound says whether a request can be sent by no further attempt.
-func (f *flight) bound() bool { return f.request.up != nil && f.request.up.bound.Bound() }
+func (f *pendingRequest) bound() bool { return f.request.up != nil && f.request.up.bound.Bound() }
 
 // framing is how a request's body goes to a host.
 func (q *request) framing() string {
@@ -120,7 +120,7 @@
 type whole struct{ request *request }
 
 func (e whole) apply(o *owner) {
-	f := o.flights[e.request.ID]
+	f := o.pending[e.request.ID]
 	if f == nil || f.answered {
 		return
 	}
@@ -173,7 +173,7 @@
 	if err := w.end(); err != nil {
 		return err
 	}
-	a.tally.tries.Add(1)
+	a.tally.attempts.Add(1)
 	return nil
 }
 
@@ -278,7 +278,7 @@
 
 func (e begun) apply(o *owner) {
 	a := e.attempt
-	f := o.flights[a.request.ID]
+	f := o.pending[a.request.ID]
 	if f.answered {
 		e.reply.long.leave()
 		a.cancel(nil)
@@ -286,12 +286,12 @@
 	}
 	now := o.clock.now()
 	a.begunAt, a.long = now, e.reply.long
-	o.conclude(f, answer{status: http.StatusOK, kind: e.reply.kind, long: e.reply.long, length: e.reply.length})
+	o.complete(f, answer{status: http.StatusOK, kind: e.reply.kind, long: e.reply.long, length: e.reply.length})
 	o.bal.ResponseStarted(now, a.request.ID, a.number)
 }
 
 // leave gives up a long answer whose client has gone.
-func (f *flight) leave() {
+func (f *pendingRequest) leave() {
 	for _, a := range f.attempts {
 		if a.long != nil && !a.over {
 			a.long.leave()
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -29,8 +29,8 @@
 }
 
 // bulkHost takes bodies as they come and answers with what answer writes.
-func bulkHost(t testing.TB, seen watched[string], answer func(c net.Conn, got string) bool) *toy {
-	return newToy(t, func(c net.Conn, br *bufio.Reader) {
+func bulkHost(t testing.TB, seen watched[string], answer func(c net.Conn, got string) bool) *fakeServer {
+	return newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
 			if err != nil {
@@ -76,7 +76,7 @@
 				}
 				return w.Flush() == nil
 			})
-			g := start(t, newList(t, entry("h1", h.addr())).addr(), "null")
+			g := start(t, newFakeDiscovery(t, entry("h1", h.addr())).addr(), "null")
 			g.waitReady()
 			c := g.dial()
 			c.(*net.TCPConn).SetReadBuffer(32 << 10)
@@ -132,13 +132,13 @@
 		{"after the last byte", length, http.StatusBadGateway},
 	} {
 		t.Run(k.name, func(t *testing.T) {
-			h := newToy(t, func(c net.Conn, br *bufio.Reader) {
+			h := newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 				if r, err := http.ReadRequest(br); err == nil {
 					io.CopyN(io.Discard, r.Body, k.taken)
 				}
-				resets(c)
+				resetConn(c)
 			})
-			g := start(t, newList(t, entry("h1", h.addr())).addr(), "null")
+			g := start(t, newFakeDiscovery(t, entry("h1", h.addr())).addr(), "null")
 			g.waitReady()
 			c := g.dial()
 			go func() {
@@ -156,7 +156,7 @@
 // its client has gone.
 func TestLongRequestStops(t *testing.T) {
 	seen := make(watched[string], 8)
-	h := newToy(t, func(c net.Conn, br *bufio.Reader) {
+	h := newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			return
@@ -166,7 +166,7 @@
 	})
 	s := newScript()
 	s.request = sends("h1")
-	g := start(t, newList(t, entry("h1", h.addr())).addr(), "null", s.decides)
+	g := start(t, newFakeDiscovery(t, entry("h1", h.addr())).addr(), "null", s.decides)
 	g.waitReady()
 	for _, sent := range []int64{bodies.Kept + 1, 1 << 20} {
 		c := g.dial()
@@ -190,7 +190,7 @@
 		"length": fmt.Sprint("Content-Length: ", bulk), "chunks": "Transfer-Encoding: chunked", "close": "Connection: close",
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHost(t, func(c net.Conn, _ seenRequest) bool {
+			h := newFakeHost(t, func(c net.Conn, _ receivedRequest) bool {
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", head)
 				for range 64 {
 					if name == "chunks" {
@@ -202,7 +202,7 @@
 					}
 				}
 				time.Sleep(20 * time.Millisecond) // a reset at once would take what is in the sockets with it
-				resets(c)
+				resetConn(c)
 				return false
 			})
 			g := one(t, h)
@@ -215,9 +215,9 @@
 			if n, err := io.Copy(io.Discard, r.Body); err == nil {
 				t.Fatalf("%d bytes came as if they were all", n)
 			}
-			for end := time.Now().Add(patience); g.p.owner.tally.of("read").errors.Load() != 1; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(patience); g.p.owner.stats.forClass("read").errors.Load() != 1; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("figures:\n%s", g.p.owner.tally.text())
+					t.Fatalf("figures:\n%s", g.p.owner.stats.text())
 				}
 			}
 		})
@@ -229,7 +229,7 @@
 func TestLongAnswerBegins(t *testing.T) {
 	end := newGate()
 	defer end.open()
-	h := newHost(t, func(c net.Conn, _ seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, _ receivedRequest) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
 		<-end.opened
 		io.WriteString(c, "3\r\ndef\r\n0\r\n\r\n")
@@ -253,7 +253,7 @@
 
 // TestClientLeavesLongAnswer: the host's connection ends with the client's, while the host has nothing more to give.
 func TestClientLeavesLongAnswer(t *testing.T) {
-	h := newHost(t, func(c net.Conn, _ seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, _ receivedRequest) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nabc", bulk)
 		_, err := c.Read(make([]byte, 1)) // until the proxy closes it
 		return err == nil
@@ -286,11 +286,11 @@
 // TestLongAnswerAhead: a long answer that comes ahead of a request's last byte is no answer to it; nothing has run, and
 // the request is not left hanging.
 func TestLongAnswerAhead(t *testing.T) {
-	h := newToy(t, func(c net.Conn, br *bufio.Reader) {
+	h := newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bulk)
 		io.Copy(c, noise(2, bulk))
 	})
-	g := start(t, newList(t, entry("h1", h.addr())).addr(), "null", func(p *Proxy) { p.times.settle = 50 * time.Millisecond })
+	g := start(t, newFakeDiscovery(t, entry("h1", h.addr())).addr(), "null", func(p *Proxy) { p.times.settle = 50 * time.Millisecond })
 	g.waitReady()
 	if a := g.raw(message("write", "x")); a.status != http.StatusServiceUnavailable {
 		t.Fatalf("answered %d, want a refusal", a.status)
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -18,57 +18,57 @@
 // owner is the one goroutine that the module runs in. Socket code reaches it through its queue only. It does no I/O
 // itself and never waits for anything but the queue and its timers, so a slow peer cannot hold up the decisions.
 type owner struct {
-	clock    clock
-	bal      balancer.Handler
-	cfg      balancer.Config
-	queue    chan event
-	local    []event // events that actions gave rise to; the module may not be called from within an action
-	timers   timerHeap
-	flights  map[balancer.RequestID]*flight
-	open     map[string]bool // the names that clients gave them
-	probes   int
-	lastID   balancer.RequestID
-	hosts    *hosts
-	list     *discovery
-	bufs     *wire.Pool
-	log      *zap.Logger
-	ctx      context.Context // of attempts and probes
-	ready    atomic.Bool     // hosts are known
-	known    chan struct{}   // closed when they are
-	fresh    chan struct{}   // closed once discovery has told of them
-	roll     *roll           // the list, and who is out by hand
-	sight    *sight          // what is seen of zones; nil: nobody asks
-	tally    *tally
-	names    *names  // by which requests are read now
-	ops      bool    // somebody may ask for figures
-	lookedAt float64 // when the module was last asked whom it avoids
-	endBy    float64 // when the process ends, on its clock; 0: not soon
-	stopping bool
-	done     chan struct{} // closed when the owner has ended
+	clock         clock
+	bal           balancer.Handler
+	cfg           balancer.Config
+	queue         chan event
+	localEvents   []event // events that actions gave rise to; the module may not be called from within an action
+	timers        timerHeap
+	pending       map[balancer.RequestID]*pendingRequest
+	openIDs       map[string]bool // the names that clients gave them
+	pendingProbes int
+	lastID        balancer.RequestID
+	hosts         *hosts
+	discovery     *discovery
+	bufs          *wire.Pool
+	log           *zap.Logger
+	ctx           context.Context // of attempts and probes
+	ready         atomic.Bool     // hosts are known
+	hostsKnown    chan struct{}   // closed when they are
+	listReceived  chan struct{}   // closed once discovery has told of them
+	registry      *hostRegistry   // the list, and who is out by hand
+	zoneObserver  *zoneObserver   // what is seen of zones; nil: nobody asks
+	stats         *requestStats
+	names         *names  // by which requests are read now
+	adminEnabled  bool    // somebody may ask for figures
+	hostStatsAt   float64 // when the module was last asked whom it avoids
+	endsAt        float64 // when the process ends, on its clock; 0: not soon
+	stopping      bool
+	done          chan struct{} // closed when the owner has ended
 }
 
 // flight is a request that the module has not done with.
-type flight struct {
-	request  *request
-	deadline float64
-	most     int // attempts; 0: any number
-	attempts []*attempt
-	out      int
-	answered bool
+type pendingRequest struct {
+	request     *request
+	deadline    float64
+	maxAttempts int // attempts; 0: any number
+	attempts    []*attempt
+	outstanding int
+	answered    bool
 }
 
 func newOwner(ctx context.Context, cfg *Config, c clock, h *hosts, bufs *wire.Pool, t timing, log *zap.Logger) *owner {
 	o := &owner{
 		clock: c, cfg: cfg.Balancer, queue: make(chan event, queueLength),
-		flights: map[balancer.RequestID]*flight{}, open: map[string]bool{}, hosts: h, bufs: bufs, log: log, ctx: ctx,
-		done: make(chan struct{}), known: make(chan struct{}), fresh: make(chan struct{}),
-		roll: newRoll(), tally: newTally(),
+		pending: map[balancer.RequestID]*pendingRequest{}, openIDs: map[string]bool{}, hosts: h, bufs: bufs, log: log, ctx: ctx,
+		done: make(chan struct{}), hostsKnown: make(chan struct{}), listReceived: make(chan struct{}),
+		registry: newHostRegistry(), stats: newRequestStats(),
 	}
-	o.names = newNames(cfg.Settings, &cfg.Balancer, o.tally)
+	o.names = newNames(cfg.Settings, &cfg.Balancer, o.stats)
 	if cfg.Site.Failover.Mode != site.Off {
-		o.sight = newSight(cfg, c.now())
+		o.zoneObserver = newZoneObserver(cfg, c.now())
 	}
-	o.list = newDiscovery(cfg, bufs, t, log, o.post)
+	o.discovery = newDiscovery(cfg, bufs, t, log, o.post)
 	return o
 }
 
@@ -81,22 +81,22 @@
 }
 
 // run is the owner's loop.
-func (o *owner) run(decide func(float64, balancer.Config, balancer.Actions) balancer.Handler, known catalog) {
+func (o *owner) run(newHandler func(float64, balancer.Config, balancer.Actions) balancer.Handler, cached catalog) {
 	defer close(o.done)
-	o.bal = decide(o.clock.now(), o.cfg, o)
-	members{kind: balancer.ListCached, list: known}.apply(o)
+	o.bal = newHandler(o.clock.now(), o.cfg, o)
+	members{kind: balancer.ListCached, list: cached}.apply(o)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		o.settleLocal()
+		o.applyLocal()
 		wait := o.fire()
-		if o.ops {
-			wait = min(wait, o.lookAgain())
+		if o.adminEnabled {
+			wait = min(wait, o.refreshHostStatsIfDue())
 		}
-		if len(o.local) > 0 {
+		if len(o.localEvents) > 0 {
 			continue
 		}
-		if o.stopping && len(o.flights) == 0 && o.probes == 0 {
+		if o.stopping && len(o.pending) == 0 && o.pendingProbes == 0 {
 			return
 		}
 		timer.Reset(wait)
@@ -109,16 +109,16 @@
 }
 
 // settleLocal plays the events that actions gave rise to, in order.
-func (o *owner) settleLocal() {
-	for len(o.local) > 0 {
-		e := o.local[0]
-		o.local = o.local[1:]
+func (o *owner) applyLocal() {
+	for len(o.localEvents) > 0 {
+		e := o.localEvents[0]
+		o.localEvents = o.localEvents[1:]
 		e.apply(o)
 	}
 }
 
 // conclude gives a request its one answer. Nothing may be sent for it from then on, so what is out is called off.
-func (o *owner) conclude(f *flight, a answer) {
+func (o *owner) complete(f *pendingRequest, a answer) {
 	if f.answered {
 		return
 	}
@@ -139,10 +139,10 @@
 }
 
 // drop forgets a flight that is answered and has nothing out.
-func (o *owner) drop(f *flight) {
-	if f.answered && f.out == 0 && o.flights[f.request.ID] == f {
-		delete(o.flights, f.request.ID)
-		delete(o.open, f.request.name)
+func (o *owner) release(f *pendingRequest) {
+	if f.answered && f.outstanding == 0 && o.pending[f.request.ID] == f {
+		delete(o.pending, f.request.ID)
+		delete(o.openIDs, f.request.name)
 		freeRequest(o.bufs, f.request)
 	}
 }
--- a/internal/proxy/owner_test.go
+++ b/internal/proxy/owner_test.go
@@ -16,26 +16,26 @@
 )
 
 // pair starts a proxy with a script and two hosts, h1 and h2.
-func pair(t *testing.T, s *script, h1, h2 *toyHost) *rig {
+func startWithTwoHosts(t *testing.T, s *script, h1, h2 *fakeHost) *rig {
 	t.Helper()
-	l := newList(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
+	l := newFakeDiscovery(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
 	g := start(t, l.addr(), "null", s.decides)
 	g.waitReady()
 	return g
 }
 
 // silent is a host's answer to nothing.
-func silent(net.Conn, seenRequest) bool { return true }
+func noResponse(net.Conn, receivedRequest) bool { return true }
 
 // TestSecondCopy: two attempts are out; the first whole answer is the client's, the other attempt is called off.
 func TestSecondCopy(t *testing.T) {
-	slow, quick := newHost(t, silent), newHost(t, says(ok))
+	slow, quick := newFakeHost(t, noResponse), newFakeHost(t, respondWith(okResponse))
 	s := newScript()
 	s.request = func(s *script, r balancer.Request) {
 		s.act.Send(r.ID, hostID("h1"), 0)
 		s.act.Send(r.ID, hostID("h2"), 0)
 	}
-	g := pair(t, s, slow, quick)
+	g := startWithTwoHosts(t, s, slow, quick)
 	if a := g.raw(message("read", "")); a.status != http.StatusOK {
 		t.Fatalf("answered %d", a.status)
 	}
@@ -50,7 +50,7 @@
 
 // TestCancel: a cancelled attempt closes its connection and has one outcome; another may follow.
 func TestCancel(t *testing.T) {
-	slow, quick := newHost(t, silent), newHost(t, says(ok))
+	slow, quick := newFakeHost(t, noResponse), newFakeHost(t, respondWith(okResponse))
 	s := newScript()
 	s.request = sends("h1")
 	s.outcome = func(s *script, o balancer.Outcome) {
@@ -58,11 +58,11 @@
 			s.act.Send(o.ID, hostID("h2"), 0)
 		}
 	}
-	g := pair(t, s, slow, quick)
+	g := startWithTwoHosts(t, s, slow, quick)
 	c := g.dial()
 	io.WriteString(c, message("read", ""))
-	slow.seen.next(t, "the request")
-	g.p.owner.post(inside(func(o *owner) {
+	slow.requests.next(t, "the request")
+	g.p.owner.post(ownerFunc(func(o *owner) {
 		o.Cancel(1, 0)
 		o.Cancel(1, 0) // and again
 		o.Cancel(1, 7) // never made
@@ -82,30 +82,30 @@
 }
 
 // inside runs a function in the owner's goroutine.
-type inside func(o *owner)
+type ownerFunc func(o *owner)
 
-func (f inside) apply(o *owner) { f(o) }
+func (f ownerFunc) apply(o *owner) { f(o) }
 
 // TestNeverDispatched: attempts that may not go out have an outcome all the same, after the action has returned.
 func TestNeverDispatched(t *testing.T) {
-	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
+	h1, h2 := newFakeHost(t, respondWith(okResponse)), newFakeHost(t, respondWith(okResponse))
 	s := newScript()
 	s.request = func(s *script, r balancer.Request) {
 		switch r.Key {
-		case hash("unknown host"):
+		case hashName("unknown host"):
 			s.act.Send(r.ID, hostID("nobody"), 0)
-		case hash("negative time"):
+		case hashName("negative time"):
 			s.act.Send(r.ID, hostID("h1"), -1)
-		case hash("answered"):
+		case hashName("answered"):
 			s.act.Fail(r.ID)
 			s.act.Send(r.ID, hostID("h1"), 0)
-		case hash("twice answered"):
+		case hashName("twice answered"):
 			s.act.Refuse(r.ID, 0.25)
 			s.act.Fail(r.ID)
 			s.act.Send(r.ID, hostID("h1"), 0)
 		}
 	}
-	g := pair(t, s, h1, h2)
+	g := startWithTwoHosts(t, s, h1, h2)
 	for _, c := range []struct {
 		key    string
 		result balancer.Result
@@ -127,12 +127,12 @@
 			}
 		})
 	}
-	h1.seen.none(t, "the host got a request")
+	h1.requests.none(t, "the host got a request")
 }
 
 // TestMostAttempts: what the module sends beyond MaxAttempts does not go out.
 func TestMostAttempts(t *testing.T) {
-	fails := newHost(t, says("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))
+	fails := newFakeHost(t, respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))
 	s := newScript()
 	s.request = sends("h1")
 	s.outcome = func(s *script, o balancer.Outcome) {
@@ -157,7 +157,7 @@
 
 // TestNothingAfterAnswer: a request that is answered while its attempt is still connecting is not sent any more.
 func TestNothingAfterAnswer(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	s := newScript()
 	var wg sync.WaitGroup
 	s.request = func(s *script, r balancer.Request) {
@@ -184,13 +184,13 @@
 
 // TestGone: the module hears of a client that leaves, once, and what is out is called off.
 func TestGone(t *testing.T) {
-	h := newHost(t, silent)
+	h := newFakeHost(t, noResponse)
 	s := newScript()
 	s.request = sends("h1")
 	g := one(t, h, s.decides)
 	c := g.dial()
 	io.WriteString(c, message("write", "x"))
-	h.seen.next(t, "the request")
+	h.requests.next(t, "the request")
 	c.Close()
 	if id := s.gone.next(t, "word of the client"); id != 1 {
 		t.Fatalf("request %d", id)
@@ -206,17 +206,17 @@
 func TestBrokenCrowd(t *testing.T) {
 	var mu sync.Mutex
 	n := 0
-	h := newHost(t, func(c net.Conn, r seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
 		mu.Lock()
 		n++
 		mode := n % 5
 		mu.Unlock()
 		switch mode {
 		case 0:
-			resets(c)
+			resetConn(c)
 			return false
 		case 1:
-			io.WriteString(c, ok[:len(ok)-2])
+			io.WriteString(c, okResponse[:len(okResponse)-2])
 			return false
 		case 2:
 			return true // silence
@@ -224,10 +224,10 @@
 			io.WriteString(c, "nonsense\r\n\r\n")
 			return false
 		}
-		return says(ok)(c, r)
+		return respondWith(okResponse)(c, r)
 	})
-	before := descriptors(t)
-	l := newList(t, entry("h1", h.addr()))
+	before := openDescriptors(t)
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	g := start(t, l.addr(), "null")
 	g.waitReady()
 	whole := message("write", strings.Repeat("x", 30000), "X-Remaining: 100m")
@@ -246,7 +246,7 @@
 				io.WriteString(c, whole[:len(whole)/2])
 			case 1:
 				io.WriteString(c, whole)
-				resets(c)
+				resetConn(c)
 			case 2:
 				io.WriteString(c, "nonsense\r\n\r\n")
 				hear(t, bufio.NewReader(c))
@@ -263,14 +263,14 @@
 	h.close()
 	l.close()
 	goleak.VerifyNone(t)
-	if after := descriptors(t); after > before {
+	if after := openDescriptors(t); after > before {
 		t.Fatalf("%d descriptors before, %d after", before, after)
 	}
 }
 
 // TestTimers: timers come in their order, none before its time.
 func TestTimers(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	s := newScript()
 	g := one(t, h, s.decides)
 	type fired struct {
@@ -278,9 +278,9 @@
 		late  float64
 	}
 	got := make(watched[fired], 8)
-	g.p.owner.post(inside(func(o *owner) {
+	g.p.owner.post(ownerFunc(func(o *owner) {
 		began := o.clock.now()
-		o.bal = timed{s, func(token uint64) { got <- fired{token, o.clock.now() - began - float64(token)/1000} }}
+		o.bal = timerScript{s, func(token uint64) { got <- fired{token, o.clock.now() - began - float64(token)/1000} }}
 		for _, ms := range []uint64{30, 10, 20, 0} {
 			o.Timer(float64(ms)/1000, ms)
 		}
@@ -293,16 +293,16 @@
 }
 
 // timed is a script that hears of timers.
-type timed struct {
+type timerScript struct {
 	*script
 	fired func(uint64)
 }
 
-func (s timed) Timer(_ float64, token uint64) { s.fired(token) }
+func (s timerScript) Timer(_ float64, token uint64) { s.fired(token) }
 
 // TestQueueTimeCounts: a client's time runs on while its request waits for the owner.
 func TestQueueTimeCounts(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	s := newScript()
 	budgets := make(watched[float64], 1)
 	s.request = func(s *script, r balancer.Request) {
--- a/internal/proxy/parse.go
+++ b/internal/proxy/parse.go
@@ -102,17 +102,17 @@
 	words    []string // of the classes
 	clients  []string // of the tenants
 	effects  []balancer.Effect
-	tally    []*classTally // of the classes
+	tally    []*classStats // of the classes
 	coolDown float64       // seconds that a refusal of the front's own names; 0: settings allow none
 }
 
-func newNames(s *settings.Settings, c *balancer.Config, t *tally) *names {
+func newNames(s *settings.Settings, c *balancer.Config, t *requestStats) *names {
 	n := &names{classes: map[string]int{}, tenants: map[string]int{}, coolDown: c.MaxCoolDown / 4}
 	for i, k := range s.Classes {
 		n.classes[k.Name] = i
 		n.words = append(n.words, k.Name)
 		n.effects = append(n.effects, c.Classes[i].Effect)
-		n.tally = append(n.tally, t.of(k.Name))
+		n.tally = append(n.tally, t.forClass(k.Name))
 	}
 	for i, t := range s.Tenants {
 		n.tenants[t.Name] = i
@@ -244,7 +244,7 @@
 		return reject("%s is missing or absurd", headerRemaining)
 	}
 	if key := r.Header.Get(headerKey); key != "" {
-		q.Key = hash(key)
+		q.Key = hashName(key)
 	}
 	if us, err := strconv.ParseFloat(r.Header.Get(headerWork), 64); err == nil && us > 0 && !math.IsInf(us, 0) {
 		q.Work = us / 1e6
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	probeTime  = time.Second // a host that takes longer to say how it is, is not well
-	probePath  = "/ping"
-	reportPath = "/_load" // the same, with the load report as its body
+	probeTimeout   = time.Second // a host that takes longer to say how it is, is not well
+	probePath      = "/ping"
+	loadReportPath = "/_load" // the same, with the load report as its body
 )
 
 // question is a call for a path. One that runs twice does no harm.
-type question string
+type probeRequest string
 
-func (q question) write(l line) error {
+func (q probeRequest) write(l line) error {
 	_, err := fmt.Fprintf(l, "GET %s HTTP/1.1\r\nHost: api.internal\r\n\r\n", string(q))
 	return err
 }
 
 // begun wants no answer that is longer than any report.
-func (question) begun(reply) bool { return false }
+func (probeRequest) begun(reply) bool { return false }
 
 // run asks a host how it is and makes exactly one result.
 func (p probed) run(ctx context.Context, up *upstream) probed {
-	ctx, cancel := context.WithTimeout(ctx, probeTime)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	path := probePath
 	if len(up.hosts.by.Load().columns) > 0 {
-		path = reportPath
+		path = loadReportPath
 	}
-	r, result := up.exchange(ctx, question(path))
+	r, result := up.exchange(ctx, probeRequest(path))
 	if p.result = result; result == balancer.Errored && r.status == http.StatusServiceUnavailable {
 		p.result = balancer.Rejected
 	}
--- a/internal/proxy/probe_test.go
+++ b/internal/proxy/probe_test.go
@@ -22,32 +22,32 @@
 		{"garbage", "nonsense\r\n\r\n", balancer.Malformed, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHost(t, says(c.raw))
+			h := newFakeHost(t, respondWith(c.raw))
 			s := newScript()
 			g := one(t, h, s.decides)
-			g.p.owner.post(inside(func(o *owner) { o.Probe(hostID("h1")) }))
+			g.p.owner.post(ownerFunc(func(o *owner) { o.Probe(hostID("h1")) }))
 			p := s.probes.next(t, "the result")
 			if p.Result != c.want || len(p.Report) != c.report || p.Host != hostID("h1") || p.Took <= 0 {
 				t.Fatalf("result %+v", p)
 			}
-			if r := h.seen.next(t, "the probe"); r.Method != "GET" || r.URL.Path != reportPath {
+			if r := h.requests.next(t, "the probe"); r.Method != "GET" || r.URL.Path != loadReportPath {
 				t.Errorf("asked %s %s", r.Method, r.URL)
 			}
-			g.p.owner.post(inside(func(o *owner) { o.Probe(hostID("nobody")) }))
+			g.p.owner.post(ownerFunc(func(o *owner) { o.Probe(hostID("nobody")) }))
 			if p := s.probes.next(t, "the other result"); p.Result != balancer.ConnectFailed {
 				t.Errorf("an unknown host: %+v", p)
 			}
 		})
 	}
 	t.Run("without reports", func(t *testing.T) {
-		h := newHost(t, says(httpOK("")))
+		h := newFakeHost(t, respondWith(httpOK("")))
 		s := newScript()
 		g := one(t, h, s.decides, func(p *Proxy) { p.cfg.Settings.Report.How = "none" })
-		g.p.owner.post(inside(func(o *owner) { o.Probe(hostID("h1")) }))
+		g.p.owner.post(ownerFunc(func(o *owner) { o.Probe(hostID("h1")) }))
 		if p := s.probes.next(t, "the result"); p.Result != balancer.OK || p.Report != nil {
 			t.Fatalf("result %+v", p)
 		}
-		if r := h.seen.next(t, "the probe"); r.URL.Path != probePath {
+		if r := h.requests.next(t, "the probe"); r.URL.Path != probePath {
 			t.Errorf("asked %s", r.URL)
 		}
 	})
@@ -55,20 +55,20 @@
 
 // TestProbeOnKeptConnection: the time of the call before does not hold for the next call on its connection.
 func TestProbeOnKeptConnection(t *testing.T) {
-	h := newHost(t, says(httpOK(`{"util":0.5}`)))
+	h := newFakeHost(t, respondWith(httpOK(`{"util":0.5}`)))
 	s := newScript()
 	s.request = sends("h1")
 	g := one(t, h, s.decides)
 	if a := g.raw(message("read", "", "X-Remaining: 300m")); a.status != http.StatusOK {
 		t.Fatalf("answered %d", a.status)
 	}
-	h.seen.next(t, "the request")
+	h.requests.next(t, "the request")
 	time.Sleep(350 * time.Millisecond) // its time is over
-	g.p.owner.post(inside(func(o *owner) { o.Probe(hostID("h1")) }))
+	g.p.owner.post(ownerFunc(func(o *owner) { o.Probe(hostID("h1")) }))
 	if p := s.probes.next(t, "the result"); p.Result != balancer.OK {
 		t.Fatalf("result %+v", p)
 	}
-	if r := h.seen.next(t, "the probe"); !r.again {
+	if r := h.requests.next(t, "the probe"); !r.reusedConn {
 		t.Fatal("the probe took a new connection")
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -30,11 +30,11 @@
 
 // The phases, in their order.
 const (
-	Starting  Phase = iota // takes the address it serves on and starts its parts
-	Serving                // takes requests
-	Draining               // told to end: still takes what comes, every answer closes its connection
-	Parting                // told to end, with another process at the same socket: the same, but for new connections
-	Finishing              // takes nothing new, finishes what is out
+	Starting    Phase = iota // takes the address it serves on and starts its parts
+	Serving                  // takes requests
+	Draining                 // told to end: still takes what comes, every answer closes its connection
+	HandingOver              // told to end, with another process at the same socket: the same, but for new connections
+	Finishing                // takes nothing new, finishes what is out
 	Stopped
 )
 
@@ -44,44 +44,44 @@
 
 // Proxy is one client proxy.
 type Proxy struct {
-	cfg    *Config
-	live   atomic.Pointer[balancer.Config] // the settings in force
-	ending atomic.Int64                    // longest deadline in force since the start, in nanoseconds
-	log    *zap.Logger
-	times  timing
-	listen func(network, addr string) (net.Listener, error)
-	decide func(now float64, cfg balancer.Config, act balancer.Actions) balancer.Handler
-	phase  Phase
-	steps  map[Phase]func(context.Context) (Phase, error)
+	cfg              *Config
+	activeConfig     atomic.Pointer[balancer.Config] // the settings in force
+	maxDeadlineNanos atomic.Int64                    // longest deadline in force since the start, in nanoseconds
+	log              *zap.Logger
+	times            timing
+	listen           func(network, addr string) (net.Listener, error)
+	newHandler       func(now float64, cfg balancer.Config, act balancer.Actions) balancer.Handler
+	phase            Phase
+	phaseFuncs       map[Phase]func(context.Context) (Phase, error)
 
-	reloads  chan struct{} // asks for the configuration to be read again
-	prepared chan struct{} // closed when it can serve
+	reloadRequests chan struct{} // asks for the configuration to be read again
+	ready          chan struct{} // closed when it can serve
 
-	told time.Time   // when it was told to end
-	able atomic.Bool // it serves
-	door *ops.Door   // nil: there is none
+	stopRequestedAt time.Time   // when it was told to end
+	serving         atomic.Bool // it serves
+	adminServer     *ops.Door   // nil: there is none
 
-	steering *steering // nil: no plan says which zones count
+	zonePlanner *zonePlanner // nil: no plan says which zones count
 
-	bufs  *wire.Pool
-	hosts *hosts
-	owner *owner
-	front *front
-	parts sync.WaitGroup
-	halt  context.CancelFunc // ends attempts, the watch and reloads
+	bufs       *wire.Pool
+	hosts      *hosts
+	owner      *owner
+	front      *front
+	goroutines sync.WaitGroup
+	cancel     context.CancelFunc // ends attempts, the watch and reloads
 }
 
 // New makes a client proxy; Run runs it.
 func New(cfg *Config, log *zap.Logger) *Proxy {
 	p := &Proxy{cfg: cfg, log: log, times: defaultTiming(), listen: net.Listen,
-		reloads: make(chan struct{}, 1), prepared: make(chan struct{})}
+		reloadRequests: make(chan struct{}, 1), ready: make(chan struct{})}
 	p.times.set(cfg.Site.Connections)
-	p.inForce(&cfg.Balancer)
-	p.decide = func(now float64, cfg balancer.Config, act balancer.Actions) balancer.Handler {
+	p.setActiveConfig(&cfg.Balancer)
+	p.newHandler = func(now float64, cfg balancer.Config, act balancer.Actions) balancer.Handler {
 		return balancer.New(now, cfg, act)
 	}
-	p.steps = map[Phase]func(context.Context) (Phase, error){
-		Starting: p.start, Serving: p.serve, Draining: p.drain, Parting: p.part, Finishing: p.finish,
+	p.phaseFuncs = map[Phase]func(context.Context) (Phase, error){
+		Starting: p.start, Serving: p.serve, Draining: p.drain, HandingOver: p.handOver, Finishing: p.finish,
 	}
 	return p
 }
@@ -89,7 +89,7 @@
 // Run goes through the phases. It returns when everything taken has been answered after ctx has ended.
 func (p *Proxy) Run(ctx context.Context) error {
 	for p.phase != Stopped {
-		next, err := p.steps[p.phase](ctx)
+		next, err := p.phaseFuncs[p.phase](ctx)
 		if err != nil {
 			return fmt.Errorf("%s: %w", p.phase, err)
 		}
@@ -101,67 +101,69 @@
 
 func (p *Proxy) start(context.Context) (Phase, error) {
 	p.cfg.Limits.apply()
-	ln, err := p.takeAddress()
+	ln, err := p.listenForClients()
 	if err != nil {
 		return Stopped, err
 	}
-	desk, err := p.takeDoor()
+	adminListener, err := p.listenForAdmin()
 	if err != nil {
 		return Stopped, err
 	}
-	run, halt := context.WithCancel(context.Background()) // outlives the signal: what is out is finished
-	p.halt = halt
+	runCtx, cancel := context.WithCancel(context.Background()) // outlives the signal: what is out is finished
+	p.cancel = cancel
 	p.bufs = wire.NewPool()
 	c := newClock(time.Now())
 	room := newRoom(p.cfg.Limits)
 	p.hosts = newHosts(p.cfg, c, p.bufs, room, p.times)
-	p.owner = newOwner(run, p.cfg, c, p.hosts, p.bufs, p.times, p.log)
+	p.owner = newOwner(runCtx, p.cfg, c, p.hosts, p.bufs, p.times, p.log)
 	p.front, err = newFront(ln, p.frontLimits(), room, p.hosts.giveBack, p.owner, p.bufs, p.owner.names, p.times,
 		p.log)
 	if err != nil {
 		return Stopped, err
 	}
-	if p.owner.sight != nil { // ahead of the door and of reloads, which ask for it
-		p.steering = newSteering(p)
+	if p.owner.zoneObserver != nil { // ahead of the door and of reloads, which ask for it
+		p.zonePlanner = newZonePlanner(p)
 	}
-	if desk != nil {
-		p.openDoor(run, desk)
+	if adminListener != nil {
+		p.startAdminServer(runCtx, adminListener)
 	}
-	p.parts.Go(p.front.keep)
-	p.parts.Go(p.front.lot.Run)
-	p.parts.Go(func() { p.owner.run(p.decide, p.cfg.Known) })
-	p.parts.Go(func() { p.owner.list.run(run) })
-	p.parts.Go(func() { p.reload(run) })
-	if p.steering != nil {
-		p.parts.Go(func() { p.steering.run(run) })
+	p.goroutines.Go(p.front.keep)
+	p.goroutines.Go(p.front.lot.Run)
+	p.goroutines.Go(func() { p.owner.run(p.newHandler, p.cfg.Known) })
+	p.goroutines.Go(func() { p.owner.discovery.run(runCtx) })
+	p.goroutines.Go(func() { p.serveReloads(runCtx) })
+	if p.zonePlanner != nil {
+		p.goroutines.Go(func() { p.zonePlanner.run(runCtx) })
 	}
-	p.parts.Go(func() { p.prepare(run) })
+	p.goroutines.Go(func() { p.awaitList(runCtx) })
 	p.log.Info("listening", zap.String("name", p.cfg.Name), zap.Stringer("addr", ln.Addr()))
 	return Serving, nil
 }
 
 func (p *Proxy) frontLimits() frontLimits {
-	clients, requests := p.cfg.Limits.connections()
+	clients, requests := p.cfg.Limits.clientLimits()
 	return frontLimits{most: clients, connections: clientLimit(clients, p.cfg.Site.Connections),
 		byAddress: p.cfg.Site.Connections.Callers == site.Address, warm: max(1, requests/4),
-		watchers: p.cfg.Limits.watchers(clients),
-		desk: places.DeskConfig{Most: requests, Refusing: shedReserve, Patience: patienceFor(p.cfg.Balancer.Classes),
-			Pace: paceOf(p.cfg.Limits.Cores), Burst: min(requests, turnBurst)}}
+		watchers: p.cfg.Limits.allowWatchers(clients),
+		desk: places.DeskConfig{Most: requests, Refusing: overflowConns, Patience: maxQueueWait(p.cfg.Balancer.Classes),
+			Pace: admissionRate(p.cfg.Limits.Cores), Burst: min(requests, admissionBurst)}}
 }
 
 // The turns that are given at once and in a second. A core finishes some 5,000 requests a second here; begun all together,
 // thousands go to hosts whose limits are those of before, and all but a few are refused after the work.
 const (
-	turnBurst   = 64
-	turnsByCore = 7000
-	turnsLeast  = 2000 // where the machine grants part of a core, which is not always all that it gives
+	admissionBurst    = 64
+	admissionsPerCore = 7000
+	minAdmissionRate  = 2000 // where the machine grants part of a core, which is not always all that it gives
 )
 
-func paceOf(cores float64) float64 { return max(turnsLeast, turnsByCore*cmp.Or(cores, 1)) }
+func admissionRate(cores float64) float64 {
+	return max(minAdmissionRate, admissionsPerCore*cmp.Or(cores, 1))
+}
 
 // patienceFor is how long a request may wait before it is read: a quarter of the shortest deadline, so that a refusal
 // leaves its client time to go elsewhere.
-func patienceFor(classes []balancer.Class) time.Duration {
+func maxQueueWait(classes []balancer.Class) time.Duration {
 	shortest := 1.0
 	for _, c := range classes {
 		if c.Deadline > 0 {
@@ -180,7 +182,7 @@
 }
 
 // takeAddress takes the address that clients connect to, or the socket there that the platform holds.
-func (p *Proxy) takeAddress() (net.Listener, error) {
+func (p *Proxy) listenForClients() (net.Listener, error) {
 	if p.cfg.ListenFD != "" {
 		ln, err := handover.Listener(p.cfg.ListenFD, p.cfg.Listen)
 		if err != nil {
@@ -192,7 +194,7 @@
 }
 
 // takeDoor takes the operators' address, if there is one.
-func (p *Proxy) takeDoor() (net.Listener, error) {
+func (p *Proxy) listenForAdmin() (net.Listener, error) {
 	if p.cfg.Ops == "" {
 		return nil, nil
 	}
@@ -203,92 +205,92 @@
 	return ln, nil
 }
 
-func (p *Proxy) openDoor(ctx context.Context, ln net.Listener) {
-	s := newOperators(p)
-	p.owner.ops = true
-	p.owner.roll.out = s.load()
-	p.door = ops.New(ln, s, p.log)
-	p.parts.Go(p.door.Run)
-	p.parts.Go(func() { s.follow(ctx) })
+func (p *Proxy) startAdminServer(ctx context.Context, ln net.Listener) {
+	s := newAdminCalls(p)
+	p.owner.adminEnabled = true
+	p.owner.registry.cordoned = s.loadCordoned()
+	p.adminServer = ops.New(ln, s, p.log)
+	p.goroutines.Go(p.adminServer.Run)
+	p.goroutines.Go(func() { s.watchFile(ctx) })
 }
 
 // prepare waits until this process can serve: it has a list, from discovery if that answers in time.
-func (p *Proxy) prepare(ctx context.Context) {
-	late := time.NewTimer(p.times.firstList)
-	defer late.Stop()
+func (p *Proxy) awaitList(ctx context.Context) {
+	timeout := time.NewTimer(p.times.firstList)
+	defer timeout.Stop()
 	select {
 	case <-ctx.Done():
 		return
-	case <-p.owner.fresh:
-	case <-late.C:
+	case <-p.owner.listReceived:
+	case <-timeout.C:
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.owner.known:
+		case <-p.owner.hostsKnown:
 		}
 	}
-	p.able.Store(true)
-	close(p.prepared)
+	p.serving.Store(true)
+	close(p.ready)
 }
 
 func (p *Proxy) serve(ctx context.Context) (Phase, error) {
 	if p.cfg.ListenFD != "" { // what connects meanwhile waits in the backlog, or is another process's
 		select {
 		case <-ctx.Done():
-			return p.end(), nil
-		case <-p.prepared:
+			return p.beginShutdown(), nil
+		case <-p.ready:
 		}
 	}
 	accepted := make(chan struct{})
-	p.parts.Go(func() {
+	p.goroutines.Go(func() {
 		p.front.accept()
 		close(accepted)
 	})
 	select {
 	case <-ctx.Done():
-		return p.end(), nil
+		return p.beginShutdown(), nil
 	case <-accepted:
 		return Stopped, fmt.Errorf("the listener has closed")
 	}
 }
 
 // end begins the end: operators are told that this process serves no longer.
-func (p *Proxy) end() Phase {
-	p.told = time.Now()
-	p.able.Store(false)
+func (p *Proxy) beginShutdown() Phase {
+	p.stopRequestedAt = time.Now()
+	p.serving.Store(false)
 	if p.cfg.ListenFD != "" {
-		return Parting
+		return HandingOver
 	}
 	return Draining
 }
 
 // part leaves new connections to the process that takes over. What clients still send on those that they have is
 // answered, each time as the last on its connection: closing an idle one now could cross a request.
-func (p *Proxy) part(context.Context) (Phase, error) {
+func (p *Proxy) handOver(context.Context) (Phase, error) {
 	p.front.close()
-	end := p.told.Add(seconds(p.longest()))
+	end := p.stopRequestedAt.Add(seconds(p.longestDeadline()))
 	p.owner.post(ending{p.owner.clock.now() + time.Until(end.Add(p.times.spare-p.times.wind)).Seconds()})
 	p.front.part()
-	left := make(chan struct{})
+	drained := make(chan struct{})
 	go func() {
 		p.front.wg.Wait()
-		close(left)
+		close(drained)
 	}()
 	select {
-	case <-left:
+	case <-drained:
 	case <-time.After(time.Until(end)):
 	}
 	return Finishing, nil
 }
 
 // longest is the longest deadline, in seconds; one that other settings have shortened holds for what was taken under it.
-func (p *Proxy) longest() float64 { return time.Duration(p.ending.Load()).Seconds() }
+func (p *Proxy) longestDeadline() float64 { return time.Duration(p.maxDeadlineNanos.Load()).Seconds() }
 
 // inForce notes the settings that hold from now on.
-func (p *Proxy) inForce(c *balancer.Config) {
-	p.live.Store(c)
+func (p *Proxy) setActiveConfig(c *balancer.Config) {
+	p.activeConfig.Store(c)
 	for _, k := range c.Classes {
-		p.ending.Store(max(p.ending.Load(), int64(seconds(k.Deadline))))
+		p.maxDeadlineNanos.Store(max(p.maxDeadlineNanos.Load(), int64(seconds(k.Deadline))))
 	}
 }
 
@@ -296,7 +298,7 @@
 // in its backlog.
 func (p *Proxy) drain(context.Context) (Phase, error) {
 	p.front.drain()
-	time.Sleep(time.Until(p.told.Add(p.times.drain)))
+	time.Sleep(time.Until(p.stopRequestedAt.Add(p.times.drain)))
 	p.front.backlog(p.times.backlog)
 	time.Sleep(p.times.backlog)
 	return Finishing, nil
@@ -309,23 +311,23 @@
 		time.Sleep(p.times.last)
 	}
 	p.front.drain()
-	answered := make(chan struct{})
+	drained := make(chan struct{})
 	go func() {
 		p.front.wg.Wait()
-		close(answered)
+		close(drained)
 	}()
 	select {
-	case <-answered:
-	case <-time.After(time.Until(p.told.Add(seconds(p.longest()) + p.times.spare))):
+	case <-drained:
+	case <-time.After(time.Until(p.stopRequestedAt.Add(seconds(p.longestDeadline()) + p.times.spare))):
 		p.log.Warn("requests left unanswered at the end")
 	}
 	p.front.stop()
-	p.halt()
-	if p.door != nil {
-		p.door.Close()
+	p.cancel()
+	if p.adminServer != nil {
+		p.adminServer.Close()
 	}
 	p.owner.post(stop{})
 	p.hosts.update(balancer.ListFull, catalog{}, p.owner.clock.now()) // no host is left: closes what is idle
-	p.parts.Wait()
+	p.goroutines.Wait()
 	return Stopped, nil
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -19,9 +19,9 @@
 func TestDrainPhases(t *testing.T) {
 	release := newGate()
 	defer release.open()
-	h := newHost(t, func(c net.Conn, r seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
 		<-release.opened
-		return says(ok)(c, r)
+		return respondWith(okResponse)(c, r)
 	})
 	g := one(t, h, func(p *Proxy) { p.times.drain = 1500 * time.Millisecond })
 	idle, busy, late := g.dial(), g.dial(), g.dial()
@@ -30,14 +30,14 @@
 	idleReader := bufio.NewReader(idle)
 	hear(t, idleReader)
 	io.WriteString(busy, long())
-	h.seen.next(t, "the request")
+	h.requests.next(t, "the request")
 	g.tell()
 	if _, err := idleReader.ReadByte(); err != io.EOF {
 		t.Fatalf("the idle connection: %v", err)
 	}
 	after := g.dial() // new connections are still taken
 	io.WriteString(after, long())
-	h.seen.next(t, "the request that came after")
+	h.requests.next(t, "the request that came after")
 	release.open()
 	for name, c := range map[string]net.Conn{"busy": busy, "after": after} {
 		if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK || !a.last {
@@ -53,7 +53,7 @@
 
 // TestBacklog: connections that wait in the listener's backlog when the proxy is told to end are taken and answered.
 func TestBacklog(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h, func(p *Proxy) {
 		p.cfg.Site.Connections.Limit = 1
 		p.times.drain = 100 * time.Millisecond
@@ -65,7 +65,7 @@
 		f.open += n
 		f.mu.Unlock()
 	}
-	hold(shedReserve) // the last place is that of the accept that is waiting
+	hold(overflowConns) // the last place is that of the accept that is waiting
 	taken := g.dial()
 	io.WriteString(taken, message("read", ""))
 	hear(t, bufio.NewReader(taken))
@@ -74,7 +74,7 @@
 		io.WriteString(c, message("read", ""))
 	}
 	g.tell()
-	hold(-shedReserve)
+	hold(-overflowConns)
 	for n, c := range waiting {
 		if a := hear(t, bufio.NewReader(c)); a.status == 0 {
 			t.Errorf("request %d in the backlog was lost", n)
@@ -102,7 +102,7 @@
 
 // TestUnreadyHealth: without a list the proxy says so, but not with a refusal.
 func TestUnreadyHealth(t *testing.T) {
-	l := newList(t)
+	l := newFakeDiscovery(t)
 	g := start(t, l.addr(), "null")
 	a := g.raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 	if a.status != http.StatusInternalServerError {
@@ -135,7 +135,7 @@
 		t.Fatal(err)
 	}
 	defer f.stop()
-	f.open = 1 + shedReserve
+	f.open = 1 + overflowConns
 	ended := make(watched[bool], 1)
 	go func() {
 		f.accept()
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -14,16 +14,16 @@
 
 // Reload asks for the configuration to be read again. It may be called at any time and never blocks; several calls that
 // come together are one.
-func (p *Proxy) Reload() { ask(p.reloads) }
+func (p *Proxy) Reload() { signal(p.reloadRequests) }
 
 // reload serves Reload until ctx ends.
-func (p *Proxy) reload(ctx context.Context) {
+func (p *Proxy) serveReloads(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.reloads:
-			if err := p.adopt(); err != nil {
+		case <-p.reloadRequests:
+			if err := p.reloadConfig(); err != nil {
 				p.log.Error("configuration not read again, the old one stays", zap.Error(err))
 			}
 		}
@@ -33,41 +33,41 @@
 // adopt takes over what a new configuration may change in a running proxy: the settings, the address of discovery, and the
 // operator's limits of connections. PROXY_DISCOVERY is
 // still that of the start, so what has changed in the file goes before it; what has not changed there changes nothing.
-func (p *Proxy) adopt() error {
-	if p.cfg.reread == nil {
+func (p *Proxy) reloadConfig() error {
+	if p.cfg.reload == nil {
 		return errors.New("it was not read from a file")
 	}
-	c, err := p.cfg.reread()
+	c, err := p.cfg.reload()
 	if err != nil {
 		return err
 	}
-	was, is := p.cfg.file, c.file
-	if is.Discovery != was.Discovery {
-		if _, _, err := net.SplitHostPort(is.Discovery); err != nil {
+	current, next := p.cfg.file, c.file
+	if next.Discovery != current.Discovery {
+		if _, _, err := net.SplitHostPort(next.Discovery); err != nil {
 			return err
 		}
-		p.log.Info("discovery has moved", zap.String("from", was.Discovery), zap.String("to", is.Discovery))
-		p.owner.list.move(is.Discovery)
+		p.log.Info("discovery has moved", zap.String("from", current.Discovery), zap.String("to", next.Discovery))
+		p.owner.discovery.setAddr(next.Discovery)
 	} else {
 		p.log.Info("configuration read again, discovery is where it was")
 	}
 	for name, same := range map[string]bool{
-		"name": is.Name == was.Name, "listen": is.Listen == was.Listen, "limits": is.Limits == was.Limits,
+		"name": next.Name == current.Name, "listen": next.Listen == current.Listen, "limits": next.Limits == current.Limits,
 	} {
 		if !same {
 			p.log.Warn("a change that waits for the next start", zap.String("of", name))
 		}
 	}
-	if !sameJSON(is.Settings, was.Settings) {
-		p.reconfigure(c)
+	if !sameJSON(next.Settings, current.Settings) {
+		p.applySettings(c)
 	}
-	p.cfg.file = is
+	p.cfg.file = next
 	if p.cfg.Site.Failover != c.Site.Failover || !reflect.DeepEqual(p.cfg.Site.Regions, c.Site.Regions) ||
 		!reflect.DeepEqual(p.cfg.Site.Members, c.Site.Members) {
 		p.log.Warn("a change that waits for the next start", zap.String("of", "failover, members, regions"))
 	}
-	if p.steering != nil && len(c.keys) > 0 {
-		p.steering.rekey(c.keys)
+	if p.zonePlanner != nil && len(c.memberKeys) > 0 {
+		p.zonePlanner.rekey(c.memberKeys)
 	}
 	if p.cfg.Site.Connections != c.Site.Connections {
 		p.log.Info("operator's file read again, limits of connections taken over")
@@ -82,23 +82,23 @@
 
 // reconfigure takes over other settings. The module comes first: a request read by the names of before is worded anew when
 // it gets there, one read by the new names finds them in force.
-func (p *Proxy) reconfigure(c *Config) {
-	was, is := p.live.Load(), &c.Balancer
-	p.cfg.zones.place(is, c.Settings)
-	is.Seed = was.Seed
-	p.inForce(is)
-	p.hosts.by.Store(newHostSettings(c.Settings, is))
-	e := configured{cfg: *is, names: newNames(c.Settings, is, p.owner.tally), applied: make(chan struct{})}
-	p.owner.post(e)
+func (p *Proxy) applySettings(c *Config) {
+	current, next := p.activeConfig.Load(), &c.Balancer
+	p.cfg.zones.setOwnZone(next, c.Settings)
+	next.Seed = current.Seed
+	p.setActiveConfig(next)
+	p.hosts.by.Store(newHostSettings(c.Settings, next))
+	event := configured{cfg: *next, names: newNames(c.Settings, next, p.owner.stats), applied: make(chan struct{})}
+	p.owner.post(event)
 	select {
-	case <-e.applied:
+	case <-event.applied:
 	case <-p.owner.done:
 		return
 	}
-	p.front.names.Store(e.names)
-	p.front.seat(func(time.Duration) { p.front.desk.Patient(patienceFor(is.Classes)) })
-	p.owner.list.configure(was, is)
-	p.log.Info("settings in force", zap.Strings("classes", e.names.words), zap.Int("proxies", is.Balancers))
+	p.front.names.Store(event.names)
+	p.front.seat(func(time.Duration) { p.front.desk.Patient(maxQueueWait(next.Classes)) })
+	p.owner.discovery.configure(current, next)
+	p.log.Info("settings in force", zap.Strings("classes", event.names.words), zap.Int("proxies", next.Balancers))
 }
 
 // sameJSON compares two texts that have been read as JSON, but for white space.
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -15,42 +15,42 @@
 )
 
 // rereads stands in for the file of the configuration: what it holds now, and how often it was read.
-type rereads struct {
-	mu   sync.Mutex
-	now  func(*Config) error // changes a copy of the configuration, or fails
-	done watched[string]     // what was logged of each reading
+type fakeConfigFile struct {
+	mu     sync.Mutex
+	change func(*Config) error // changes a copy of the configuration, or fails
+	logged watched[string]     // what was logged of each reading
 }
 
 // reloads gives a rig's proxy a file to read again. By default nothing in it changes.
-func reloads() (*rereads, func(*Proxy)) {
-	r := &rereads{now: func(*Config) error { return nil }, done: make(watched[string], 64)}
+func withConfigFile() (*fakeConfigFile, func(*Proxy)) {
+	r := &fakeConfigFile{change: func(*Config) error { return nil }, logged: make(watched[string], 64)}
 	return r, func(p *Proxy) {
 		first := *p.cfg
-		p.cfg.reread = func() (*Config, error) {
+		p.cfg.reload = func() (*Config, error) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			c := first
-			return &c, r.now(&c)
+			return &c, r.change(&c)
 		}
 		core, _ := observer.New(zap.InfoLevel)
 		p.log = zap.New(core, zap.Hooks(func(e zapcore.Entry) error {
 			if e.Level == zap.ErrorLevel || e.Message == "discovery has moved" ||
 				e.Message == "configuration read again, discovery is where it was" || e.Message == "settings in force" || e.Level == zap.WarnLevel {
-				r.done <- e.Message
+				r.logged <- e.Message
 			}
 			return nil
 		}))
 	}
 }
 
-func (r *rereads) set(f func(*Config) error) {
+func (r *fakeConfigFile) set(f func(*Config) error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.now = f
+	r.change = f
 }
 
 // movesTo is a file whose discovery is at addr.
-func movesTo(addr string) func(*Config) error {
+func withDiscovery(addr string) func(*Config) error {
 	return func(c *Config) error { c.file.Discovery = addr; return nil }
 }
 
@@ -58,13 +58,13 @@
 // believed, though its versions are lower; the module hears of no failure, and hosts that are still listed keep their
 // connections. Back again it goes the same way.
 func TestReloadMoves(t *testing.T) {
-	h, h2 := newHost(t, says(ok)), newHost(t, says(ok))
-	old, next := newList(t, entry("h1", h.addr())), newList(t, entry("h1", h.addr()), entry("h2", h2.addr()))
+	h, h2 := newFakeHost(t, respondWith(okResponse)), newFakeHost(t, respondWith(okResponse))
+	old, next := newFakeDiscovery(t, entry("h1", h.addr())), newFakeDiscovery(t, entry("h1", h.addr()), entry("h2", h2.addr()))
 	old.set(entry("h1", h.addr()))
 	old.set(entry("h1", h.addr())) // version 3
 	s := newScript()
 	s.request = sends("h1")
-	file, f := reloads()
+	file, f := withConfigFile()
 	g := start(t, old.addr(), "null", s.decides, f)
 	g.waitReady()
 	if a := g.raw(message("read", "")); a.status != http.StatusOK {
@@ -73,11 +73,11 @@
 	for len(s.lists) > 0 {
 		<-s.lists
 	}
-	for _, to := range []*toyList{next, old} {
+	for _, to := range []*fakeDiscovery{next, old} {
 		for len(to.calls) > 0 {
 			<-to.calls
 		}
-		file.set(movesTo(to.addr()))
+		file.set(withDiscovery(to.addr()))
 		g.p.Reload()
 		if call := to.calls.next(t, "a call at the new address"); call != membersPath {
 			t.Fatalf("first call %s", call)
@@ -88,8 +88,8 @@
 		to.calls.next(t, "the watch")
 	}
 	s.lists.none(t, "an event beside the two lists")
-	h.seen.next(t, "the first request")
-	if a := g.raw(message("read", "")); a.status != http.StatusOK || !h.seen.next(t, "a request").again {
+	h.requests.next(t, "the first request")
+	if a := g.raw(message("read", "")); a.status != http.StatusOK || !h.requests.next(t, "a request").reusedConn {
 		t.Error("the host's connection was not kept")
 	}
 	next.mu.Lock()
@@ -102,11 +102,11 @@
 // TestReloadRefused: a file that cannot be read, or makes no sense, changes nothing; nor does one that has not changed,
 // or changes what waits for the next start. Each is logged, and the watch goes on.
 func TestReloadRefused(t *testing.T) {
-	h := newHost(t, says(ok))
-	l := newList(t, entry("h1", h.addr()))
+	h := newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	s := newScript()
 	s.request = sends("h1")
-	file, f := reloads()
+	file, f := withConfigFile()
 	g := start(t, l.addr(), "null", s.decides, f)
 	g.waitReady()
 	for _, c := range []struct {
@@ -115,7 +115,7 @@
 	}{
 		{"unreadable", "configuration not read again, the old one stays",
 			func(*Config) error { return errors.New("no such file") }},
-		{"no address", "configuration not read again, the old one stays", movesTo("nonsense")},
+		{"no address", "configuration not read again, the old one stays", withDiscovery("nonsense")},
 		{"unchanged", "configuration read again, discovery is where it was", func(*Config) error { return nil }},
 		{"other limits", "a change that waits for the next start",
 			func(c *Config) error { c.file.Limits.Sockets++; return nil }},
@@ -123,7 +123,7 @@
 		file.set(c.now)
 		g.p.Reload()
 		for got := ""; got != c.log; {
-			got = file.done.next(t, c.name)
+			got = file.logged.next(t, c.name)
 		}
 	}
 	l.set(entry("h1", h.addr()))
@@ -139,13 +139,13 @@
 func TestReloadAnyTime(t *testing.T) {
 	release := newGate()
 	defer release.open()
-	h := newHost(t, says(ok))
-	l := newList(t, entry("h1", h.addr()))
-	_, f := reloads()
+	h := newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
+	_, f := withConfigFile()
 	g := start(t, l.addr(), "null", f, func(p *Proxy) {
 		p.Reload()
-		steps := p.steps[Draining]
-		p.steps[Draining] = func(ctx context.Context) (Phase, error) {
+		steps := p.phaseFuncs[Draining]
+		p.phaseFuncs[Draining] = func(ctx context.Context) (Phase, error) {
 			<-release.opened
 			return steps(ctx)
 		}
--- a/internal/proxy/room.go
+++ b/internal/proxy/room.go
@@ -22,7 +22,7 @@
 }
 
 func newRoom(l Limits) *room {
-	total, clients, hosts := l.shares()
+	total, clients, hosts := l.connectionShares()
 	return &room{shares: places.NewShares(total, clients, hosts), owing: func() {}}
 }
 
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -25,7 +25,7 @@
 
 // decides puts the script in the module's place.
 func (s *script) decides(p *Proxy) {
-	p.decide = func(_ float64, _ balancer.Config, act balancer.Actions) balancer.Handler {
+	p.newHandler = func(_ float64, _ balancer.Config, act balancer.Actions) balancer.Handler {
 		s.act = act
 		act.Watch()
 		return s
--- a/internal/proxy/switch_test.go
+++ b/internal/proxy/settings_reload_test.go
@@ -16,7 +16,7 @@
 
 // poolSettings are those of a deployment of another shape: one location, other classes in another order, no probes, no
 // second copies, no reports, a pool of proxies.
-const poolSettings = `{"Balancers": 16, "Me": 3, "Zone": 0, "Dcs": ["c"], "Discovery": "push",
+const otherSettings = `{"Balancers": 16, "Me": 3, "Zone": 0, "Dcs": ["c"], "Discovery": "push",
  "Classes": [
  {"Name": "pay", "Effect": "once", "AimS": 0.8, "DeadlineS": 2.5, "Credit": 8.0, "LateWorth": 0.3},
  {"Name": "write", "Effect": "once", "AimS": 0.2, "DeadlineS": 1.0, "Credit": 5.0}],
@@ -27,7 +27,7 @@
   "TipAfterS": 2.0}}`
 
 // to is a configuration with other settings, read as the file is.
-func to(text string) func(*Config) error {
+func withSettings(text string) func(*Config) error {
 	return func(c *Config) (err error) {
 		if c.Settings, err = settings.Parse([]byte(text)); err != nil {
 			return err
@@ -42,12 +42,12 @@
 }
 
 // switchTo has the proxy read a configuration again, and waits until that is done.
-func (r *rereads) switchTo(t testing.TB, g *rig, text, log string) {
+func (r *fakeConfigFile) reloadWith(t testing.TB, g *rig, text, log string) {
 	t.Helper()
-	r.set(to(text))
+	r.set(withSettings(text))
 	g.p.Reload()
 	for got := ""; got != log; {
-		got = r.done.next(t, log)
+		got = r.logged.next(t, log)
 	}
 }
 
@@ -56,16 +56,16 @@
 func TestSwitchUnderLoad(t *testing.T) {
 	var mu sync.Mutex
 	runs := map[string]int{}
-	serve := func(c net.Conn, r seenRequest) bool {
+	serve := func(c net.Conn, r receivedRequest) bool {
 		mu.Lock()
 		runs[r.Header.Get(headerID)]++
 		mu.Unlock()
-		return says(ok)(c, r)
+		return respondWith(okResponse)(c, r)
 	}
-	a, b := newHost(t, serve), newHost(t, serve)
-	l := newList(t, entry("h1", a.addr()), entry("h2", b.addr()))
+	a, b := newFakeHost(t, serve), newFakeHost(t, serve)
+	l := newFakeDiscovery(t, entry("h1", a.addr()), entry("h2", b.addr()))
 	l.set(entry("h1", a.addr()), entry("h2", b.addr()))
-	file, f := reloads()
+	file, f := withConfigFile()
 	g := start(t, l.addr(), "null", f)
 	g.waitReady()
 	stop := make(chan struct{})
@@ -95,14 +95,14 @@
 		})
 	}
 	for range 6 {
-		file.switchTo(t, g, poolSettings, "settings in force")
+		file.reloadWith(t, g, otherSettings, "settings in force")
 		if a := g.raw(message("pay", "")); a.status == http.StatusBadRequest {
 			t.Error("the new settings' class is unknown")
 		}
 		if a := g.raw(message("read", "")); a.status != http.StatusBadRequest {
 			t.Errorf("a class that went: %d", a.status)
 		}
-		file.switchTo(t, g, testSettings, "settings in force")
+		file.reloadWith(t, g, testSettings, "settings in force")
 		if a := g.raw(message("pay", "")); a.status != http.StatusBadRequest {
 			t.Errorf("back again, the other's class: %d", a.status)
 		}
@@ -121,7 +121,7 @@
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	if figures := string(g.p.owner.tally.text()); strings.Count(figures, "proxy.ok.write=") != 1 ||
+	if figures := string(g.p.owner.stats.text()); strings.Count(figures, "proxy.ok.write=") != 1 ||
 		!strings.Contains(figures, "proxy.ok.pay=") || !strings.Contains(figures, "proxy.active=0") {
 		t.Errorf("figures %s", figures)
 	}
@@ -132,9 +132,9 @@
 func TestClassGoesWhileOpen(t *testing.T) {
 	release := newGate()
 	defer release.open()
-	h := newHost(t, release.says(ok))
-	l := newList(t, entry("h1", h.addr()), entry("h2", h.addr()), entry("h3", h.addr())) // three: limits start low
-	file, f := reloads()
+	h := newFakeHost(t, release.respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()), entry("h2", h.addr()), entry("h3", h.addr())) // three: limits start low
+	file, f := withConfigFile()
 	g := start(t, l.addr(), "null", f)
 	g.waitReady()
 	open := map[string]net.Conn{}
@@ -142,30 +142,30 @@
 		c := g.dial()
 		defer c.Close()
 		io.WriteString(c, message(class, ""))
-		h.seen.next(t, class)
+		h.requests.next(t, class)
 		open[class] = c
 	}
-	file.switchTo(t, g, poolSettings, "settings in force")
+	file.reloadWith(t, g, otherSettings, "settings in force")
 	release.open()
 	for class, c := range open {
 		if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK {
 			t.Errorf("%s: %d", class, a.status)
 		}
 	}
-	if len(h.seen) > 0 {
-		t.Errorf("%d attempts more", len(h.seen))
+	if len(h.requests) > 0 {
+		t.Errorf("%d attempts more", len(h.requests))
 	}
 }
 
 // TestBadSettingsChangeNothing: one field that makes no sense, and the old settings serve on as a whole.
 func TestBadSettingsChangeNothing(t *testing.T) {
-	h := newHost(t, says(ok))
-	l := newList(t, entry("h1", h.addr()))
-	file, f := reloads()
+	h := newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
+	file, f := withConfigFile()
 	g := start(t, l.addr(), "null", f)
 	g.waitReady()
-	bad := strings.Replace(poolSettings, `"MissAllowed": 0.02`, `"MissAllowed": 2`, 1)
-	file.switchTo(t, g, bad, "configuration not read again, the old one stays")
+	bad := strings.Replace(otherSettings, `"MissAllowed": 0.02`, `"MissAllowed": 2`, 1)
+	file.reloadWith(t, g, bad, "configuration not read again, the old one stays")
 	if a := g.raw(message("read", "")); a.status != http.StatusOK {
 		t.Errorf("a class of the old settings: %d", a.status)
 	}
@@ -180,12 +180,12 @@
 	release, ending := newGate(), newGate()
 	defer release.open()
 	defer ending.open()
-	h := newHost(t, release.says(ok))
-	l := newList(t, entry("h1", h.addr()))
-	file, f := reloads()
+	h := newFakeHost(t, release.respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
+	file, f := withConfigFile()
 	g := start(t, l.addr(), "null", f, func(p *Proxy) {
-		step := p.steps[Draining]
-		p.steps[Draining] = func(ctx context.Context) (Phase, error) {
+		step := p.phaseFuncs[Draining]
+		p.phaseFuncs[Draining] = func(ctx context.Context) (Phase, error) {
 			<-ending.opened
 			return step(ctx)
 		}
@@ -194,11 +194,11 @@
 	c := g.dial()
 	defer c.Close()
 	io.WriteString(c, message("write", ""))
-	h.seen.next(t, "the request")
+	h.requests.next(t, "the request")
 	for range 20 {
-		file.set(to(testSettings))
+		file.set(withSettings(testSettings))
 		g.p.Reload()
-		file.set(to(poolSettings))
+		file.set(withSettings(otherSettings))
 		g.p.Reload()
 	}
 	g.tell()
@@ -207,7 +207,7 @@
 			t.Fatal("the last settings are not in force")
 		}
 		g.p.Reload()
-		file.done.next(t, "a reading")
+		file.logged.next(t, "a reading")
 	}
 	release.open()
 	if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK {
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -106,7 +106,7 @@
 	} else {
 		s.bufs.PutBuffer(p.buf)
 	}
-	ask(s.come)
+	signal(s.come)
 	return true
 }
 
@@ -115,7 +115,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ended, s.err = true, err
-	ask(s.come)
+	signal(s.come)
 }
 
 // take gives the next piece, whose buffer is the caller's from then on. io.EOF: the message is whole.
@@ -126,7 +126,7 @@
 			p := s.queue[0]
 			s.queue = s.queue[1:]
 			s.mu.Unlock()
-			ask(s.gone)
+			signal(s.gone)
 			return p, nil
 		}
 		ended, err := s.ended, s.err
@@ -154,7 +154,7 @@
 		s.bufs.PutBuffer(p.buf)
 	}
 	s.queue = nil
-	ask(s.gone)
+	signal(s.gone)
 }
 
 // whole gives all of a message that has ended, of which nothing has been taken, as a body.
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -24,12 +24,12 @@
 		bytes bool
 	}{
 		{"closed", func(c net.Conn) { c.Close() }, true, false},
-		{"reset", resets, true, false},
-		{"unasked bytes", func(c net.Conn) { io.WriteString(c, ok) }, false, true},
+		{"reset", resetConn, true, false},
+		{"unasked bytes", func(c net.Conn) { io.WriteString(c, okResponse) }, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ready := make(chan struct{})
-			h := newToy(t, func(conn net.Conn, br *bufio.Reader) {
+			h := newFakeServer(t, func(conn net.Conn, br *bufio.Reader) {
 				<-ready
 				c.does(conn)
 				br.ReadByte()
@@ -62,7 +62,7 @@
 
 // TestNoPlaceInTime: with all places for connections taken, an attempt does not outlast its time waiting for one.
 func TestNoPlaceInTime(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h)
 	hosts := g.p.hosts
 	hosts.by.Store(&hostSettings{connect: patience, idle: hosts.by.Load().idle})
@@ -71,7 +71,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	began := time.Now()
-	_, result := hosts.find(hostID("h1")).exchange(ctx, question("/"))
+	_, result := hosts.find(hostID("h1")).exchange(ctx, probeRequest("/"))
 	if took := time.Since(began); result != balancer.ConnectFailed || took > patience/2 {
 		t.Fatalf("%v after %v", result, took)
 	}
@@ -82,8 +82,8 @@
 
 // TestRestartedHost: idle connections to a host's old process are not kept once the list tells of a new one.
 func TestRestartedHost(t *testing.T) {
-	h := newHost(t, says(ok))
-	l := newList(t, entry("h1", h.addr()))
+	h := newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	g := start(t, l.addr(), "null", func(p *Proxy) { p.cfg.Settings.Limits.ConnIdleS = 1000 })
 	g.waitReady()
 	g.raw(message("read", ""))
@@ -98,8 +98,8 @@
 // TestReplacedHosts: thousands of hosts that come under new ids, at addresses of those that have gone, and thousands of
 // clients that ask once leave nothing behind: no host, id, flight or connection beyond those of the last.
 func TestReplacedHosts(t *testing.T) {
-	h := newHost(t, says(ok))
-	l := newList(t, entry("h1", h.addr()))
+	h := newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	s := newScript()
 	s.request = sends("h1")
 	g := start(t, l.addr(), "null", s.decides)
@@ -115,7 +115,7 @@
 		}
 	}
 	sizes := make(watched[[3]int], 1)
-	g.p.owner.post(inside(func(o *owner) { sizes <- [3]int{len(o.hosts.all), len(o.flights), len(o.open)} }))
+	g.p.owner.post(ownerFunc(func(o *owner) { sizes <- [3]int{len(o.hosts.all), len(o.pending), len(o.openIDs)} }))
 	if got := sizes.next(t, "the sizes"); got != [3]int{2, 0, 0} {
 		t.Errorf("hosts, flights and ids left: %v", got)
 	}
--- a/internal/proxy/sight.go
+++ b/internal/proxy/zone_observer.go
@@ -7,27 +7,27 @@
 )
 
 // sight is what this proxy sees of the zones, for the decision which of them count. The owner has it; nil sees nothing.
-type sight struct {
+type zoneObserver struct {
 	name, zone string
-	zones      *zones
+	zones      *zoneTable
 	site       site.File
 	window     *failover.Window
 	hosts      map[balancer.HostID]balancer.Host // that take requests
 }
 
-func newSight(cfg *Config, now float64) *sight {
-	return &sight{name: cfg.Name, zone: cfg.zones.name(cfg.Balancer.Zone), zones: cfg.zones, site: cfg.Site,
+func newZoneObserver(cfg *Config, now float64) *zoneObserver {
+	return &zoneObserver{name: cfg.Name, zone: cfg.zones.name(cfg.Balancer.Zone), zones: cfg.zones, site: cfg.Site,
 		window: failover.NewWindow(now), hosts: map[balancer.HostID]balancer.Host{}}
 }
 
-func (s *sight) took(now float64) {
+func (s *zoneObserver) requestReceived(now float64) {
 	if s != nil {
 		s.window.RequestReceived(now)
 	}
 }
 
 // listed takes the list as the module gets it.
-func (s *sight) listed(kind balancer.ListKind, list catalog) {
+func (s *zoneObserver) updateHosts(kind balancer.ListKind, list catalog) {
 	if s == nil {
 		return
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-func (s *sight) zoneOf(host balancer.HostID) string {
+func (s *zoneObserver) zoneOf(host balancer.HostID) string {
 	if s == nil {
 		return ""
 	}
@@ -51,14 +51,14 @@
 }
 
 // lateShare of its aim is when an answer counts as late here: what is over by then can still be sent again.
-const lateShare = 0.45
+const lateAimShare = 0.45
 
 // ended takes the end of an attempt and how long that took.
-func (s *sight) ended(now, took float64, a *attempt, r balancer.Result, classes []balancer.Class) {
+func (s *zoneObserver) attemptEnded(now, took float64, a *attempt, r balancer.Result, classes []balancer.Class) {
 	if s == nil || a.zone == "" || a.request.Class >= len(classes) {
 		return
 	}
-	load := took / max(1e-3, lateShare*classes[a.request.Class].Aim)
+	load := took / max(1e-3, lateAimShare*classes[a.request.Class].Aim)
 	switch r {
 	case balancer.OK:
 		s.window.Answered(now, a.zone, load)
@@ -74,17 +74,17 @@
 }
 
 // places are the zones as targets.
-func (s *sight) places(now float64, cfg *balancer.Config) []failover.Zone {
-	warm := map[string]float64{s.zone: 0}
+func (s *zoneObserver) zoneWeights(now float64, cfg *balancer.Config) []failover.Zone {
+	weights := map[string]float64{s.zone: 0}
 	for _, h := range s.hosts {
 		weight := 1.0
 		if cfg.Weighted && h.Weight > 0 {
 			weight = h.Weight
 		}
-		warm[s.zones.name(h.Zone)] += weight * cfg.Warmth(now, h.Started)
+		weights[s.zones.name(h.Zone)] += weight * cfg.Warmth(now, h.Started)
 	}
 	var all []failover.Zone
-	for name, w := range warm {
+	for name, w := range weights {
 		all = append(all, failover.Zone{Name: name, Region: s.site.Region(name), WarmWeight: w})
 	}
 	return all
--- a/internal/proxy/zoneorder.go
+++ b/internal/proxy/zone_order.go
@@ -14,78 +14,78 @@
 )
 
 const (
-	leastLeft   = 0.5                   // of the fleet's weight, without a second word
-	confirmMost = 2                     // other members that have an order before it gets its yes
-	confirmLook = 20 * time.Millisecond // at which they are counted
+	minRemainingShare   = 0.5                   // of the fleet's weight, without a second word
+	maxConfirmations    = 2                     // other members that have an order before it gets its yes
+	confirmPollInterval = 20 * time.Millisecond // at which they are counted
 )
 
 // zoneCall is an operator's call on its way to the steering.
-type zoneCall struct {
+type zoneOrderCall struct {
 	ops.ZoneOrder
-	said string
-	err  error
-	done chan struct{}
+	message string
+	err     error
+	done    chan struct{}
 }
 
 // openOrders takes over what was ordered before this process started.
-func (s *steering) openOrders() {
+func (s *zonePlanner) loadOrders() {
 	s.file = handover.NewFile(stateFile(s.p.cfg.StateDir, "zones", s.p.cfg.Name), func([]failover.Order) error { return nil })
 	list, err := s.file.Read()
 	if err != nil {
 		s.p.log.Error("which zones are out by hand cannot be read, others may tell", zap.Error(err))
 	}
 	s.agent.RestoreOrders(list)
-	s.saved = s.agent.OrdersDigest()
+	s.savedDigest = s.agent.OrdersDigest()
 }
 
 // keepOrders writes down what has been ordered since, and lets it be seen.
-func (s *steering) keepOrders() {
-	have, others := s.agent.Confirmed()
+func (s *zonePlanner) saveOrders() {
+	confirmed, otherMembers := s.agent.Confirmed()
 	list := s.agent.Orders()
 	s.mu.Lock()
-	s.have, s.others, s.orders = have, others, list
+	s.confirmed, s.otherMembers, s.orders = confirmed, otherMembers, list
 	s.mu.Unlock()
-	if d := s.agent.OrdersDigest(); d != s.saved {
+	if d := s.agent.OrdersDigest(); d != s.savedDigest {
 		if err := s.file.Write(list); err != nil {
 			s.p.log.Error("an order on a zone will not outlast this process", zap.Error(err))
 		}
-		s.saved = d
+		s.savedDigest = d
 	}
 }
 
 // order carries out an operator's call. Its yes means that the order is written down here, and known to others that would keep it
 // if this process died now.
-func (s *steering) order(ctx context.Context, o ops.ZoneOrder) (string, error) {
-	c := &zoneCall{ZoneOrder: o, done: make(chan struct{})}
+func (s *zonePlanner) submitOrder(ctx context.Context, o ops.ZoneOrder) (string, error) {
+	c := &zoneOrderCall{ZoneOrder: o, done: make(chan struct{})}
 	select {
-	case s.calls <- c:
+	case s.orderCalls <- c:
 	case <-ctx.Done():
 		return "", ctx.Err()
 	}
 	<-c.done
 	if c.err != nil || o.Dry {
-		return c.said, c.err
+		return c.message, c.err
 	}
 	for {
 		s.mu.Lock()
-		have, others := s.have, s.others
+		confirmed, otherMembers := s.confirmed, s.otherMembers
 		s.mu.Unlock()
-		if have >= min(others, confirmMost) {
-			return fmt.Sprintf("%sknown to %d of %d other members", c.said, have, others), nil
+		if confirmed >= min(otherMembers, maxConfirmations) {
+			return fmt.Sprintf("%sknown to %d of %d other members", c.message, confirmed, otherMembers), nil
 		}
 		select {
 		case <-ctx.Done():
-			return "", fmt.Errorf("ordered here, and known to %d of %d other members so far", have, others)
-		case <-time.After(confirmLook):
+			return "", fmt.Errorf("ordered here, and known to %d of %d other members so far", confirmed, otherMembers)
+		case <-time.After(confirmPollInterval):
 		}
 	}
 }
 
 // carryOut gives an order, in the steering's goroutine.
-func (s *steering) carryOut(c *zoneCall) {
+func (s *zonePlanner) executeOrder(c *zoneOrderCall) {
 	defer close(c.done)
 	var names []string
-	for _, z := range s.zones {
+	for _, z := range s.lastZones {
 		if z.Name == c.Zone || c.Region != "" && z.Region == c.Region {
 			names = append(names, z.Name)
 		}
@@ -94,16 +94,16 @@
 		c.err = fmt.Errorf("%w: no zone or region %.64q", ops.ErrUnknown, c.Zone+c.Region)
 		return
 	}
-	text, left := s.agent.WhatIf(s.zones, names, *c.Out)
-	c.said = fmt.Sprintf("%s%.0f %% of the fleet left\n", text, 100*left)
+	text, remaining := s.agent.WhatIf(s.lastZones, names, *c.Out)
+	c.message = fmt.Sprintf("%s%.0f %% of the fleet left\n", text, 100*remaining)
 	switch {
 	case c.Dry:
-	case *c.Out && left <= 0:
+	case *c.Out && remaining <= 0:
 		c.err = errors.New("nothing would be left")
-	case *c.Out && left < leastLeft && !c.Force:
-		c.err = fmt.Errorf("%w:\n%s", ops.ErrForce, c.said)
+	case *c.Out && remaining < minRemainingShare && !c.Force:
+		c.err = fmt.Errorf("%w:\n%s", ops.ErrForce, c.message)
 	default:
 		s.agent.IssueOrder(s.p.owner.clock.now(), names, *c.Out)
-		s.keepOrders()
+		s.saveOrders()
 	}
 }
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zone_table.go
@@ -8,40 +8,40 @@
 )
 
 // mostZones bounds the table: whatever discovery names beyond shares one number.
-const mostZones = 256
+const maxZones = 256
 
 // zones numbers zones by their names. A number stays for the life of the process: other settings may name other zones, in
 // another order, while requests are open that have to stay in theirs.
-type zones struct {
+type zoneTable struct {
 	mu      sync.Mutex
-	numbers map[string]int
+	indexes map[string]int
 	names   []string // by number
 }
 
-func newZones(names ...string) *zones {
-	z := &zones{numbers: map[string]int{}}
+func newZoneTable(names ...string) *zoneTable {
+	z := &zoneTable{indexes: map[string]int{}}
 	for _, name := range names {
-		z.number(name)
+		z.index(name)
 	}
 	return z
 }
 
-func (z *zones) number(name string) int {
+func (z *zoneTable) index(name string) int {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	n, known := z.numbers[name]
+	n, known := z.indexes[name]
 	if !known {
-		if n = len(z.numbers); n >= mostZones {
-			return mostZones
+		if n = len(z.indexes); n >= maxZones {
+			return maxZones
 		}
-		z.numbers[name] = n
+		z.indexes[name] = n
 		z.names = append(z.names, name)
 	}
 	return n
 }
 
 // name is the name of a number; "": those beyond the bound.
-func (z *zones) name(n int) string {
+func (z *zoneTable) name(n int) string {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if n < 0 || n >= len(z.names) {
@@ -51,8 +51,8 @@
 }
 
 // place turns what the settings say of the proxy's zone into the table's number.
-func (z *zones) place(c *balancer.Config, s *settings.Settings) {
+func (z *zoneTable) setOwnZone(c *balancer.Config, s *settings.Settings) {
 	if s.Zone < len(s.Dcs) {
-		c.Zone = z.number(s.Dcs[s.Zone])
+		c.Zone = z.index(s.Dcs[s.Zone])
 	}
 }
