--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -18,25 +18,26 @@
 )
 
 const (
-	cordonPollInterval       = 100 * time.Millisecond // at which the other process's word on hosts is looked for
-	hostStatsIntervalSeconds = 0.25                   // seconds at which the module is asked whom it avoids
+	cordonPollInterval       = 100 * time.Millisecond // between two checks whether another process has changed the file
+	hostStatsIntervalSeconds = 0.25                   // between two updates of the host statistics
 )
 
-// operators is what the operators' door asks of the proxy.
+// adminCalls implements the calls of the admin server (ops.Calls).
 type adminCalls struct {
 	p *Proxy
 
-	mu       sync.Mutex // one call on hosts at a time; guards what follows
+	mu       sync.Mutex // held for a whole call that changes hosts; guards the fields below
 	file     *handover.File[cordon.Set]
-	cordoned cordon.Set // as the owner has it
+	cordoned cordon.Set // as last applied by the owner
 }
 
-// stateFile names a proxy's file of a kind. Proxies that share a folder for want of a TMPDIR have each its own.
+// stateFile returns the path of a proxy's state file of one kind. It includes the proxy's name, because proxies without
+// a TMPDIR share a directory.
 func stateFile(dir, kind, name string) string {
 	return filepath.Join(dir, "beechwing-"+kind+"-"+hex.EncodeToString([]byte(name))+".json")
 }
 
-// outFile names the file with the hosts that are out.
+// cordonFile returns the path of the file with the cordoned hosts.
 func cordonFile(dir, name string) string { return stateFile(dir, "out", name) }
 
 func newAdminCalls(p *Proxy) *adminCalls {
@@ -49,17 +50,18 @@
 	return &adminCalls{p: p, file: handover.NewFile(cordonFile(p.cfg.StateDir, p.cfg.Name), check)}
 }
 
-// load reads which hosts are out, ahead of the owner's start.
+// loadCordoned reads the cordoned hosts, before the owner starts.
 func (s *adminCalls) loadCordoned() cordon.Set {
 	set, err := s.file.Read()
 	if err != nil {
-		s.p.log.Error("who is out by hand cannot be read, nobody is", zap.Error(err))
+		s.p.log.Error("cordoned hosts cannot be read, starting with none", zap.Error(err))
 	}
 	s.cordoned = set
 	return set
 }
 
-// follow takes over what the other process of an upgrade writes, until ctx ends.
+// watchFile applies changes by another process of the same proxy, such as the other one in an upgrade, until ctx is
+// cancelled.
 func (s *adminCalls) watchFile(ctx context.Context) {
 	tick := time.NewTicker(cordonPollInterval)
 	defer tick.Stop()
@@ -70,11 +72,12 @@
 		case <-tick.C:
 		}
 		if err := s.reloadFile(ctx); err != nil && ctx.Err() == nil {
-			s.p.log.Error("word on hosts that are out was not taken over", zap.Error(err))
+			s.p.log.Error("cordoned hosts not updated from the state file", zap.Error(err))
 		}
 	}
 }
 
+// reloadFile applies the file if another process has changed it.
 func (s *adminCalls) reloadFile(ctx context.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +91,7 @@
 	return s.applyCordoned(ctx, set)
 }
 
-// Ready says whether this process serves.
+// Ready returns an error unless this process serves.
 func (s *adminCalls) Ready() error {
 	if s.p.serving.Load() {
 		return nil
@@ -96,10 +99,10 @@
 	return errors.New("not serving")
 }
 
-// Figures words the figures.
+// Figures returns the statistics as text.
 func (s *adminCalls) Figures() []byte { return s.p.owner.stats.text() }
 
-// Plan words which zones count, and why.
+// Plan describes the zone plan and its reason. It returns nil without failover.
 func (s *adminCalls) Plan() []byte {
 	if s.p.zonePlanner == nil {
 		return nil
@@ -107,13 +110,13 @@
 	return s.p.zonePlanner.planText()
 }
 
-// Zone takes a zone or region out for the whole fleet, or back. The door asks for it only where there is a plan.
+// Zone drains a zone or region for the whole fleet, or restores it. The admin server calls it only if Plan returns a plan.
 func (s *adminCalls) Zone(ctx context.Context, o ops.ZoneOrder) (string, error) {
 	return s.p.zonePlanner.submitOrder(ctx, o)
 }
 
-// TakeOut leaves a host out until it is put back. Once it returns without an error that is in force, and outlasts the
-// process.
+// TakeOut cordons a host until PutBack. If it returns no error, the cordon is in force and has been saved for later
+// processes.
 func (s *adminCalls) TakeOut(ctx context.Context, id string) (string, error) {
 	return s.updateCordoned(ctx, id, func(set cordon.Set, now float64) (cordon.Set, string, error) {
 		if set.Out(id) {
@@ -124,7 +127,7 @@
 	})
 }
 
-// PutBack lets a host serve again.
+// PutBack uncordons a host.
 func (s *adminCalls) PutBack(ctx context.Context, id string) (string, error) {
 	return s.updateCordoned(ctx, id, func(set cordon.Set, now float64) (cordon.Set, string, error) {
 		if !set.Out(id) {
@@ -134,7 +137,8 @@
 	})
 }
 
-// change carries out a call on a host that is known: first the file, so that no yes is forgotten, then the owner.
+// updateCordoned changes the set of cordoned hosts by a call on a known host. It writes the file before it informs the
+// owner, so that no confirmed change is lost if the process dies.
 func (s *adminCalls) updateCordoned(ctx context.Context, id string,
 	update func(cordon.Set, float64) (cordon.Set, string, error)) (string, error) {
 	s.mu.Lock()
@@ -147,7 +151,7 @@
 		return "", err
 	}
 	defer unlock()
-	current, err := s.file.Read() // the other process may have written it since
+	current, err := s.file.Read() // another process may have changed the file
 	if err != nil && !errors.Is(err, handover.ErrTorn) {
 		return "", err
 	}
@@ -164,33 +168,34 @@
 	return message, s.applyCordoned(ctx, next)
 }
 
-// inForce waits until the owner has taken over who is out. mu is held.
+// applyCordoned passes the set to the owner and waits until it is in force. The caller holds mu.
 func (s *adminCalls) applyCordoned(ctx context.Context, set cordon.Set) error {
 	done := make(chan struct{})
 	if err := s.p.owner.postAndWait(ctx, cordonEvent{set, done}, done); err != nil {
-		return fmt.Errorf("not in force yet: %w", err)
+		return fmt.Errorf("cordoned hosts saved but not in force yet: %w", err)
 	}
 	s.cordoned = set
 	return nil
 }
 
+// checkKnown returns ops.ErrUnknown for a host that is neither listed nor cordoned.
 func (s *adminCalls) checkKnown(ctx context.Context, id string) error {
 	q := knownQuery{id, make(chan struct{}), new(bool)}
 	if err := s.p.owner.postAndWait(ctx, q, q.done); err != nil {
 		return err
 	}
 	if !*q.known && !s.cordoned.Out(id) {
-		return fmt.Errorf("%w: %.64q is not in the list", ops.ErrUnknown, id)
+		return fmt.Errorf("%w: %.64q is not in the host list", ops.ErrUnknown, id)
 	}
 	return nil
 }
 
-// offer queues an event and waits until it has been played, no longer than ctx.
+// postAndWait queues an event and waits until applied is closed. It fails if ctx is cancelled or the owner stops first.
 func (o *owner) postAndWait(ctx context.Context, e event, applied chan struct{}) error {
 	select {
 	case o.queue <- e:
 	case <-o.done:
-		return errors.New("the proxy has ended")
+		return errors.New("proxy has stopped")
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -198,13 +203,13 @@
 	case <-applied:
 		return nil
 	case <-o.done:
-		return errors.New("the proxy has ended")
+		return errors.New("proxy has stopped")
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// cordoned is word on who is out by hand.
+// cordonEvent replaces the set of cordoned hosts.
 type cordonEvent struct {
 	set  cordon.Set
 	done chan struct{}
@@ -221,7 +226,7 @@
 	close(e.done)
 }
 
-// asked is the question whether a host is known.
+// knownQuery asks whether a host is listed or cordoned.
 type knownQuery struct {
 	id    string
 	done  chan struct{}
@@ -233,7 +238,7 @@
 	close(e.done)
 }
 
-// look copies what operators may read of the module.
+// refreshHostStats copies the host counts of the balancer to the statistics, which the admin server reads.
 func (o *owner) refreshHostStats(now float64) {
 	o.hostStatsAt = now
 	if !o.adminEnabled {
@@ -243,7 +248,7 @@
 	o.stats.avoided.Store(int64(o.bal.Avoided(now) + o.registry.cordonedCount()))
 }
 
-// lookAgain does so if it is time to, and says when it will be.
+// refreshHostStatsIfDue refreshes the host counts if they are due, and returns the time until they are due again.
 func (o *owner) refreshHostStatsIfDue() time.Duration {
 	now := o.clock.now()
 	if now >= o.hostStatsAt+hostStatsIntervalSeconds {
--- a/internal/proxy/catalog.go
+++ b/internal/proxy/catalog.go
@@ -9,21 +9,23 @@
 	"beechwing/balancer"
 )
 
-// catalog is a list of hosts, or changes to one, as discovery words it.
+// catalog is a host list from discovery, or a set of changes to one.
 type catalog struct {
 	version uint64
 	full    bool
 	hosts   []balancer.Host
 	addrs   []string // of hosts, in the same order
-	names   []string // the same
+	names   []string // of hosts, in the same order
+
 }
 
 var hostStatuses = map[string]balancer.Status{
 	"ready": balancer.Ready, "draining": balancer.Draining, "gone": balancer.Removed,
 }
 
-// parseCatalog reads an answer of discovery. An entry that makes no sense is skipped, so that it does not take the
-// others with it.
+// parseCatalog parses a response of discovery. Invalid entries are skipped, so that one of them does not make the whole
+// list unusable.
+
 func parseCatalog(text []byte, z *zoneTable) (catalog, error) {
 	var f struct {
 		Version *uint64           `json:"version"`
@@ -31,10 +33,10 @@
 		Servers []json.RawMessage `json:"servers"`
 	}
 	if err := json.Unmarshal(text, &f); err != nil {
-		return catalog{}, fmt.Errorf("list: %w", err)
+		return catalog{}, fmt.Errorf("host list: %w", err)
 	}
 	if f.Version == nil {
-		return catalog{}, fmt.Errorf("list: no version")
+		return catalog{}, fmt.Errorf("host list: no version")
 	}
 	c := catalog{version: *f.Version, full: f.Full}
 	for _, raw := range f.Servers {
@@ -49,6 +51,7 @@
 	c.names, c.hosts, c.addrs = append(c.names, name), append(c.hosts, h), append(c.addrs, addr)
 }
 
+// parseEntry parses one host. It returns false for an entry that is invalid.
 func parseEntry(raw []byte, z *zoneTable) (name string, h balancer.Host, addr string, ok bool) {
 	var e struct {
 		ID, Addr, Zone, State string
@@ -69,6 +72,7 @@
 	}, e.Addr, true
 }
 
-// hostID makes the number that the module knows a host by of its name alone: the address differs from proxy to
-// proxy, and rendezvous hashing needs the same number in all of them.
+// hostID returns the ID by which the balancer knows a host. It depends only on the name, because addresses differ between
+// proxies and rendezvous hashing needs the same ID in all of them.
+
 func hostID(name string) balancer.HostID { return balancer.HostID(hashName(name)) }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -22,26 +22,26 @@
 	"beechwing/internal/wire"
 )
 
-// Config is what a client proxy is told at its start.
+// Config is the configuration of a client proxy.
 type Config struct {
 	Name, Listen, Discovery string
-	Ops                     string // the operators' address; "": there is no door
-	ListenFD                string // the descriptor of the clients' listening socket; "": it listens by itself
-	StateDir                string // for what one process leaves to the next
+	Ops                     string // address of the admin server; "": none
+	ListenFD                string // descriptor of an inherited listening socket; "": the proxy binds Listen
+	StateDir                string // directory for state that outlasts the process
 	Seed                    uint64
 	Limits                  Limits
-	Known                   catalog // the list as last held before a restart; it may be old
+	Known                   catalog // last host list of the previous process; may be outdated
 	Settings                *settings.Settings
 	Balancer                balancer.Config
 	zones                   *zoneTable
-	Site                    site.File // what the operator sets
+	Site                    site.File // the operator's file (PROXY_SITE)
 
-	memberKeys [][]byte   // of the fleet's words
-	file       configFile // as it was read
-	reload     func() (*Config, error)
+	memberKeys [][]byte                // encrypt messages between members of the fleet
+	file       configFile              // as last read
+	reload     func() (*Config, error) // reads the configuration again; nil: it did not come from a file
 }
 
-// Limits is what the machine of a client proxy grants it. Zero means that nothing was said.
+// Limits are the resources that a client proxy may use. Zero means not specified.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -49,15 +49,17 @@
 }
 
 const (
-	defaultSockets      = 1024
-	defaultMemoryMB     = 192
-	reservedDescriptors = 48   // of the descriptors: listener, discovery, poller, standard streams, the operators' door (17), and some to spare
-	softMemoryShare     = 0.75 // of the memory limit: from there on the garbage collector works harder
+	defaultSockets  = 1024
+	defaultMemoryMB = 192
+	// File descriptors for the listener, discovery, poller, standard streams, the admin server (17), and a margin.
+	reservedDescriptors = 48
+
+	softMemoryShare     = 0.75 // of the memory limit: the garbage collector works harder above this
 	memoryPerRequest    = 2 * (wire.MaxBody + 2*wire.BufferSize)
-	memoryPerParkedConn = 2 << 10 // of a connection that brings nothing
-	parkedMemoryShare   = 0.25    // of the soft limit, for them all
-	watcherMemoryShare  = 0.125   // of the memory limit, for goroutines that watch what is parked
-	overflowConns       = 32      // connections beyond the bound that still get an answer before they are closed
+	memoryPerParkedConn = 2 << 10 // bytes for a connection that is idle and has no goroutine
+	parkedMemoryShare   = 0.25    // of the soft memory limit, for all parked connections
+	watcherMemoryShare  = 0.125   // of the memory limit, for goroutines that wait for data on parked connections
+	overflowConns       = 32      // connections over the limit that get an error response before they are closed
 )
 
 // configFile is the file that PROXY_CONFIG names.
@@ -72,7 +74,7 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// LoadConfig reads the file that PROXY_CONFIG names. The other variables go before what the file says.
+// LoadConfig reads the file that the environment variable PROXY_CONFIG names. The other PROXY_ variables override the file.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -135,8 +137,8 @@
 	if c.Balancer, err = c.Settings.Config(c.Seed); err != nil {
 		return nil, err
 	}
-	c.Balancer.PeerMessages = false // the protocol has none
-	c.Balancer.AskForList = true    // and no list that comes unasked
+	c.Balancer.PeerMessages = false // the protocol has no messages between proxies
+	c.Balancer.AskForList = true    // discovery sends the list only on request
 	c.zones = newZoneTable(c.Settings.Dcs...)
 	c.zones.setOwnZone(&c.Balancer, c.Settings)
 	if f.Known != nil && string(f.Known) != "null" {
@@ -148,7 +150,7 @@
 	return c, nil
 }
 
-// parseSeed takes hexadecimal as it is; any other text is hashed, and an empty one is the time.
+// parseSeed parses a hexadecimal seed. Any other text is hashed, and an empty one gives the current time.
 func parseSeed(text string) uint64 {
 	if seed, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return seed
@@ -159,7 +161,7 @@
 	return hashName(text)
 }
 
-// hash gives names a number that is the same in every proxy.
+// hashName returns a hash of a name that is the same in every proxy.
 func hashName(text string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(text))
@@ -171,9 +173,10 @@
 	l.MemoryMB = cmp.Or(max(0, l.MemoryMB), defaultMemoryMB)
 }
 
-// apply bends the runtime to the machine: as many threads as cores, and a garbage collector that keeps below the
-// memory limit, over which the process would be killed. Where there is room it collects less often: with 9,000 idle
-// connections to mark, a collection each half second added 2 to 4 ms to the p99 of the traffic beside them.
+// apply sets GOMAXPROCS to the cores, and a soft memory limit below the memory limit, at which the process would be killed.
+// With more memory, garbage is collected less often: with 9,000 idle connections to mark, a collection every half second
+// added 2 to 4 ms to the p99 latency of the other traffic.
+
 func (l Limits) apply() {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(min(runtime.NumCPU(), int(math.Ceil(l.Cores))))
@@ -182,8 +185,9 @@
 	debug.SetGCPercent(min(300, max(100, 100*l.MemoryMB/48)))
 }
 
-// shares says how many connections there may be in all, and how many of them are always clients' and always hosts'. Clients
-// may hold a third of the descriptors for requests, so that much is theirs.
+// connectionShares returns how many connections there may be in total, and how many of them are reserved for clients and
+// for hosts. A third of the file descriptors is reserved for clients, since clients may use that many for requests.
+
 func (l Limits) connectionShares() (total, clients, hosts int) {
 	total = max(2, l.Sockets-reservedDescriptors-overflowConns)
 	clients = min(total-1, max(1, (l.Sockets+2)/3))
@@ -191,8 +195,10 @@
 	return total, min(clients, total-hosts), hosts
 }
 
-// connections says how many clients may be connected at the most, and how many of their requests may be read and worked on
-// at once. A client has one request at a time, so the last bounds the owner's queue and held bodies as well.
+// clientLimits returns how many client connections there may be, and how many of their requests may be read and processed
+// at once. A client connection has one request at a time, so the second limit also bounds the owner's queue and the memory
+// for request bodies.
+
 func (l Limits) clientLimits() (clients, requests int) {
 	total, _, hosts := l.connectionShares()
 	memory := softMemoryShare * float64(l.MemoryMB) * (1 << 20)
@@ -200,7 +206,7 @@
 	return clients, max(1, min(clients, int(memory/memoryPerRequest)))
 }
 
-// watchers says whether each of so many connections may have a goroutine that waits for it.
+// allowWatchers reports whether there is enough memory for one waiting goroutine per client connection.
 func (l Limits) allowWatchers(clients int) bool {
 	return float64(clients*park.WatcherStack) <= watcherMemoryShare*float64(l.MemoryMB)*(1<<20)
 }
--- a/internal/proxy/connection_stats.go
+++ b/internal/proxy/connection_stats.go
@@ -9,15 +9,15 @@
 	"beechwing/internal/places"
 )
 
-const statsInterval = time.Minute // at which what connections have done since is logged
+const statsInterval = time.Minute // between two log lines with connection statistics
 
-// frontFigures is what operators can read of a front.
+// connectionStats are statistics of client connections, for the log.
 type connectionStats struct {
-	Places places.Figures
-	Desk   places.DeskFigures
-	Warm   int // that wait for a further request with a goroutine
-	Limit  int // of connections, by what hosts leave and the operator allows
-	Hosts  int // connections to hosts
+	Places places.Figures     // connections by state, and their ends by cause
+	Desk   places.DeskFigures // admission of requests
+	Warm   int                // idle connections that still have a goroutine, not yet parked
+	Limit  int                // of client connections, by the operator's limit and the connections to hosts
+	Hosts  int                // connections to hosts
 }
 
 func (f *front) stats() connectionStats {
@@ -27,7 +27,7 @@
 		Limit: min(f.limits.connections, f.room.limit(places.Callers)), Hosts: f.room.hostCount()}
 }
 
-// MarshalLogObject words the figures for the log. Counters run from the start.
+// MarshalLogObject writes the statistics as log attributes. Counters run from the start of the process.
 func (g connectionStats) MarshalLogObject(e zapcore.ObjectEncoder) error {
 	for k, n := range g.Places.Held {
 		if n > 0 {
@@ -53,13 +53,14 @@
 	return nil
 }
 
-// reporter logs figures now and then, if anything has happened.
+// statsReporter logs connection statistics at intervals, if they have changed.
 type statsReporter struct {
 	front *front
 	last  connectionStats
 	due   time.Time
 }
 
+// reportIfDue logs the statistics if the interval has passed. force logs them at once.
 func (r *statsReporter) reportIfDue(now time.Time, force bool) {
 	if !force && now.Before(r.due) {
 		return
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -21,35 +21,38 @@
 
 const (
 	membersPath  = "/catalog/members"
-	maxListBytes = 4 << 20 // bytes of one answer
+	maxListBytes = 4 << 20 // limit for one response
 
-	// A first call does not wait: it tells at once whether the list is held. Later ones wait for changes.
+	// The first call of a watch does not wait for changes, so that it shows at once whether discovery answers. Later calls
+	// wait (long polling).
 	immediateWait              = time.Millisecond
 	minWatchWait, maxWatchWait = time.Second, 20 * time.Second
 	discoveryDialTimeout       = time.Second
 )
 
-// discovery follows the list. The module says when to watch; a watch goes on until a call fails. In a large fleet there are
-// pauses between its calls.
+// discovery keeps the host list up to date by calls to the discovery service. The balancer requests a watch, which goes on
+// until a call fails. In a large fleet the calls of a watch are separated by pauses.
+
 type discovery struct {
 	mu            sync.Mutex
 	addr          string
-	pendingConfig *balancer.Config   // settings to call by from the next opening on; nil: as before
-	cancelCalls   context.CancelFunc // ends the calls to addr; nil: none have begun
+	pendingConfig *balancer.Config   // settings to apply when the next session starts; nil: no change
+	cancelCalls   context.CancelFunc // ends the current session; nil: no session has started
 
 	bufs          *wire.Pool
 	zones         *zoneTable
 	times         timing
 	watchWait     time.Duration
-	budget        *budget.Questions // the goroutine of run has it
-	hasWatched    bool              // follow has begun before
-	failing       bool              // calls fail, and that has been logged
+	budget        *budget.Questions // pauses between calls; used by the goroutine of run only
+	hasWatched    bool              // a watch has been started before
+	failing       bool              // calls fail, and this has been logged
 	log           *zap.Logger
 	post          func(event)
-	watchRequests chan struct{} // asks for a watch; more than one at a time is one
-	fetchRequests chan struct{} // asks for the whole list once
-	version       uint64        // of the last list handed on
-	hasList       bool          // there was one
+	watchRequests chan struct{} // requests for a watch; holds at most one
+	fetchRequests chan struct{} // requests to fetch the full list once; holds at most one
+	version       uint64        // of the last list passed to the owner
+	hasList       bool          // a list has been passed to the owner in this session, or came with the configuration
+
 }
 
 func newDiscovery(cfg *Config, bufs *wire.Pool, t timing, log *zap.Logger, post func(event)) *discovery {
@@ -62,9 +65,9 @@
 	return d
 }
 
-// callBy takes over what the settings say of calls.
+// applyConfig sets the wait and the call budget by the settings.
 func (d *discovery) applyConfig(c *balancer.Config) {
-	wait := seconds(c.AskWithin / 2) // a silent discovery is to be found out while the list still holds
+	wait := seconds(c.AskWithin / 2) // half, so that a silent discovery is detected while the list still counts as current
 	if wait <= 0 {
 		wait = maxWatchWait
 	}
@@ -72,7 +75,8 @@
 	d.budget = budget.NewQuestions(c.Balancers, seconds(c.AskWithin), c.Seed)
 }
 
-// configure has other settings followed where they change how calls are made. Like a move it is no failure.
+// configure applies changed settings. If they affect the calls to discovery, a new session starts, and as in setAddr the
+// balancer sees no failure.
 func (d *discovery) configure(was, is *balancer.Config) {
 	if was.AskWithin == is.AskWithin && was.Balancers == is.Balancers {
 		return
@@ -85,16 +89,18 @@
 	}
 }
 
-// ask notes a call for the list; it never blocks. While the same is asked for already there is nothing to add.
-func signal(what chan struct{}) {
+// signal sends to a channel that holds at most one request, without blocking. A request that is already pending covers this
+// one too.
+func signal(requests chan struct{}) {
 	select {
-	case what <- struct{}{}:
+	case requests <- struct{}{}:
 	default:
 	}
 }
 
-// move makes discovery another service, at addr. That is no failure, so the module is not told: the hosts it knows stay
-// until the new service lists others, and the watch goes on there.
+// setAddr switches to the discovery service at addr. The switch is no failure, so the balancer is not told: it keeps its
+// hosts until the new service sends a list, and the watch continues there.
+
 func (d *discovery) setAddr(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -104,16 +110,17 @@
 	}
 }
 
-// run serves calls for the list until ctx ends.
+// run processes requests for the list until ctx is cancelled. Each iteration is a session with one address.
 func (d *discovery) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.serveRequests(d.newSession(ctx))
-		d.hasList = false // it has moved, and the new service may number its versions anew
+		d.hasList = false // the address may have changed, and the new service may number its versions differently
 		signal(d.watchRequests)
 	}
 }
 
-// open begins the calls to the address at hand.
+// newSession applies pending settings and returns a context for calls to the current address. Changes of the address or
+// the settings cancel it.
 func (d *discovery) newSession(ctx context.Context) context.Context {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -128,7 +135,7 @@
 	return ctx
 }
 
-// serve makes the calls that are asked for until ctx ends.
+// serveRequests processes requests for the list until ctx is cancelled.
 func (d *discovery) serveRequests(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -141,14 +148,14 @@
 	}
 }
 
-// place is where discovery is now.
+// currentAddr returns the address of the discovery service.
 func (d *discovery) currentAddr() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addr
 }
 
-// once fetches the whole list on a connection of its own.
+// fetchOnce fetches the full list on a separate connection.
 func (d *discovery) fetchOnce(ctx context.Context) {
 	conn, err := d.dial(ctx)
 	if err == nil {
@@ -158,16 +165,18 @@
 	d.reportFailure(ctx, err)
 }
 
-// follow asks for changes until a call fails. Without pauses it is one watch on one connection: the next call goes out as
-// soon as the last answer is handed on, as after 200 ms the watch would count as a new one. Through a pause no connection is
-// kept, since it might hold a place in discovery.
+// watchList calls for changes until a call fails. Without pauses it uses one connection and sends the next call as soon as
+// the last response has been passed on, because after a gap of 200 ms discovery would count it as a new watch. The
+// connection is closed during a pause, since it might occupy a connection slot of discovery.
 //
-// A watch that falls silent is a failure like others, but the next connection is tried without waiting for the module:
-// the way to discovery may be cut for this connection only, and what it had to tell soon counts as told.
+// A watch that gets no response in time is reported as a failure, but unlike after other failures the next connection is
+// tried at once, without waiting for the balancer. Only this one connection may be cut off, and the changes that it failed
+// to deliver soon count as known to the proxy.
+
 func (d *discovery) watchList(ctx context.Context) {
 	conn, err := (*discoveryConn)(nil), error(nil)
 	wait, pause := immediateWait, d.budget.Pause()
-	if d.hasList && !d.hasWatched { // with nothing to serve with, it cannot wait
+	if d.hasList && !d.hasWatched { // a proxy without a list cannot wait
 		pause = d.budget.First()
 	}
 	d.hasWatched = true
@@ -185,7 +194,7 @@
 		silent := errors.Is(err, os.ErrDeadlineExceeded) && wait == d.watchWait
 		wait, pause = d.watchWait, d.budget.Pause()
 		if pause > 0 {
-			wait = immediateWait // which shows how long the call waits for its turn
+			wait = immediateWait // so that the response time shows how long the call queues at discovery
 			if err == nil {
 				conn, err = d.closeWatch(ctx, conn)
 			}
@@ -198,14 +207,15 @@
 		}
 	}
 	conn.close()
-	select { // a call made meanwhile is answered by the failure; the module decides when to ask again
+	select { // the failure also answers a request made in the meantime; the balancer decides when to retry
 	case <-d.watchRequests:
 	default:
 	}
 	d.reportFailure(ctx, err)
 }
 
-// next makes one call of a watch, or for the whole list where that is asked for: it fits between two.
+// watchCall makes one call of a watch. If the full list has been requested, it fetches that instead, between two calls of
+// the watch.
 func (d *discovery) watchCall(conn *discoveryConn, wait time.Duration) error {
 	select {
 	case <-d.fetchRequests:
@@ -219,8 +229,10 @@
 	return d.call(conn, !d.hasList, wait, within)
 }
 
-// stepOut ends a watch ahead of a pause. What changes within 200 ms of an answer counts as told, as if the next call had
-// come; so that call is made, and given up unanswered once that time is over.
+// closeWatch ends a watch before a pause. Discovery expects the next call of a watch within 200 ms of a response, and
+// changes in that time count as known to the proxy. Therefore closeWatch makes that call too, and abandons it when the time
+// is over without a response.
+
 func (d *discovery) closeWatch(ctx context.Context, conn *discoveryConn) (*discoveryConn, error) {
 	for {
 		var err error
@@ -236,7 +248,7 @@
 	}
 }
 
-// ready gives a connection that can take a call: conn, unless there is none or discovery closes it.
+// readyConn returns a connection that can take a call: conn, or a new one if conn is nil or discovery is closing it.
 func (d *discovery) readyConn(ctx context.Context, conn *discoveryConn) (*discoveryConn, error) {
 	if conn != nil && !conn.closing {
 		return conn, nil
@@ -245,12 +257,12 @@
 	return d.dial(ctx)
 }
 
-// pause waits. Whoever wants the whole list meanwhile waits no longer.
-func (d *discovery) pause(ctx context.Context, long time.Duration) error {
-	if long <= 0 {
+// pause waits for the given duration, or until the full list is requested or ctx is cancelled.
+func (d *discovery) pause(ctx context.Context, duration time.Duration) error {
+	if duration <= 0 {
 		return nil
 	}
-	timer := time.NewTimer(long)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -262,6 +274,8 @@
 	return nil
 }
 
+// reportFailure reports a failed call to the owner and logs the first of a series. It does nothing without an error, or
+// after ctx has been cancelled.
 func (d *discovery) reportFailure(ctx context.Context, err error) {
 	if err == nil || ctx.Err() != nil {
 		return
@@ -274,7 +288,8 @@
 	d.post(members{kind: balancer.ListFailed})
 }
 
-// call asks once and hands the answer on.
+// call makes one call, for the full list or for the changes since the current version, and posts the result to the owner.
+// It fails if no valid response arrives within the given time.
 func (d *discovery) call(conn *discoveryConn, whole bool, wait, within time.Duration) error {
 	path := membersPath
 	if !whole {
@@ -297,7 +312,7 @@
 	if whole && !c.full {
 		return errors.New("changes came where the whole list was asked for")
 	}
-	if d.hasList && c.full && len(c.hosts) == 0 { // rather a discovery that has lost its data than a site without hosts
+	if d.hasList && c.full && len(c.hosts) == 0 { // more likely discovery has lost its data than all hosts are gone
 		return errors.New("a list without entries that can be used")
 	}
 	if d.hasList && c.version < d.version {
@@ -321,16 +336,18 @@
 	return nil
 }
 
-// listConn is a connection to discovery.
+// discoveryConn is a connection to the discovery service.
 type discoveryConn struct {
 	net.Conn
 	wire.Meter
 	bufs       *wire.Pool
 	br         *bufio.Reader
 	stopCancel func() bool
-	closing    bool // discovery closes it
+	closing    bool // discovery closes the connection after its last response
+
 }
 
+// dial opens a connection that is closed when ctx is cancelled.
 func (d *discovery) dial(ctx context.Context) (*discoveryConn, error) {
 	dialer := net.Dialer{Timeout: discoveryDialTimeout, KeepAlive: -1}
 	nc, err := dialer.DialContext(ctx, "tcp", d.currentAddr())
@@ -343,7 +360,7 @@
 	return c, nil
 }
 
-// close ends the connection, if there is one.
+// close closes the connection. It does nothing on a nil receiver.
 func (c *discoveryConn) close() {
 	if c == nil {
 		return
@@ -353,7 +370,7 @@
 	c.bufs.PutReader(c.br)
 }
 
-// get reads one answer whole, within the time given.
+// get makes an HTTP request and returns the body of the response, which must arrive within the given time.
 func (c *discoveryConn) get(addr, path string, within time.Duration) ([]byte, error) {
 	c.SetDeadline(time.Now().Add(within))
 	c.Allow(maxListBytes)
--- a/internal/proxy/host_registry.go
+++ b/internal/proxy/host_registry.go
@@ -5,14 +5,16 @@
 	"beechwing/internal/cordon"
 )
 
-// roll is the list as discovery tells it, with the hosts that operators have taken out. What the module and the sockets
-// are told is the two merged. The owner has it.
+// hostRegistry holds the host list from discovery and the hosts that operators have cordoned. The balancer and the
+// connections to hosts get the two merged. Only the owner uses it.
+
 type hostRegistry struct {
-	entries  map[string]registeredHost // by name
+	entries map[string]registeredHost // by host name
+
 	cordoned cordon.Set
 }
 
-// listed is a host's entry, as discovery tells it.
+// registeredHost is a host's entry in the list from discovery.
 type registeredHost struct {
 	host balancer.Host
 	addr string
@@ -20,7 +22,7 @@
 
 func newHostRegistry() *hostRegistry { return &hostRegistry{entries: map[string]registeredHost{}} }
 
-// take takes word of the list and gives it merged.
+// update applies a list or changes from discovery, and returns them merged with the cordoned hosts.
 func (r *hostRegistry) update(kind balancer.ListKind, list catalog) catalog {
 	if kind != balancer.ListChanges {
 		clear(r.entries)
@@ -37,7 +39,7 @@
 	return merged
 }
 
-// cordon takes another set of hosts that are out, and gives what changes by that.
+// setCordoned replaces the set of cordoned hosts, and returns the entries that change by that.
 func (r *hostRegistry) setCordoned(cordoned cordon.Set) catalog {
 	var changes catalog
 	for _, name := range cordon.Changed(r.cordoned, cordoned) {
@@ -49,13 +51,13 @@
 	return changes
 }
 
-// known says whether a host is in the list, or out by hand whatever the list says.
+// isKnown reports whether a host is in the list or cordoned.
 func (r *hostRegistry) isKnown(name string) bool {
 	_, known := r.entries[name]
 	return known || r.cordoned.Out(name)
 }
 
-// outNow counts the listed hosts that are out by hand.
+// cordonedCount returns the number of hosts that are ready in the list but cordoned.
 func (r *hostRegistry) cordonedCount() (n int) {
 	for name := range r.cordoned {
 		if e, known := r.entries[name]; known && e.host.Status == balancer.Ready && r.cordoned.Out(name) {
--- a/internal/proxy/log.go
+++ b/internal/proxy/log.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	maxQueuedLines = 512         // that may wait to be written
-	flushTimeout   = time.Second // the end does not wait longer for an output that takes nothing
+	maxQueuedLines = 512         // capacity of the queue of lines to be written
+	flushTimeout   = time.Second // at shutdown, for an output that accepts no data
 )
 
-// logSink writes lines from a goroutine of its own. A full pipe behind standard error must not hold up who logs, least
-// of all the owner; lines over the bound are dropped and counted.
+// logSink writes log lines in a separate goroutine, so that a full pipe behind standard error does not block the goroutines
+// that log, in particular the owner. Lines that do not fit in its queue are dropped and counted.
+
 type logSink struct {
 	out     io.Writer
 	lines   chan []byte
@@ -24,7 +25,7 @@
 	dropped atomic.Int64
 }
 
-// NewLogger makes the program's logger and the function that writes out what waits and ends it.
+// NewLogger returns a logger, and a function that writes the queued lines and stops the logger's goroutine.
 func NewLogger(out io.Writer, level zapcore.Level) (*zap.Logger, func()) {
 	s := &logSink{out: out, lines: make(chan []byte, maxQueuedLines), quit: make(chan struct{})}
 	ended := make(chan struct{})
@@ -44,7 +45,7 @@
 	}
 }
 
-// Write takes a line. zap uses its buffer again, so the line is copied.
+// Write queues a copy of the line, since zap reuses its buffer. It never blocks.
 func (s *logSink) Write(line []byte) (int, error) {
 	select {
 	case s.lines <- append([]byte(nil), line...):
@@ -54,9 +55,10 @@
 	return len(line), nil
 }
 
-// Sync is there for zap; the sink writes as fast as it can anyway.
+// Sync does nothing. zap requires it, but the sink has no buffer to flush.
 func (s *logSink) Sync() error { return nil }
 
+// run writes queued lines until quit is closed, and then those that are still in the queue.
 func (s *logSink) run() {
 	for {
 		select {
@@ -71,6 +73,7 @@
 	}
 }
 
+// write writes a line, and reports lines dropped since the last one.
 func (s *logSink) write(line []byte) {
 	s.out.Write(line)
 	if n := s.dropped.Swap(0); n > 0 {
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -12,48 +12,49 @@
 	"beechwing/internal/wire"
 )
 
-// queueLength bounds what waits for the owner. Socket code that finds the queue full waits in turn.
+// queueLength is the capacity of the owner's event queue. Network goroutines block while the queue is full.
 const queueLength = 1024
 
-// owner is the one goroutine that the module runs in. Socket code reaches it through its queue only. It does no I/O
-// itself and never waits for anything but the queue and its timers, so a slow peer cannot hold up the decisions.
+// owner runs the balancer in a single goroutine. Network goroutines communicate with it only by events on its queue. It
+// does no I/O itself and waits for nothing but the queue and its timers, so that a slow peer cannot delay decisions.
+
 type owner struct {
 	clock         clock
 	bal           balancer.Handler
 	cfg           balancer.Config
 	queue         chan event
-	localEvents   []event // events that actions gave rise to; the module may not be called from within an action
+	localEvents   []event // events caused by actions; an action must not call back into the balancer
 	timers        timerHeap
 	pending       map[balancer.RequestID]*pendingRequest
-	openIDs       map[string]bool // the names that clients gave them
+	openIDs       map[string]bool // request IDs from clients, of all pending requests
 	pendingProbes int
 	lastID        balancer.RequestID
 	hosts         *hosts
 	discovery     *discovery
 	bufs          *wire.Pool
 	log           *zap.Logger
-	ctx           context.Context // of attempts and probes
-	ready         atomic.Bool     // hosts are known
-	hostsKnown    chan struct{}   // closed when they are
-	listReceived  chan struct{}   // closed once discovery has told of them
-	registry      *hostRegistry   // the list, and who is out by hand
-	zoneObserver  *zoneObserver   // what is seen of zones; nil: nobody asks
+	ctx           context.Context // parent of the contexts of attempts and probes
+	ready         atomic.Bool     // a host list has been received
+	hostsKnown    chan struct{}   // closed when ready is set
+	listReceived  chan struct{}   // closed when the list comes from discovery rather than from the configuration
+	registry      *hostRegistry   // listed and cordoned hosts
+	zoneObserver  *zoneObserver   // nil: failover between zones is off
 	stats         *requestStats
-	names         *names  // by which requests are read now
-	adminEnabled  bool    // somebody may ask for figures
-	hostStatsAt   float64 // when the module was last asked whom it avoids
-	endsAt        float64 // when the process ends, on its clock; 0: not soon
+	names         *names  // classes and tenants of the current settings
+	adminEnabled  bool    // host statistics are kept for the admin server
+	hostStatsAt   float64 // when the host statistics were last updated, on the owner's clock
+	endsAt        float64 // when the process ends, on the owner's clock; 0: no shutdown has been announced
 	stopping      bool
-	done          chan struct{} // closed when the owner has ended
+	done          chan struct{} // closed when run returns
 }
 
-// flight is a request that the module has not done with.
+// pendingRequest is a request that is unanswered or still has attempts outstanding.
 type pendingRequest struct {
 	request     *request
 	deadline    float64
-	maxAttempts int // attempts; 0: any number
+	maxAttempts int // 0: no limit
 	attempts    []*attempt
-	outstanding int
+	outstanding int // attempts without an outcome
 	answered    bool
 }
 
@@ -72,7 +73,7 @@
 	return o
 }
 
-// post queues an event. After the owner's end nobody is left whom it could concern.
+// post queues an event. Events are dropped once the owner has stopped.
 func (o *owner) post(e event) {
 	select {
 	case o.queue <- e:
@@ -80,7 +81,8 @@
 	}
 }
 
-// run is the owner's loop.
+// run processes events and timers until a stop event, and then until no request or probe is pending. cached is the host
+// list from the configuration.
 func (o *owner) run(newHandler func(float64, balancer.Config, balancer.Actions) balancer.Handler, cached catalog) {
 	defer close(o.done)
 	o.bal = newHandler(o.clock.now(), o.cfg, o)
@@ -108,7 +110,7 @@
 	}
 }
 
-// settleLocal plays the events that actions gave rise to, in order.
+// applyLocal applies the events that actions caused, in order.
 func (o *owner) applyLocal() {
 	for len(o.localEvents) > 0 {
 		e := o.localEvents[0]
@@ -117,7 +119,8 @@
 	}
 }
 
-// conclude gives a request its one answer. Nothing may be sent for it from then on, so what is out is called off.
+// complete answers a request, at most once. Nothing may be sent for the request from then on, so its outstanding attempts
+// are cancelled.
 func (o *owner) complete(f *pendingRequest, a answer) {
 	if f.answered {
 		return
@@ -135,10 +138,10 @@
 			a.stopped = append(a.stopped, at)
 		}
 	}
-	f.request.answer <- a // has room for the one
+	f.request.answer <- a // never blocks: the channel has a buffer of one
 }
 
-// drop forgets a flight that is answered and has nothing out.
+// release removes a request that is answered and has no outstanding attempts.
 func (o *owner) release(f *pendingRequest) {
 	if f.answered && f.outstanding == 0 && o.pending[f.request.ID] == f {
 		delete(o.pending, f.request.ID)
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	probeTimeout   = time.Second // a host that takes longer to say how it is, is not well
+	probeTimeout   = time.Second // a host that takes longer counts as unhealthy
 	probePath      = "/ping"
-	loadReportPath = "/_load" // the same, with the load report as its body
+	loadReportPath = "/_load" // like probePath, with the load report as the response body
 )
 
-// question is a call for a path. One that runs twice does no harm.
+// probeRequest is a GET request for a path. It is idempotent, so write need not call settle.
 type probeRequest string
 
 func (q probeRequest) write(l line) error {
@@ -24,10 +24,10 @@
 	return err
 }
 
-// begun wants no answer that is longer than any report.
+// begun rejects responses that are too long for a load report.
 func (probeRequest) begun(reply) bool { return false }
 
-// run asks a host how it is and makes exactly one result.
+// run probes a host and returns the result. It asks for the load report if the settings name columns of one.
 func (p probed) run(ctx context.Context, up *upstream) probed {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,9 +1,16 @@
-// Package proxy is the client proxy on sockets: the platform's protocol between an application, its hosts and
-// discovery, built round the decision module.
+// Package proxy implements the client proxy: it accepts an application's HTTP requests, lets package balancer decide
+// which host each one goes to, sends it there and returns the response. It follows the list of hosts that the discovery
+// service provides.
 //
-// The files follow the stages of a request: accept, client (read and watch), parse, owner (the module and its queue),
-// attempt, upstream (connections), reply, answer. Beside them stand the list (discovery, catalog), probes, and the
-// phases of the program in this file.
+// The main type is Proxy. LoadConfig reads the configuration, New creates a proxy, and Run serves until its context is
+// cancelled. Package balancer does no I/O: it runs in a single goroutine, the owner, which passes it events from the
+// network and carries out the actions that it requests.
+//
+// The files follow the stages of a request: accept, client (reads requests and detects disconnects), parse, owner (event
+// queue and balancer), attempt, upstream (connections to hosts), reply (from a host), answer (to the client). Other files
+// handle the host list (discovery, catalog), probes, the admin server (admin) and the choice of zones (zone_planner).
+// This file has the life cycle of the process.
+
 package proxy
 
 import (
@@ -25,16 +32,17 @@
 	"beechwing/internal/wire"
 )
 
-// Phase is a stage in the life of a client proxy.
+// Phase is a stage in the life cycle of a client proxy.
 type Phase int
 
-// The phases, in their order.
+// The phases, in order. A proxy that is told to stop goes through either Draining or HandingOver.
 const (
-	Starting    Phase = iota // takes the address it serves on and starts its parts
-	Serving                  // takes requests
-	Draining                 // told to end: still takes what comes, every answer closes its connection
-	HandingOver              // told to end, with another process at the same socket: the same, but for new connections
-	Finishing                // takes nothing new, finishes what is out
+	Starting Phase = iota // binds the listening address and starts the goroutines
+	Serving               // accepts connections and serves requests
+
+	Draining    // told to stop: still accepts connections, and closes each one after its next response
+	HandingOver // like Draining, but leaves new connections to another process on the same listening socket
+	Finishing   // accepts nothing new and waits for open requests
 	Stopped
 )
 
@@ -42,11 +50,11 @@
 	return [...]string{"starting", "serving", "draining", "parting", "finishing", "stopped"}[p]
 }
 
-// Proxy is one client proxy.
+// Proxy is a client proxy. New creates one, and Run runs it.
 type Proxy struct {
 	cfg              *Config
-	activeConfig     atomic.Pointer[balancer.Config] // the settings in force
-	maxDeadlineNanos atomic.Int64                    // longest deadline in force since the start, in nanoseconds
+	activeConfig     atomic.Pointer[balancer.Config] // settings in force
+	maxDeadlineNanos atomic.Int64                    // longest class deadline in force since the start, in nanoseconds
 	log              *zap.Logger
 	times            timing
 	listen           func(network, addr string) (net.Listener, error)
@@ -54,24 +62,25 @@
 	phase            Phase
 	phaseFuncs       map[Phase]func(context.Context) (Phase, error)
 
-	reloadRequests chan struct{} // asks for the configuration to be read again
-	ready          chan struct{} // closed when it can serve
+	reloadRequests chan struct{} // requests to read the configuration again; holds at most one
+	ready          chan struct{} // closed when the proxy can serve
+
+	stopRequestedAt time.Time   // when the proxy was told to stop
+	serving         atomic.Bool // reported by the admin health check
 
-	stopRequestedAt time.Time   // when it was told to end
-	serving         atomic.Bool // it serves
-	adminServer     *ops.Door   // nil: there is none
+	adminServer *ops.Door // nil: no admin address is configured
 
-	zonePlanner *zonePlanner // nil: no plan says which zones count
+	zonePlanner *zonePlanner // nil: failover between zones is off
 
 	bufs       *wire.Pool
 	hosts      *hosts
 	owner      *owner
 	front      *front
 	goroutines sync.WaitGroup
-	cancel     context.CancelFunc // ends attempts, the watch and reloads
+	cancel     context.CancelFunc // stops attempts, calls to discovery and reloads
 }
 
-// New makes a client proxy; Run runs it.
+// New creates a client proxy. It binds no address before Run.
 func New(cfg *Config, log *zap.Logger) *Proxy {
 	p := &Proxy{cfg: cfg, log: log, times: defaultTiming(), listen: net.Listen,
 		reloadRequests: make(chan struct{}, 1), ready: make(chan struct{})}
@@ -86,7 +95,8 @@
 	return p
 }
 
-// Run goes through the phases. It returns when everything taken has been answered after ctx has ended.
+// Run serves until ctx is cancelled, then shuts down. It returns once all accepted requests have been answered, or the
+// time limit of the shutdown has passed.
 func (p *Proxy) Run(ctx context.Context) error {
 	for p.phase != Stopped {
 		next, err := p.phaseFuncs[p.phase](ctx)
@@ -109,7 +119,8 @@
 	if err != nil {
 		return Stopped, err
 	}
-	runCtx, cancel := context.WithCancel(context.Background()) // outlives the signal: what is out is finished
+	// Not derived from the caller's context, so that open requests can finish.
+	runCtx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	p.bufs = wire.NewPool()
 	c := newClock(time.Now())
@@ -121,7 +132,7 @@
 	if err != nil {
 		return Stopped, err
 	}
-	if p.owner.zoneObserver != nil { // ahead of the door and of reloads, which ask for it
+	if p.owner.zoneObserver != nil { // before the admin server and reloads, which use the planner
 		p.zonePlanner = newZonePlanner(p)
 	}
 	if adminListener != nil {
@@ -149,20 +160,24 @@
 			Pace: admissionRate(p.cfg.Limits.Cores), Burst: min(requests, admissionBurst)}}
 }
 
-// The turns that are given at once and in a second. A core finishes some 5,000 requests a second here; begun all together,
-// thousands go to hosts whose limits are those of before, and all but a few are refused after the work.
+// Requests are admitted by a token bucket: admissionBurst at once and then a number per second that depends on the cores.
+// A core completes about 5,000 requests per second. If thousands were admitted at once, they would reach the hosts before
+// the concurrency limits could adapt, and all but a few would be rejected after the work was done.
+
 const (
 	admissionBurst    = 64
 	admissionsPerCore = 7000
-	minAdmissionRate  = 2000 // where the machine grants part of a core, which is not always all that it gives
+	minAdmissionRate  = 2000 // lower bound for a fractional core limit, since the machine may give more than its limit
 )
 
+// admissionRate returns the number of requests to admit per second.
 func admissionRate(cores float64) float64 {
 	return max(minAdmissionRate, admissionsPerCore*cmp.Or(cores, 1))
 }
 
-// patienceFor is how long a request may wait before it is read: a quarter of the shortest deadline, so that a refusal
-// leaves its client time to go elsewhere.
+// maxQueueWait returns how long a request may wait before the proxy reads it: a quarter of the shortest deadline, so that
+// after a rejection the client still has time to go elsewhere.
+
 func maxQueueWait(classes []balancer.Class) time.Duration {
 	shortest := 1.0
 	for _, c := range classes {
@@ -173,15 +188,15 @@
 	return seconds(shortest / 4)
 }
 
-// clientLimit is the operator's limit of connections, where it is under what the machine allows.
-func clientLimit(most int, c site.Connections) int {
+// clientLimit returns the operator's connection limit, or maxConns, which the machine allows, if that is lower.
+func clientLimit(maxConns int, c site.Connections) int {
 	if c.Limit > 0 {
-		return min(most, c.Limit)
+		return min(maxConns, c.Limit)
 	}
-	return most
+	return maxConns
 }
 
-// takeAddress takes the address that clients connect to, or the socket there that the platform holds.
+// listenForClients binds the address that clients connect to, or takes over the inherited listening socket (PROXY_FD).
 func (p *Proxy) listenForClients() (net.Listener, error) {
 	if p.cfg.ListenFD != "" {
 		ln, err := handover.Listener(p.cfg.ListenFD, p.cfg.Listen)
@@ -193,7 +208,7 @@
 	return p.listen("tcp", p.cfg.Listen)
 }
 
-// takeDoor takes the operators' address, if there is one.
+// listenForAdmin binds the admin address. It returns nil if none is configured.
 func (p *Proxy) listenForAdmin() (net.Listener, error) {
 	if p.cfg.Ops == "" {
 		return nil, nil
@@ -205,6 +220,7 @@
 	return ln, nil
 }
 
+// startAdminServer loads the cordoned hosts and serves the admin API on ln.
 func (p *Proxy) startAdminServer(ctx context.Context, ln net.Listener) {
 	s := newAdminCalls(p)
 	p.owner.adminEnabled = true
@@ -214,7 +230,8 @@
 	p.goroutines.Go(func() { s.watchFile(ctx) })
 }
 
-// prepare waits until this process can serve: it has a list, from discovery if that answers in time.
+// awaitList waits until the proxy can serve. It prefers a host list from discovery. If none arrives within
+// times.firstList, any list will do, such as the one from the configuration.
 func (p *Proxy) awaitList(ctx context.Context) {
 	timeout := time.NewTimer(p.times.firstList)
 	defer timeout.Stop()
@@ -234,7 +251,7 @@
 }
 
 func (p *Proxy) serve(ctx context.Context) (Phase, error) {
-	if p.cfg.ListenFD != "" { // what connects meanwhile waits in the backlog, or is another process's
+	if p.cfg.ListenFD != "" { // new connections wait in the backlog, or go to the other process
 		select {
 		case <-ctx.Done():
 			return p.beginShutdown(), nil
@@ -250,11 +267,11 @@
 	case <-ctx.Done():
 		return p.beginShutdown(), nil
 	case <-accepted:
-		return Stopped, fmt.Errorf("the listener has closed")
+		return Stopped, fmt.Errorf("listener closed unexpectedly")
 	}
 }
 
-// end begins the end: operators are told that this process serves no longer.
+// beginShutdown starts the shutdown and returns its first phase. From here on the admin health check fails.
 func (p *Proxy) beginShutdown() Phase {
 	p.stopRequestedAt = time.Now()
 	p.serving.Store(false)
@@ -264,8 +281,10 @@
 	return Draining
 }
 
-// part leaves new connections to the process that takes over. What clients still send on those that they have is
-// answered, each time as the last on its connection: closing an idle one now could cross a request.
+// handOver leaves new connections to the process that takes over. Requests on existing connections are still answered, and
+// each response closes its connection. Idle connections stay open, because closing one now could lose a request that the
+// client is just sending.
+
 func (p *Proxy) handOver(context.Context) (Phase, error) {
 	p.front.close()
 	end := p.stopRequestedAt.Add(seconds(p.longestDeadline()))
@@ -283,10 +302,11 @@
 	return Finishing, nil
 }
 
-// longest is the longest deadline, in seconds; one that other settings have shortened holds for what was taken under it.
+// longestDeadline returns the longest class deadline since the start, in seconds. Requests accepted under earlier settings
+// keep their deadlines, so that a reload with shorter ones does not lower it.
 func (p *Proxy) longestDeadline() float64 { return time.Duration(p.maxDeadlineNanos.Load()).Seconds() }
 
-// inForce notes the settings that hold from now on.
+// setActiveConfig stores the settings in force from now on.
 func (p *Proxy) setActiveConfig(c *balancer.Config) {
 	p.activeConfig.Store(c)
 	for _, k := range c.Classes {
@@ -294,8 +314,9 @@
 	}
 }
 
-// drain goes on accepting: clients learn of the end only from the answers, and closing the listener resets what waits
-// in its backlog.
+// drain keeps accepting connections for a while. Clients learn of the shutdown only from the responses, and closing the
+// listener would reset the connections in its backlog.
+
 func (p *Proxy) drain(context.Context) (Phase, error) {
 	p.front.drain()
 	time.Sleep(time.Until(p.stopRequestedAt.Add(p.times.drain)))
@@ -304,7 +325,8 @@
 	return Finishing, nil
 }
 
-// finish waits for what is out, no longer than any client waits for it.
+// finish waits for open requests, at most until the longest deadline and a margin have passed, and then stops all
+// goroutines.
 func (p *Proxy) finish(context.Context) (Phase, error) {
 	if p.cfg.ListenFD == "" {
 		p.front.close()
@@ -327,7 +349,7 @@
 		p.adminServer.Close()
 	}
 	p.owner.post(stop{})
-	p.hosts.update(balancer.ListFull, catalog{}, p.owner.clock.now()) // no host is left: closes what is idle
+	p.hosts.update(balancer.ListFull, catalog{}, p.owner.clock.now()) // with no hosts left, this closes all idle connections
 	p.goroutines.Wait()
 	return Stopped, nil
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -12,11 +12,12 @@
 	"go.uber.org/zap"
 )
 
-// Reload asks for the configuration to be read again. It may be called at any time and never blocks; several calls that
-// come together are one.
+// Reload requests that the configuration be read again. It may be called at any time and never blocks. Several calls in
+// quick succession may cause only one reload.
+
 func (p *Proxy) Reload() { signal(p.reloadRequests) }
 
-// reload serves Reload until ctx ends.
+// serveReloads processes the requests of Reload until ctx is cancelled.
 func (p *Proxy) serveReloads(ctx context.Context) {
 	for {
 		select {
@@ -30,12 +31,13 @@
 	}
 }
 
-// adopt takes over what a new configuration may change in a running proxy: the settings, the address of discovery, and the
-// operator's limits of connections. PROXY_DISCOVERY is
-// still that of the start, so what has changed in the file goes before it; what has not changed there changes nothing.
+// reloadConfig reads the configuration and applies what may change in a running proxy: the settings, the address of
+// discovery, and the operator's connection limits. The environment stays that of the start, so an address of discovery that
+// has changed in the file takes precedence over PROXY_DISCOVERY. An unchanged one has no effect.
+
 func (p *Proxy) reloadConfig() error {
 	if p.cfg.reload == nil {
-		return errors.New("it was not read from a file")
+		return errors.New("configuration was not read from a file")
 	}
 	c, err := p.cfg.reload()
 	if err != nil {
@@ -80,8 +82,9 @@
 	return nil
 }
 
-// reconfigure takes over other settings. The module comes first: a request read by the names of before is worded anew when
-// it gets there, one read by the new names finds them in force.
+// applySettings applies changed settings. The balancer gets them before the connections of clients do: the owner translates
+// requests that were parsed under the old settings, and requests parsed under the new ones find them in force.
+
 func (p *Proxy) applySettings(c *Config) {
 	current, next := p.activeConfig.Load(), &c.Balancer
 	p.cfg.zones.setOwnZone(next, c.Settings)
@@ -101,7 +104,7 @@
 	p.log.Info("settings in force", zap.Strings("classes", event.names.words), zap.Int("proxies", next.Balancers))
 }
 
-// sameJSON compares two texts that have been read as JSON, but for white space.
+// sameJSON reports whether two valid JSON texts are equal except for white space.
 func sameJSON(a, b []byte) bool {
 	var x, y bytes.Buffer
 	return json.Compact(&x, a) == nil && json.Compact(&y, b) == nil && bytes.Equal(x.Bytes(), y.Bytes())
--- a/internal/proxy/request_stats.go
+++ b/internal/proxy/request_stats.go
@@ -9,23 +9,26 @@
 	"sync/atomic"
 )
 
-// tally counts what operators are told. All of it may be read at any time without waiting for anybody. Each request that
-// begins ends once, so taken = ok + shed + errors + active, but for those whose clients went.
+// requestStats counts requests, attempts and hosts for the admin server. Its values may be read at any time without waiting
+// for the owner. Each request that begins ends once, so accepted = ok + shed + errors + active, except for requests whose
+// client left before the response.
+
 type requestStats struct {
 	mu              sync.Mutex
-	names           []string // of all classes since the start, as they stand in a figure
+	names           []string // of all classes since the start, as used in names of statistics
 	classes         map[string]*classStats
-	attempts        atomic.Int64 // attempts written whole to hosts
-	active          atomic.Int64 // requests taken and not ended
-	listed, avoided atomic.Int64 // hosts in the list, and those of them that the proxy avoids
+	attempts        atomic.Int64 // attempts whose request was written completely
+	active          atomic.Int64 // requests that have begun and not ended
+	listed, avoided atomic.Int64 // hosts in the list, and those of them that this proxy does not use
 }
 
-// classTally counts the ends of a class's requests.
+// classStats counts the completed requests of a class by outcome.
 type classStats struct{ ok, shed, errors atomic.Int64 }
 
 func newRequestStats() *requestStats { return &requestStats{classes: map[string]*classStats{}} }
 
-// of is the tally of a class, told by its name: other settings may number it anew.
+// forClass returns the counters of a class. They are found by name, since reloaded settings may number the classes
+// differently.
 func (t *requestStats) forClass(class string) *classStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -37,7 +40,8 @@
 	return t.classes[name]
 }
 
-// figureName makes a class's name fit into a line of figures: what would end the name or the line is written as "_".
+// statName returns a class name for use in a line of statistics: characters that would end the name or the line are
+// replaced by "_".
 func statName(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r <= ' ' || r == '=' || r == 0x7f || r == '\u0085' || r == '\u2028' || r == '\u2029' {
@@ -47,10 +51,10 @@
 	}, name)
 }
 
-// begin counts a request that has been taken.
+// begin counts a request that has been accepted.
 func (t *requestStats) begin() { t.active.Add(1) }
 
-// end counts the end of one, by the status that its client got; 0: the client had gone.
+// end counts the end of a request by the status that its client got. Status 0 means that the client had left.
 func (t *requestStats) end(c *classStats, status int) {
 	t.active.Add(-1)
 	switch status {
@@ -64,7 +68,7 @@
 	}
 }
 
-// text words the figures, one a line.
+// text returns the statistics, one per line.
 func (t *requestStats) text() []byte {
 	var b bytes.Buffer
 	t.mu.Lock()
--- a/internal/proxy/zone_observer.go
+++ b/internal/proxy/zone_observer.go
@@ -6,13 +6,14 @@
 	"beechwing/internal/site"
 )
 
-// sight is what this proxy sees of the zones, for the decision which of them count. The owner has it; nil sees nothing.
+// zoneObserver collects what this proxy observes of the zones, as input for the zone plan. Only the owner uses it. A nil
+// observer, as without failover, records nothing.
 type zoneObserver struct {
 	name, zone string
 	zones      *zoneTable
 	site       site.File
 	window     *failover.Window
-	hosts      map[balancer.HostID]balancer.Host // that take requests
+	hosts      map[balancer.HostID]balancer.Host // ready hosts in the list
 }
 
 func newZoneObserver(cfg *Config, now float64) *zoneObserver {
@@ -20,13 +21,14 @@
 		window: failover.NewWindow(now), hosts: map[balancer.HostID]balancer.Host{}}
 }
 
+// requestReceived counts a request from a client.
 func (s *zoneObserver) requestReceived(now float64) {
 	if s != nil {
 		s.window.RequestReceived(now)
 	}
 }
 
-// listed takes the list as the module gets it.
+// updateHosts applies a list or changes, merged with the cordoned hosts as the balancer gets them.
 func (s *zoneObserver) updateHosts(kind balancer.ListKind, list catalog) {
 	if s == nil {
 		return
@@ -43,6 +45,7 @@
 	}
 }
 
+// zoneOf returns the name of a host's zone, or "" if there is no observer.
 func (s *zoneObserver) zoneOf(host balancer.HostID) string {
 	if s == nil {
 		return ""
@@ -50,10 +53,11 @@
 	return s.zones.name(s.hosts[host].Zone)
 }
 
-// lateShare of its aim is when an answer counts as late here: what is over by then can still be sent again.
+// lateAimShare is the fraction of a class's aim after which a response counts as late. An attempt that ends before that
+// leaves enough time for a retry.
 const lateAimShare = 0.45
 
-// ended takes the end of an attempt and how long that took.
+// attemptEnded records the result of an attempt. took is its duration in seconds.
 func (s *zoneObserver) attemptEnded(now, took float64, a *attempt, r balancer.Result, classes []balancer.Class) {
 	if s == nil || a.zone == "" || a.request.Class >= len(classes) {
 		return
@@ -67,13 +71,14 @@
 	case balancer.ConnectFailed, balancer.Reset, balancer.Malformed, balancer.Errored:
 		s.window.Failed(now, a.zone, false)
 	case balancer.TimedOut, balancer.Cancelled:
-		if load >= 0.99 { // else its client left
+		if load >= 0.99 { // otherwise the client left early, which says nothing about the host
 			s.window.Failed(now, a.zone, true)
 		}
 	}
 }
 
-// places are the zones as targets.
+// zoneWeights returns the zones as possible targets, each with the weight of its hosts. Hosts that have just started count
+// for less, by their warmth.
 func (s *zoneObserver) zoneWeights(now float64, cfg *balancer.Config) []failover.Zone {
 	weights := map[string]float64{s.zone: 0}
 	for _, h := range s.hosts {
--- a/internal/proxy/zone_order.go
+++ b/internal/proxy/zone_order.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	minRemainingShare   = 0.5                   // of the fleet's weight, without a second word
-	maxConfirmations    = 2                     // other members that have an order before it gets its yes
-	confirmPollInterval = 20 * time.Millisecond // at which they are counted
+	minRemainingShare   = 0.5                   // of the fleet's weight: an order that leaves less needs Force
+	maxConfirmations    = 2                     // other members that must have an order before its call succeeds
+	confirmPollInterval = 20 * time.Millisecond // between two checks of the confirmations
 )
 
-// zoneCall is an operator's call on its way to the steering.
+// zoneOrderCall is an operator's order that is queued for the goroutine of zonePlanner.run.
 type zoneOrderCall struct {
 	ops.ZoneOrder
 	message string
@@ -27,18 +27,19 @@
 	done    chan struct{}
 }
 
-// openOrders takes over what was ordered before this process started.
+// loadOrders loads the orders from before the start of this process.
 func (s *zonePlanner) loadOrders() {
-	s.file = handover.NewFile(stateFile(s.p.cfg.StateDir, "zones", s.p.cfg.Name), func([]failover.Order) error { return nil })
+	s.file = handover.NewFile(stateFile(s.p.cfg.StateDir, "zones", s.p.cfg.Name),
+		func([]failover.Order) error { return nil })
 	list, err := s.file.Read()
 	if err != nil {
-		s.p.log.Error("which zones are out by hand cannot be read, others may tell", zap.Error(err))
+		s.p.log.Error("saved zone orders cannot be read, other members may still send them", zap.Error(err))
 	}
 	s.agent.RestoreOrders(list)
 	s.savedDigest = s.agent.OrdersDigest()
 }
 
-// keepOrders writes down what has been ordered since, and lets it be seen.
+// saveOrders publishes the current orders to submitOrder and planText, and writes them to the file if they have changed.
 func (s *zonePlanner) saveOrders() {
 	confirmed, otherMembers := s.agent.Confirmed()
 	list := s.agent.Orders()
@@ -47,14 +48,15 @@
 	s.mu.Unlock()
 	if d := s.agent.OrdersDigest(); d != s.savedDigest {
 		if err := s.file.Write(list); err != nil {
-			s.p.log.Error("an order on a zone will not outlast this process", zap.Error(err))
+			s.p.log.Error("zone orders not saved, they will not survive a restart of this process", zap.Error(err))
 		}
 		s.savedDigest = d
 	}
 }
 
-// order carries out an operator's call. Its yes means that the order is written down here, and known to others that would keep it
-// if this process died now.
+// submitOrder carries out an operator's order. Success means that the order is saved here, and known to enough other
+// members to survive if this process dies.
+
 func (s *zonePlanner) submitOrder(ctx context.Context, o ops.ZoneOrder) (string, error) {
 	c := &zoneOrderCall{ZoneOrder: o, done: make(chan struct{})}
 	select {
@@ -75,13 +77,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return "", fmt.Errorf("ordered here, and known to %d of %d other members so far", confirmed, otherMembers)
+			return "", fmt.Errorf("order given here, but known to only %d of %d other members so far", confirmed, otherMembers)
 		case <-time.After(confirmPollInterval):
 		}
 	}
 }
 
-// carryOut gives an order, in the steering's goroutine.
+// executeOrder checks an order and passes it to the agent, in the goroutine of run.
 func (s *zonePlanner) executeOrder(c *zoneOrderCall) {
 	defer close(c.done)
 	var names []string
@@ -99,7 +101,7 @@
 	switch {
 	case c.Dry:
 	case *c.Out && remaining <= 0:
-		c.err = errors.New("nothing would be left")
+		c.err = errors.New("no capacity would be left")
 	case *c.Out && remaining < minRemainingShare && !c.Force:
 		c.err = fmt.Errorf("%w:\n%s", ops.ErrForce, c.message)
 	default:
--- a/internal/proxy/zone_planner.go
+++ b/internal/proxy/zone_planner.go
@@ -18,36 +18,40 @@
 
 const (
 	planInterval      = 250 * time.Millisecond
-	joinRetryInterval = time.Second // the process before may still have the address
+	joinRetryInterval = time.Second // joining fails while the previous process still has the address
 )
 
-// steering asks internal/failover which zones count, with the words of other members where there are any, and tells the module.
+// zonePlanner runs the failover agent, which decides what fraction of requests goes to each zone, and passes the plan to
+// the balancer. In mode "common" the agent exchanges messages with the other members of the fleet.
 type zonePlanner struct {
 	p     *Proxy
 	agent *failover.Agent
 
-	lastZones   []failover.Zone // as last seen
+	lastZones   []failover.Zone // at the last tick
 	orderCalls  chan *zoneOrderCall
-	file        *handover.File[[]failover.Order] // what operators have ordered, over restarts
-	savedDigest uint64                           // digest of what it holds
+	file        *handover.File[[]failover.Order] // operators' orders, kept over restarts
+	savedDigest uint64                           // of the orders in file
 
 	mu           sync.Mutex
-	members      *member.Membership // nil: none, or not yet
-	standing     failover.Status
+	members      *member.Membership // nil: not a member, or not yet
+	status       failover.Status
 	orders       []failover.Order
-	confirmed    int // other members that have the same orders, of
+	confirmed    int // other members with the same orders, out of otherMembers
 	otherMembers int
 }
 
+// newZonePlanner creates the planner and loads the saved orders.
 func newZonePlanner(p *Proxy) *zonePlanner {
-	s := p.owner.zoneObserver
+	observer := p.owner.zoneObserver
 	now := p.owner.clock.now()
-	st := &zonePlanner{p: p, agent: failover.NewAgent(now, s.name, s.zone, uint64(now*1e6)), orderCalls: make(chan *zoneOrderCall)}
-	st.loadOrders()
-	return st
+	planner := &zonePlanner{p: p, agent: failover.NewAgent(now, observer.name, observer.zone, uint64(now*1e6)),
+		orderCalls: make(chan *zoneOrderCall)}
+	planner.loadOrders()
+	return planner
 }
 
-// run steers until ctx ends.
+// run keeps the zone plan up to date until ctx is cancelled. All calls to the agent are made in this goroutine, except
+// for loadOrders before the start.
 func (s *zonePlanner) run(ctx context.Context) {
 	if s.p.cfg.Site.Failover.Mode == site.Common {
 		s.p.goroutines.Go(func() { s.join(ctx) })
@@ -77,7 +81,7 @@
 	}
 }
 
-// join becomes a member, and leaves when ctx ends.
+// join joins the fleet, retries until that succeeds, and leaves when ctx is cancelled.
 func (s *zonePlanner) join(ctx context.Context) {
 	c := s.p.cfg.Site.Members
 	for {
@@ -100,56 +104,62 @@
 	}
 }
 
+// currentMembers returns the membership, or nil before join has succeeded.
 func (s *zonePlanner) currentMembers() *member.Membership {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members
 }
 
+// rekey replaces the keys that encrypt messages between members.
 func (s *zonePlanner) rekey(keys [][]byte) {
 	if m := s.currentMembers(); m != nil {
 		if err := m.Rekey(keys); err != nil {
-			s.p.log.Error("the old keys stay", zap.Error(err))
+			s.p.log.Error("member keys not replaced, the old ones stay in use", zap.Error(err))
 		}
 	}
 }
 
+// receive passes a message from a member to the agent.
 func (s *zonePlanner) receive(data []byte) {
 	var m failover.Message
 	if err := member.Decode(data, &m); err != nil {
-		s.p.log.Debug("a word that is none", zap.Error(err))
+		s.p.log.Debug("message from a member cannot be decoded", zap.Error(err))
 		return
 	}
 	s.agent.Receive(s.p.owner.clock.now(), &m)
 }
 
-// tick asks the owner what it sees, and tells it what comes of that. false: the proxy has ended.
+// tick gets the current observations from the owner, runs the agent, and posts the plan to the owner if it has changed. It
+// returns false if the proxy has stopped.
 func (s *zonePlanner) tick(ctx context.Context, m *member.Membership) bool {
-	q := &zoneSurvey{done: make(chan struct{})}
-	if s.p.owner.postAndWait(ctx, q, q.done) != nil {
+	survey := &zoneSurvey{done: make(chan struct{})}
+	if s.p.owner.postAndWait(ctx, survey, survey.done) != nil {
 		return false
 	}
 	var alive []string
 	if m != nil {
 		alive = m.Alive()
 	}
-	s.lastZones = q.zones
-	changed := s.agent.Tick(q.now, q.report, q.zones, alive)
-	standing := s.agent.Status()
+	s.lastZones = survey.zones
+	changed := s.agent.Tick(survey.now, survey.report, survey.zones, alive)
+	status := s.agent.Status()
 	if m != nil {
-		standing.Dropped += m.Dropped()
+		status.Dropped += m.Dropped()
 	}
 	s.mu.Lock()
-	s.standing = standing
+	s.status = status
 	s.mu.Unlock()
 	if changed {
-		s.p.log.Info("plan", zap.Uint64("epoch", standing.Epoch), zap.String("author", standing.Leader),
-			zap.Int("members", standing.Members), zap.String("row", formatRow(standing.ZonePlan)), zap.String("reason", standing.Reason))
-		s.p.owner.post(planEvent{standing.ZonePlan})
+		s.p.log.Info("plan", zap.Uint64("epoch", status.Epoch), zap.String("author", status.Leader),
+			zap.Int("members", status.Members), zap.String("row", formatZonePlan(status.ZonePlan)),
+			zap.String("reason", status.Reason))
+		s.p.owner.post(planEvent{status.ZonePlan})
 	}
 	return true
 }
 
+// send sends the agent's outgoing messages. Without a membership they are discarded.
 func (s *zonePlanner) send(m *member.Membership) {
 	for _, o := range s.agent.TakeOutgoing() {
 		data, err := member.Encode(&o.Message)
@@ -157,13 +167,13 @@
 			err = m.Send(o.To, data)
 		}
 		if err != nil {
-			s.p.log.Debug("a word was not sent", zap.String("to", o.To), zap.Error(err))
+			s.p.log.Debug("message to a member not sent", zap.String("to", o.To), zap.Error(err))
 		}
 	}
 }
 
-// words is a row for people.
-func formatRow(r failover.ZonePlan) string {
+// formatZonePlan formats a zone plan for logs and operators.
+func formatZonePlan(r failover.ZonePlan) string {
 	var parts []string
 	for _, share := range r.Shares {
 		parts = append(parts, fmt.Sprintf("%s=%.3f", share.Zone, share.Fraction))
@@ -171,17 +181,17 @@
 	return strings.Join(append(parts, fmt.Sprintf("refused=%.3f", r.Refused)), " ")
 }
 
-// text is what operators are told of the plan.
+// planText describes the plan and the orders in force for operators.
 func (s *zonePlanner) planText() []byte {
 	s.mu.Lock()
-	st, orders := s.standing, s.orders
+	status, orders := s.status, s.orders
 	s.mu.Unlock()
 	by := "this proxy alone"
-	if st.FollowsFleet {
-		by = fmt.Sprintf("epoch %d by %s", st.Epoch, st.Leader)
+	if status.FollowsFleet {
+		by = fmt.Sprintf("epoch %d by %s", status.Epoch, status.Leader)
 	}
-	text := fmt.Appendf(nil, "plan=%s\nreason=%s\nmembers=%d\ndropped=%d\nzone=%s\nshares=%s\n", by, st.Reason, max(1, st.Members),
-		st.Dropped, s.p.owner.zoneObserver.zone, formatRow(st.ZonePlan))
+	text := fmt.Appendf(nil, "plan=%s\nreason=%s\nmembers=%d\ndropped=%d\nzone=%s\nshares=%s\n", by, status.Reason,
+		max(1, status.Members), status.Dropped, s.p.owner.zoneObserver.zone, formatZonePlan(status.ZonePlan))
 	for _, o := range orders {
 		if o.Out {
 			text = fmt.Appendf(text, "out=%s by %s at %s\n", o.Zone, o.By, time.Unix(int64(o.At), 0).UTC().Format(time.RFC3339))
@@ -190,7 +200,7 @@
 	return text
 }
 
-// surveyed asks the owner what it sees.
+// zoneSurvey asks the owner for its observations of the zones.
 type zoneSurvey struct {
 	now    float64
 	report failover.Report
@@ -205,12 +215,12 @@
 	close(e.done)
 }
 
-// planned is word of which zones count for this proxy.
-type planEvent struct{ row failover.ZonePlan }
+// planEvent passes the zone plan for this proxy to the balancer.
+type planEvent struct{ zonePlan failover.ZonePlan }
 
 func (e planEvent) apply(o *owner) {
 	var routes []balancer.ZoneShare
-	for _, s := range e.row.Shares {
+	for _, s := range e.zonePlan.Shares {
 		routes = append(routes, balancer.ZoneShare{Zone: o.zoneObserver.zones.index(s.Zone), Share: s.Fraction})
 	}
 	o.bal.Plan(o.clock.now(), routes)
--- a/internal/proxy/zone_table.go
+++ b/internal/proxy/zone_table.go
@@ -7,15 +7,16 @@
 	"beechwing/internal/settings"
 )
 
-// mostZones bounds the table: whatever discovery names beyond shares one number.
+// maxZones bounds the table. All further zones that discovery names share one index.
 const maxZones = 256
 
-// zones numbers zones by their names. A number stays for the life of the process: other settings may name other zones, in
-// another order, while requests are open that have to stay in theirs.
+// zoneTable assigns an index to each zone name. An index stays valid for the life of the process, because reloaded settings
+// may list other zones, or the same in another order, while pending requests still use the earlier indexes.
+
 type zoneTable struct {
 	mu      sync.Mutex
 	indexes map[string]int
-	names   []string // by number
+	names   []string // by index
 }
 
 func newZoneTable(names ...string) *zoneTable {
@@ -26,6 +27,7 @@
 	return z
 }
 
+// index returns the index of a zone, and assigns one to a new zone.
 func (z *zoneTable) index(name string) int {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -40,7 +42,7 @@
 	return n
 }
 
-// name is the name of a number; "": those beyond the bound.
+// name returns the name of the zone with an index, or "" for an index outside the table.
 func (z *zoneTable) name(n int) string {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -50,7 +52,7 @@
 	return z.names[n]
 }
 
-// place turns what the settings say of the proxy's zone into the table's number.
+// setOwnZone sets the proxy's own zone in c to its index in the table.
 func (z *zoneTable) setOwnZone(c *balancer.Config, s *settings.Settings) {
 	if s.Zone < len(s.Dcs) {
 		c.Zone = z.index(s.Dcs[s.Zone])
