--- a/internal/proxy/catalog.go
+++ b/internal/proxy/catalog.go
@@ -16,7 +16,6 @@
 	hosts   []balancer.Host
 	addrs   []string // of hosts, in the same order
 	names   []string // of hosts, in the same order
-
 }
 
 var hostStatuses = map[string]balancer.Status{
@@ -25,7 +24,6 @@
 
 // parseCatalog parses a response of discovery. Invalid entries are skipped, so that one of them does not make the whole
 // list unusable.
-
 func parseCatalog(text []byte, z *zoneTable) (catalog, error) {
 	var f struct {
 		Version *uint64           `json:"version"`
@@ -74,5 +72,4 @@
 
 // hostID returns the ID by which the balancer knows a host. It depends only on the name, because addresses differ between
 // proxies and rendezvous hashing needs the same ID in all of them.
-
 func hostID(name string) balancer.HostID { return balancer.HostID(hashName(name)) }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -53,8 +53,8 @@
 	defaultMemoryMB = 192
 	// File descriptors for the listener, discovery, poller, standard streams, the admin server (17), and a margin.
 	reservedDescriptors = 48
-
 	softMemoryShare     = 0.75 // of the memory limit: the garbage collector works harder above this
+	// Bytes for a request in progress, with its response.
 	memoryPerRequest    = 2 * (wire.MaxBody + 2*wire.BufferSize)
 	memoryPerParkedConn = 2 << 10 // bytes for a connection that is idle and has no goroutine
 	parkedMemoryShare   = 0.25    // of the soft memory limit, for all parked connections
@@ -74,7 +74,8 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// LoadConfig reads the file that the environment variable PROXY_CONFIG names. The other PROXY_ variables override the file.
+// LoadConfig reads the file that the environment variable PROXY_CONFIG names, and the operator's file that PROXY_SITE names,
+// if any. The other PROXY_ variables override the configuration file.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -176,7 +177,6 @@
 // apply sets GOMAXPROCS to the cores, and a soft memory limit below the memory limit, at which the process would be killed.
 // With more memory, garbage is collected less often: with 9,000 idle connections to mark, a collection every half second
 // added 2 to 4 ms to the p99 latency of the other traffic.
-
 func (l Limits) apply() {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(min(runtime.NumCPU(), int(math.Ceil(l.Cores))))
@@ -187,7 +187,6 @@
 
 // connectionShares returns how many connections there may be in total, and how many of them are reserved for clients and
 // for hosts. A third of the file descriptors is reserved for clients, since clients may use that many for requests.
-
 func (l Limits) connectionShares() (total, clients, hosts int) {
 	total = max(2, l.Sockets-reservedDescriptors-overflowConns)
 	clients = min(total-1, max(1, (l.Sockets+2)/3))
@@ -198,7 +197,6 @@
 // clientLimits returns how many client connections there may be, and how many of their requests may be read and processed
 // at once. A client connection has one request at a time, so the second limit also bounds the owner's queue and the memory
 // for request bodies.
-
 func (l Limits) clientLimits() (clients, requests int) {
 	total, _, hosts := l.connectionShares()
 	memory := softMemoryShare * float64(l.MemoryMB) * (1 << 20)
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -23,8 +23,8 @@
 	membersPath  = "/catalog/members"
 	maxListBytes = 4 << 20 // limit for one response
 
-	// The first call of a watch does not wait for changes, so that it shows at once whether discovery answers. Later calls
-	// wait (long polling).
+	// The first call of a watch does not wait for changes, so that it shows at once whether the proxy's list is current. Later
+	// calls wait (long polling).
 	immediateWait              = time.Millisecond
 	minWatchWait, maxWatchWait = time.Second, 20 * time.Second
 	discoveryDialTimeout       = time.Second
@@ -32,7 +32,6 @@
 
 // discovery keeps the host list up to date by calls to the discovery service. The balancer requests a watch, which goes on
 // until a call fails. In a large fleet the calls of a watch are separated by pauses.
-
 type discovery struct {
 	mu            sync.Mutex
 	addr          string
@@ -52,7 +51,6 @@
 	fetchRequests chan struct{} // requests to fetch the full list once; holds at most one
 	version       uint64        // of the last list passed to the owner
 	hasList       bool          // a list has been passed to the owner in this session, or came with the configuration
-
 }
 
 func newDiscovery(cfg *Config, bufs *wire.Pool, t timing, log *zap.Logger, post func(event)) *discovery {
@@ -100,7 +98,6 @@
 
 // setAddr switches to the discovery service at addr. The switch is no failure, so the balancer is not told: it keeps its
 // hosts until the new service sends a list, and the watch continues there.
-
 func (d *discovery) setAddr(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -172,7 +169,6 @@
 // A watch that gets no response in time is reported as a failure, but unlike after other failures the next connection is
 // tried at once, without waiting for the balancer. Only this one connection may be cut off, and the changes that it failed
 // to deliver soon count as known to the proxy.
-
 func (d *discovery) watchList(ctx context.Context) {
 	conn, err := (*discoveryConn)(nil), error(nil)
 	wait, pause := immediateWait, d.budget.Pause()
@@ -222,17 +218,16 @@
 		return d.call(conn, true, 0, d.times.call)
 	default:
 	}
-	within := d.times.call
+	timeout := d.times.call
 	if wait > immediateWait {
-		within = wait + d.times.watch
+		timeout = wait + d.times.watch
 	}
-	return d.call(conn, !d.hasList, wait, within)
+	return d.call(conn, !d.hasList, wait, timeout)
 }
 
 // closeWatch ends a watch before a pause. Discovery expects the next call of a watch within 200 ms of a response, and
 // changes in that time count as known to the proxy. Therefore closeWatch makes that call too, and abandons it when the time
 // is over without a response.
-
 func (d *discovery) closeWatch(ctx context.Context, conn *discoveryConn) (*discoveryConn, error) {
 	for {
 		var err error
@@ -290,17 +285,17 @@
 
 // call makes one call, for the full list or for the changes since the current version, and posts the result to the owner.
 // It fails if no valid response arrives within the given time.
-func (d *discovery) call(conn *discoveryConn, whole bool, wait, within time.Duration) error {
+func (d *discovery) call(conn *discoveryConn, full bool, wait, timeout time.Duration) error {
 	path := membersPath
-	if !whole {
+	if !full {
 		path = fmt.Sprintf("%s?since=%d&timeout_ms=%d", membersPath, d.version, wait.Milliseconds())
 	}
 	began := time.Now()
-	text, err := conn.get(d.currentAddr(), path, within)
+	text, err := conn.get(d.currentAddr(), path, timeout)
 	if line := d.log.Check(zap.DebugLevel, "list call"); line != nil {
-		left := within == d.times.stepOut && errors.Is(err, os.ErrDeadlineExceeded)
-		line.Write(zap.Bool("whole", whole), zap.Duration("wait", wait), zap.Duration("took", time.Since(began)),
-			zap.Int("bytes", len(text)), zap.Bool("left", left), zap.Error(err))
+		abandoned := timeout == d.times.stepOut && errors.Is(err, os.ErrDeadlineExceeded)
+		line.Write(zap.Bool("whole", full), zap.Duration("wait", wait), zap.Duration("took", time.Since(began)),
+			zap.Int("bytes", len(text)), zap.Bool("left", abandoned), zap.Error(err))
 	}
 	if err != nil {
 		return err
@@ -309,7 +304,7 @@
 	if err != nil {
 		return err
 	}
-	if whole && !c.full {
+	if full && !c.full {
 		return errors.New("changes came where the whole list was asked for")
 	}
 	if d.hasList && c.full && len(c.hosts) == 0 { // more likely discovery has lost its data than all hosts are gone
@@ -344,7 +339,6 @@
 	br         *bufio.Reader
 	stopCancel func() bool
 	closing    bool // discovery closes the connection after its last response
-
 }
 
 // dial opens a connection that is closed when ctx is cancelled.
@@ -371,8 +365,8 @@
 }
 
 // get makes an HTTP request and returns the body of the response, which must arrive within the given time.
-func (c *discoveryConn) get(addr, path string, within time.Duration) ([]byte, error) {
-	c.SetDeadline(time.Now().Add(within))
+func (c *discoveryConn) get(addr, path string, timeout time.Duration) ([]byte, error) {
+	c.SetDeadline(time.Now().Add(timeout))
 	c.Allow(maxListBytes)
 	if _, err := fmt.Fprintf(c.Conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, addr); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
--- a/internal/proxy/host_registry.go
+++ b/internal/proxy/host_registry.go
@@ -7,10 +7,8 @@
 
 // hostRegistry holds the host list from discovery and the hosts that operators have cordoned. The balancer and the
 // connections to hosts get the two merged. Only the owner uses it.
-
 type hostRegistry struct {
-	entries map[string]registeredHost // by host name
-
+	entries  map[string]registeredHost // by host name
 	cordoned cordon.Set
 }
 
--- a/internal/proxy/log.go
+++ b/internal/proxy/log.go
@@ -17,7 +17,6 @@
 
 // logSink writes log lines in a separate goroutine, so that a full pipe behind standard error does not block the goroutines
 // that log, in particular the owner. Lines that do not fit in its queue are dropped and counted.
-
 type logSink struct {
 	out     io.Writer
 	lines   chan []byte
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -17,7 +17,6 @@
 
 // owner runs the balancer in a single goroutine. Network goroutines communicate with it only by events on its queue. It
 // does no I/O itself and waits for nothing but the queue and its timers, so that a slow peer cannot delay decisions.
-
 type owner struct {
 	clock         clock
 	bal           balancer.Handler
@@ -34,9 +33,9 @@
 	bufs          *wire.Pool
 	log           *zap.Logger
 	ctx           context.Context // parent of the contexts of attempts and probes
-	ready         atomic.Bool     // a host list has been received
+	ready         atomic.Bool     // a list with hosts is known
 	hostsKnown    chan struct{}   // closed when ready is set
-	listReceived  chan struct{}   // closed when the list comes from discovery rather than from the configuration
+	listReceived  chan struct{}   // closed once discovery has sent a list and ready is set
 	registry      *hostRegistry   // listed and cordoned hosts
 	zoneObserver  *zoneObserver   // nil: failover between zones is off
 	stats         *requestStats
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -10,7 +10,6 @@
 // queue and balancer), attempt, upstream (connections to hosts), reply (from a host), answer (to the client). Other files
 // handle the host list (discovery, catalog), probes, the admin server (admin) and the choice of zones (zone_planner).
 // This file has the life cycle of the process.
-
 package proxy
 
 import (
@@ -37,12 +36,11 @@
 
 // The phases, in order. A proxy that is told to stop goes through either Draining or HandingOver.
 const (
-	Starting Phase = iota // binds the listening address and starts the goroutines
-	Serving               // accepts connections and serves requests
-
-	Draining    // told to stop: still accepts connections, and closes each one after its next response
-	HandingOver // like Draining, but leaves new connections to another process on the same listening socket
-	Finishing   // accepts nothing new and waits for open requests
+	Starting    Phase = iota // binds the listening address and starts the goroutines
+	Serving                  // accepts connections and serves requests
+	Draining                 // told to stop: still accepts connections, and closes each one after its next response
+	HandingOver              // like Draining, but leaves new connections to another process on the same listening socket
+	Finishing                // accepts nothing new and waits for open requests
 	Stopped
 )
 
@@ -62,11 +60,10 @@
 	phase            Phase
 	phaseFuncs       map[Phase]func(context.Context) (Phase, error)
 
-	reloadRequests chan struct{} // requests to read the configuration again; holds at most one
-	ready          chan struct{} // closed when the proxy can serve
-
-	stopRequestedAt time.Time   // when the proxy was told to stop
-	serving         atomic.Bool // reported by the admin health check
+	reloadRequests  chan struct{} // requests to read the configuration again; holds at most one
+	ready           chan struct{} // closed when the proxy can serve
+	stopRequestedAt time.Time     // when the proxy was told to stop
+	serving         atomic.Bool   // reported by the admin health check
 
 	adminServer *ops.Door // nil: no admin address is configured
 
@@ -163,7 +160,6 @@
 // Requests are admitted by a token bucket: admissionBurst at once and then a number per second that depends on the cores.
 // A core completes about 5,000 requests per second. If thousands were admitted at once, they would reach the hosts before
 // the concurrency limits could adapt, and all but a few would be rejected after the work was done.
-
 const (
 	admissionBurst    = 64
 	admissionsPerCore = 7000
@@ -177,7 +173,6 @@
 
 // maxQueueWait returns how long a request may wait before the proxy reads it: a quarter of the shortest deadline, so that
 // after a rejection the client still has time to go elsewhere.
-
 func maxQueueWait(classes []balancer.Class) time.Duration {
 	shortest := 1.0
 	for _, c := range classes {
@@ -284,7 +279,6 @@
 // handOver leaves new connections to the process that takes over. Requests on existing connections are still answered, and
 // each response closes its connection. Idle connections stay open, because closing one now could lose a request that the
 // client is just sending.
-
 func (p *Proxy) handOver(context.Context) (Phase, error) {
 	p.front.close()
 	end := p.stopRequestedAt.Add(seconds(p.longestDeadline()))
@@ -316,7 +310,6 @@
 
 // drain keeps accepting connections for a while. Clients learn of the shutdown only from the responses, and closing the
 // listener would reset the connections in its backlog.
-
 func (p *Proxy) drain(context.Context) (Phase, error) {
 	p.front.drain()
 	time.Sleep(time.Until(p.stopRequestedAt.Add(p.times.drain)))
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -14,7 +14,6 @@
 
 // Reload requests that the configuration be read again. It may be called at any time and never blocks. Several calls in
 // quick succession may cause only one reload.
-
 func (p *Proxy) Reload() { signal(p.reloadRequests) }
 
 // serveReloads processes the requests of Reload until ctx is cancelled.
@@ -34,7 +33,6 @@
 // reloadConfig reads the configuration and applies what may change in a running proxy: the settings, the address of
 // discovery, and the operator's connection limits. The environment stays that of the start, so an address of discovery that
 // has changed in the file takes precedence over PROXY_DISCOVERY. An unchanged one has no effect.
-
 func (p *Proxy) reloadConfig() error {
 	if p.cfg.reload == nil {
 		return errors.New("configuration was not read from a file")
@@ -84,7 +82,6 @@
 
 // applySettings applies changed settings. The balancer gets them before the connections of clients do: the owner translates
 // requests that were parsed under the old settings, and requests parsed under the new ones find them in force.
-
 func (p *Proxy) applySettings(c *Config) {
 	current, next := p.activeConfig.Load(), &c.Balancer
 	p.cfg.zones.setOwnZone(next, c.Settings)
--- a/internal/proxy/request_stats.go
+++ b/internal/proxy/request_stats.go
@@ -12,7 +12,6 @@
 // requestStats counts requests, attempts and hosts for the admin server. Its values may be read at any time without waiting
 // for the owner. Each request that begins ends once, so accepted = ok + shed + errors + active, except for requests whose
 // client left before the response.
-
 type requestStats struct {
 	mu              sync.Mutex
 	names           []string // of all classes since the start, as used in names of statistics
--- a/internal/proxy/zone_order.go
+++ b/internal/proxy/zone_order.go
@@ -56,7 +56,6 @@
 
 // submitOrder carries out an operator's order. Success means that the order is saved here, and known to enough other
 // members to survive if this process dies.
-
 func (s *zonePlanner) submitOrder(ctx context.Context, o ops.ZoneOrder) (string, error) {
 	c := &zoneOrderCall{ZoneOrder: o, done: make(chan struct{})}
 	select {
--- a/internal/proxy/zone_table.go
+++ b/internal/proxy/zone_table.go
@@ -12,7 +12,6 @@
 
 // zoneTable assigns an index to each zone name. An index stays valid for the life of the process, because reloaded settings
 // may list other zones, or the same in another order, while pending requests still use the earlier indexes.
-
 type zoneTable struct {
 	mu      sync.Mutex
 	indexes map[string]int
