--- a/internal/proxy/admin_test.go
+++ b/internal/proxy/admin_test.go
@@ -16,7 +16,7 @@
 	"beechwing/balancer"
 )
 
-// withDoor gives a proxy an operators' address and a folder for state.
+// withAdminServer gives a proxy an admin address and a directory for its state.
 func withAdminServer(t testing.TB, dir string) func(*Proxy) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,7 +27,7 @@
 	return func(p *Proxy) { p.cfg.Ops, p.cfg.StateDir = ln.Addr().String(), dir }
 }
 
-// operate makes a call at the door and gives its status and text.
+// adminCall makes a call to the admin server and returns the status and body of the response.
 func (g *rig) adminCall(path, body string) (int, string) {
 	g.t.Helper()
 	method := http.MethodPost
@@ -47,6 +47,7 @@
 	return a.StatusCode, string(text)
 }
 
+// adminStats returns the statistics of the admin server by name.
 func (g *rig) adminStats() map[string]int {
 	g.t.Helper()
 	_, text := g.adminCall("/admin/stats", "")
@@ -62,24 +63,24 @@
 	return f
 }
 
-// eventually waits until something holds.
+// eventually waits until a condition holds, and fails the test after a time limit.
 func eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("it never came that %s", what)
+			t.Fatalf("condition never met: %s", what)
 		}
 	}
 }
 
-// TestFiguresAddUp: under hosts that fail in all ways, each request that was taken ends once in the figures, as its client
-// saw it, and attempts are what the hosts took whole.
+// TestFiguresAddUp checks the statistics with hosts that fail in various ways: each accepted request is counted once, with
+// the outcome that its client saw, and the attempts are those that the hosts received completely.
 func TestFiguresAddUp(t *testing.T) {
 	var mu sync.Mutex
-	whole, rng := 0, rand.New(rand.NewPCG(5, 5))
+	received, rng := 0, rand.New(rand.NewPCG(5, 5))
 	faulty := func(c net.Conn, _ receivedRequest) bool {
 		mu.Lock()
-		whole++
+		received++
 		n := rng.IntN(10)
 		mu.Unlock()
 		switch n {
@@ -101,7 +102,7 @@
 	g := start(t, l.addr(), "null", withAdminServer(t, t.TempDir()))
 	g.waitReady()
 	if f := g.adminStats(); f["proxy.ok.log"] != 0 || len(f) != 3*3+4 {
-		t.Fatalf("figures at the start: %v", f)
+		t.Fatalf("statistics at the start: %v", f)
 	}
 	seen := map[string]int{}
 	var wg sync.WaitGroup
@@ -109,16 +110,16 @@
 		wg.Go(func() {
 			class := []string{"read", "write", "log"}[n%3]
 			a := g.raw(message(class, strings.Repeat("x", n%3), fmt.Sprint("X-Entity: k", n)))
-			end := "errors"
+			outcome := "errors"
 			switch a.status {
 			case 200:
-				end = "ok"
+				outcome = "ok"
 			case 503:
-				end = "shed"
+				outcome = "shed"
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			seen["proxy."+end+"."+class]++
+			seen["proxy."+outcome+"."+class]++
 		})
 		if n%20 == 19 {
 			wg.Wait()
@@ -133,14 +134,14 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if f["proxy.tries"] != whole || f["proxy.pool_size"] != 3 {
-		t.Errorf("%d attempts of %d, %d hosts of 3", f["proxy.tries"], whole, f["proxy.pool_size"])
+	if f["proxy.tries"] != received || f["proxy.pool_size"] != 3 {
+		t.Errorf("%d attempts of %d, %d hosts of 3", f["proxy.tries"], received, f["proxy.pool_size"])
 	}
 }
 
-// TestTakeOut: a host that is out gets nothing and loses its idle connections, whatever the list says meanwhile and for the
-// next process too, until it is put back, cold. With all hosts out requests are refused, as panic spreads over hosts that
-// serve only.
+// TestTakeOut checks that a cordoned host gets no requests and that its idle connections are closed, whatever the list says
+// and also after a restart of the proxy, until it is uncordoned. With all hosts cordoned, requests are refused, because
+// panic routing only uses hosts that are ready.
 func TestTakeOut(t *testing.T) {
 	h1, h2 := newFakeHost(t, respondWith(okResponse)), newFakeHost(t, respondWith(okResponse))
 	l := newFakeDiscovery(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
@@ -163,14 +164,14 @@
 	want(404, "/admin/cordon", "h9")
 	want(200, "/admin/cordon", "h1")
 	h1.ended.next(t, "the end of an idle connection")
-	want(200, "/admin/cordon", "h1") // once more is no harm
+	want(200, "/admin/cordon", "h1") // repeating the call is harmless
 	h1.requests = emptied(h1.requests)
 	moved := entry("h1", h1.addr())
 	moved.Zone, moved.Started = "b", time.Now().UnixMilli()
 	l.set(moved, entry("h2", h2.addr()))
 	g.settled(l)
 	if send(g, 20) != http.StatusOK || len(h1.requests) > 0 {
-		t.Fatalf("%d requests at a host that is out", len(h1.requests))
+		t.Fatalf("%d requests to a cordoned host", len(h1.requests))
 	}
 	eventually(t, "the host counts as avoided", func() bool { return g.adminStats()["proxy.pool_ejected"] == 1 })
 	g.stop()
@@ -178,18 +179,18 @@
 	g = start(t, l.addr(), "null", withAdminServer(t, dir))
 	g.waitReady()
 	if send(g, 20) != http.StatusOK || len(h1.requests) > 0 {
-		t.Fatalf("%d requests at a host that is out, after a restart", len(h1.requests))
+		t.Fatalf("%d requests to a cordoned host after a restart", len(h1.requests))
 	}
 	want(200, "/admin/cordon", "h2")
 	if status := send(g, 1); status != http.StatusServiceUnavailable {
-		t.Fatalf("with all hosts out: %d", status)
+		t.Fatalf("with all hosts cordoned: %d", status)
 	}
 	want(200, "/admin/uncordon", "h1")
 	want(200, "/admin/uncordon", "h1")
 	eventually(t, "the host serves again", func() bool { return send(g, 5) == http.StatusOK })
 }
 
-// drained empties a channel of what was seen.
+// emptied removes all values from a channel and returns it.
 func emptied[T any](w watched[T]) watched[T] {
 	for len(w) > 0 {
 		<-w
@@ -197,8 +198,8 @@
 	return w
 }
 
-// TestBackIsCold: the module hears that a host put back has been started since, also where the list has not said so yet, and a
-// word given to one process of an upgrade reaches the other.
+// TestBackIsCold checks that an uncordoned host has a new start time for the balancer, even if the list has not reported a
+// restart, and that a call to one process during an upgrade reaches the other.
 func TestBackIsCold(t *testing.T) {
 	l := newFakeDiscovery(t, entry("h1", nobody))
 	dir := t.TempDir()
@@ -207,7 +208,7 @@
 	g.waitReady()
 	g2 := start(t, l.addr(), "null", other.decides, withAdminServer(t, dir))
 	g2.waitReady()
-	heard := func(s *script, what string, is func(balancer.Host) bool) {
+	awaitHost := func(s *script, what string, is func(balancer.Host) bool) {
 		t.Helper()
 		for {
 			e := s.lists.next(t, what)
@@ -219,22 +220,22 @@
 	began := float64(time.Now().Unix())
 	g.adminCall("/admin/cordon", `{"who":"h1"}`)
 	for _, s := range []*script{s, other} {
-		heard(s, "the call out", func(h balancer.Host) bool { return h.Status == balancer.Draining })
+		awaitHost(s, "the cordon", func(h balancer.Host) bool { return h.Status == balancer.Draining })
 	}
 	g2.adminCall("/admin/uncordon", `{"who":"h1"}`)
 	for _, s := range []*script{s, other} {
-		heard(s, "the call back", func(h balancer.Host) bool { return h.Status == balancer.Ready && h.Started >= began })
+		awaitHost(s, "the uncordon", func(h balancer.Host) bool { return h.Status == balancer.Ready && h.Started >= began })
 	}
 }
 
-// TestOutIsDurable: what cannot be written is a no and is not in force; a torn file counts as none.
+// TestOutIsDurable checks that a cordon which cannot be saved is rejected, and that a truncated file counts as empty.
 func TestOutIsDurable(t *testing.T) {
 	dir := t.TempDir() + "/state"
 	s := newScript()
 	g := start(t, newFakeDiscovery(t, entry("h1", nobody)).addr(), "null", s.decides, withAdminServer(t, dir))
 	g.waitReady()
 	if status, text := g.adminCall("/admin/cordon", `{"who":"h1"}`); status != http.StatusServiceUnavailable {
-		t.Fatalf("with no folder to write to: %d %s", status, text)
+		t.Fatalf("without a directory to write to: %d %s", status, text)
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
@@ -243,14 +244,14 @@
 		t.Fatal(err)
 	}
 	if status, text := g.adminCall("/admin/cordon", `{"who":"h1"}`); status != http.StatusOK {
-		t.Fatalf("over a torn file: %d %s", status, text)
+		t.Fatalf("with a truncated file: %d %s", status, text)
 	}
 	if text, err := os.ReadFile(cordonFile(dir, "n1")); err != nil || !bytes.Contains(text, []byte(`"h1"`)) {
-		t.Fatalf("the file says %s, %v", text, err)
+		t.Fatalf("the file contains %s, error %v", text, err)
 	}
 }
 
-// TestDoorUnderLoad: with the owner held up and its queue full, health and figures are answered in time.
+// TestDoorUnderLoad checks that health and statistics respond in time while the owner is blocked and its queue is full.
 func TestDoorUnderLoad(t *testing.T) {
 	hold := newGate()
 	defer hold.open()
@@ -264,7 +265,7 @@
 	for range queueLength/16 + 2 {
 		io.WriteString(g.dial(), message("read", ""))
 	}
-	eventually(t, "requests are taken", func() bool { return g.p.owner.stats.active.Load() > 8 })
+	eventually(t, "requests are accepted", func() bool { return g.p.owner.stats.active.Load() > 8 })
 	for _, path := range []string{"/admin/health", "/admin/stats"} {
 		began := time.Now()
 		if status, text := g.adminCall(path, ""); status != http.StatusOK || time.Since(began) > patience/4 {
@@ -272,6 +273,6 @@
 		}
 	}
 	if status, _ := g.adminCall("/admin/cordon", `{"who":"h1"}`); status != http.StatusServiceUnavailable {
-		t.Fatalf("a call that cannot be in force in time: %d", status)
+		t.Fatalf("a cordon that cannot take effect in time: %d", status)
 	}
 }
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -50,7 +50,7 @@
 
 func TestLoadConfig(t *testing.T) {
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
-		t.Error("no PROXY_CONFIG, no error")
+		t.Error("no error without PROXY_CONFIG")
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string { return map[string]string{"PROXY_CONFIG": path}[name] }
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestConnectionBounds: clients and hosts together stay inside the descriptors, and what clients may make the proxy
-// hold stays inside the memory.
+// TestConnectionBounds checks that connections to clients and hosts together stay within the file descriptors, and that
+// the memory which clients can make the proxy use stays within the memory limit.
 func TestConnectionBounds(t *testing.T) {
 	for _, l := range []Limits{{1, 192, 1024}, {1, 16, 1024}, {1, 192, 100}, {1, 192, 10}} {
 		clients, requests := l.clientLimits()
@@ -74,17 +74,18 @@
 		if clients < 1 || least < 1 || hosts < 1 || requests < 1 || requests > clients {
 			t.Errorf("%+v: %d clients, %d requests, %d hosts", l, clients, requests, hosts)
 		}
-		if l.Sockets >= 100 && total+overflowConns+reservedDescriptors > l.Sockets || least+hosts > total || clients+hosts > total {
-			t.Errorf("%+v: %d clients and %d hosts are too many", l, clients, hosts)
+		if l.Sockets >= 100 && total+overflowConns+reservedDescriptors > l.Sockets ||
+			least+hosts > total || clients+hosts > total {
+			t.Errorf("%+v: %d clients and %d hosts exceed the file descriptors", l, clients, hosts)
 		}
 		if requests > 1 && requests*memoryPerRequest+clients*memoryPerParkedConn > l.MemoryMB<<20 {
-			t.Errorf("%+v: %d clients with %d requests may hold too much", l, clients, requests)
+			t.Errorf("%+v: %d clients with %d requests may exceed the memory", l, clients, requests)
 		}
 	}
 }
 
-// TestClock: the one clock counts Unix seconds, so the start times of the list compare with it, and times made from
-// it are those that sockets take.
+// TestClock checks that the owner's clock counts Unix seconds, so that start times in the host list can be compared with
+// it, and that it converts to times for socket deadlines.
 func TestClock(t *testing.T) {
 	start := time.Now()
 	c := newClock(start)
@@ -95,11 +96,11 @@
 		t.Fatalf("1.5 s from the start is %v", d)
 	}
 	if seconds(1e300) <= 0 || seconds(-1e300) >= 0 {
-		t.Fatal("a span overflows")
+		t.Fatal("a duration overflows")
 	}
 }
 
-// TestExample: the configuration of examples/ is one that the program takes.
+// TestExample checks that the configuration in examples/ is valid.
 func TestExample(t *testing.T) {
 	env := map[string]string{"PROXY_CONFIG": filepath.Join("..", "..", "examples", "config.json")}
 	c, err := LoadConfig(func(name string) string { return env[name] })
@@ -111,7 +112,7 @@
 	}
 }
 
-// TestApply: the runtime is bent to what the machine grants.
+// TestApply checks that the runtime's limits are set by the resource limits.
 func TestApply(t *testing.T) {
 	procs, memory := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1)
 	defer func() {
@@ -128,8 +129,8 @@
 	}
 }
 
-// TestShares: whatever the machine grants is shared out whole, clients get the third that they may hold for requests, and
-// no more of them, or of their requests, than the memory has room for.
+// TestShares checks the shares of connections for various limits: they add up to no more than the file descriptors, clients
+// get the third that they may use for requests, and neither clients nor their requests exceed the memory.
 func TestShares(t *testing.T) {
 	for _, sockets := range []int{256, 384, 1024} {
 		for _, memory := range []int{32, 64, 192} {
@@ -137,13 +138,14 @@
 			clients, requests := l.clientLimits()
 			total, least, hosts := l.connectionShares()
 			if least < sockets/3 || clients < least {
-				t.Errorf("%d descriptors, %d MB: %d clients", sockets, memory, clients)
+				t.Errorf("%d descriptors, %d MB: only %d clients", sockets, memory, clients)
 			}
 			if all := total + overflowConns + reservedDescriptors; all > sockets || hosts < sockets/4 || least+hosts > total {
-				t.Errorf("%d descriptors: %d in all, %d for hosts", sockets, all, hosts)
+				t.Errorf("%d descriptors: %d in total, %d for hosts", sockets, all, hosts)
 			}
 			if requests*memoryPerRequest+clients*memoryPerParkedConn > memory<<20 {
-				t.Errorf("%d MB: %d requests at %d bytes beside %d clients", memory, requests, memoryPerRequest, clients)
+				t.Errorf("%d MB exceeded: %d requests of %d bytes each and %d clients",
+					memory, requests, memoryPerRequest, clients)
 			}
 		}
 	}
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -12,7 +12,7 @@
 	"beechwing/balancer"
 )
 
-// descriptors counts what this process holds open.
+// openDescriptors counts the open file descriptors of this process.
 func openDescriptors(t testing.TB) int {
 	t.Helper()
 	open, err := os.ReadDir("/proc/self/fd")
@@ -22,7 +22,7 @@
 	return len(open)
 }
 
-// TestCatalog: entries that make no sense are skipped, the others count.
+// TestCatalog checks that invalid entries are skipped and the others are used.
 func TestCatalog(t *testing.T) {
 	c, err := parseCatalog([]byte(`{"version":41,"full":true,"servers":[
  {"id":"a","addr":"127.0.0.1:1","zone":"y","cell":3,"state":"ready","weight":2.5,"started_ms":1500},
@@ -49,13 +49,13 @@
 	}
 	for _, text := range []string{"", "[]", `{"servers":[]}`, `{"version":-1}`, `{"version":1,"servers":{}}`} {
 		if _, err := parseCatalog([]byte(text), newZoneTable()); err == nil {
-			t.Errorf("%q passes for a list", text)
+			t.Errorf("%q was accepted as a list", text)
 		}
 	}
 }
 
-// TestWatch: the list held before comes first, as a cached one; then one call that does not wait, and a watch whose
-// calls follow one another on one connection.
+// TestWatch checks the order of events: first the list from the configuration, as a cached one, then the result of one call
+// that does not wait, then a watch whose calls follow one another on one connection.
 func TestWatch(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	l := newFakeDiscovery(t, entry("h1", h.addr()))
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestFetch: the whole list, asked for once.
+// TestFetch checks a single call for the full list, and the event when it fails.
 func TestFetch(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	l := newFakeDiscovery(t, entry("h1", h.addr()))
@@ -104,13 +104,13 @@
 	}
 	l.close()
 	g.p.owner.post(ownerFunc(func(o *owner) { o.Fetch() }))
-	if e := s.lists.next(t, "word of the failure"); e.kind != balancer.ListFailed {
+	if e := s.lists.next(t, "the failure"); e.kind != balancer.ListFailed {
 		t.Fatalf("event %+v", e)
 	}
 }
 
-// TestListFails: whatever goes wrong is a failed list event, and the last list stays in force; asked again, the proxy
-// finds discovery well.
+// TestListFails checks that any kind of failed call causes a ListFailed event and leaves the previous list in force, and that
+// the next call succeeds.
 func TestListFails(t *testing.T) {
 	for _, c := range []struct{ name, raw string }{
 		{"garbage", "nonsense\r\n\r\n"},
@@ -133,11 +133,11 @@
 			s.request = sends("h1")
 			g := start(t, l.addr(), listText(5, true, entry("h1", h.addr())), s.decides)
 			s.lists.next(t, "the cached list")
-			if e := s.lists.next(t, "word of the failure"); e.kind != balancer.ListFailed || len(e.hosts) != 0 {
+			if e := s.lists.next(t, "the failure"); e.kind != balancer.ListFailed || len(e.hosts) != 0 {
 				t.Fatalf("event %+v", e)
 			}
 			if a := g.raw(message("read", "")); a.status != 200 {
-				t.Fatalf("with the list held before: answered %d", a.status)
+				t.Fatalf("with the previous list: answered %d", a.status)
 			}
 			g.p.owner.post(ownerFunc(func(o *owner) { o.Watch() }))
 			if e := s.lists.next(t, "the next answer"); e.kind != balancer.ListChanges {
@@ -147,29 +147,30 @@
 	}
 }
 
-// TestSilentDiscovery: a call that is not answered fails in time; one that cannot connect fails too.
+// TestSilentDiscovery checks that a call without a response fails in time, and that one that cannot connect fails too.
 func TestSilentDiscovery(t *testing.T) {
 	quiet := newFakeServer(t, func(c net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) })
 	s := newScript()
 	start(t, quiet.addr(), listText(5, true, entry("h1", "127.0.0.1:1")), s.decides,
 		func(p *Proxy) { p.times.call = 50 * time.Millisecond })
 	s.lists.next(t, "the cached list")
-	if e := s.lists.next(t, "word of the failure"); e.kind != balancer.ListFailed {
+	if e := s.lists.next(t, "the failure"); e.kind != balancer.ListFailed {
 		t.Fatalf("event %+v", e)
 	}
 	s2 := newScript()
 	start(t, nobody, listText(5, true, entry("h1", "127.0.0.1:1")), s2.decides)
 	s2.lists.next(t, "the cached list")
-	if e := s2.lists.next(t, "word of the failure"); e.kind != balancer.ListFailed {
+	if e := s2.lists.next(t, "the failure"); e.kind != balancer.ListFailed {
 		t.Fatalf("event %+v", e)
 	}
 }
 
-// TestSpentConnection: where discovery closes after an answer the watch goes on with a new connection.
+// TestSpentConnection checks that the watch continues on a new connection after discovery closes one with its response.
 func TestSpentConnection(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	l := newFakeDiscovery(t, entry("h1", h.addr()))
-	l.rawAnswers = []string{strings.Replace(httpOK(listText(1, true, entry("h1", h.addr()))), "\r\n", "\r\nConnection: close\r\n", 1)}
+	l.rawAnswers = []string{
+		strings.Replace(httpOK(listText(1, true, entry("h1", h.addr()))), "\r\n", "\r\nConnection: close\r\n", 1)}
 	s := newScript()
 	start(t, l.addr(), "null", s.decides)
 	s.lists.next(t, "the cached list")
@@ -182,8 +183,8 @@
 	}
 }
 
-// TestSpentInALargeFleet: one of many proxies pauses between its calls once one has failed. A discovery that closes the
-// connection with its answer is no failing one, and the call that leaves the watch goes out on a new connection.
+// TestSpentInALargeFleet checks a proxy of a large fleet, which pauses between calls once one has failed. If discovery
+// closes the connection with its response, the call that ends the watch must use a new connection instead of failing.
 func TestSpentInALargeFleet(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	l := newFakeDiscovery(t, entry("h1", h.addr()))
@@ -192,7 +193,7 @@
 	s := newScript()
 	g := start(t, l.addr(), "null", s.decides, func(p *Proxy) { p.cfg.Balancer.Balancers, p.cfg.Balancer.AskWithin = 80, 1 })
 	s.lists.next(t, "the cached list")
-	if e := s.lists.next(t, "word of the failure"); e.kind != balancer.ListFailed {
+	if e := s.lists.next(t, "the failure"); e.kind != balancer.ListFailed {
 		t.Fatalf("event %+v", e)
 	}
 	g.p.owner.post(ownerFunc(func(o *owner) { o.Watch() }))
@@ -203,7 +204,7 @@
 	}
 }
 
-// TestModuleAsksAgain: with the module in charge a failed call is followed by another without anybody's help.
+// TestModuleAsksAgain checks that the real balancer retries after a failed call.
 func TestModuleAsksAgain(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	l := newFakeDiscovery(t, entry("h1", h.addr()))
@@ -215,14 +216,14 @@
 	}
 }
 
-// TestSilentWatch: a watch that falls silent is told as a failure, and asked anew on another connection at once; what
-// has changed meanwhile comes with the first answer there.
+// TestSilentWatch checks that a watch without a response is reported as a failure and repeated at once on another
+// connection, and that the first response there has the changes made in the meantime.
 func TestSilentWatch(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	s := newScript()
 	start(t, l.addr(), listText(1, true, entry("h1", h.addr())), s.decides, func(p *Proxy) {
-		p.cfg.Balancer.AskWithin, p.times.watch = 0.001, 50*time.Millisecond // waits a second
+		p.cfg.Balancer.AskWithin, p.times.watch = 0.001, 50*time.Millisecond // a watch waits 1 s
 		l.unansweredWatches = 1
 	})
 	for _, want := range []balancer.ListKind{balancer.ListCached, balancer.ListChanges, balancer.ListFailed,
@@ -233,7 +234,7 @@
 		if want == balancer.ListChanges {
 			l.calls.next(t, "the first call")
 			l.calls.next(t, "the watch")
-			l.set(entry("h1", h.addr()), entry("h2", h.addr())) // which the silent watch does not tell
+			l.set(entry("h1", h.addr()), entry("h2", h.addr())) // not reported by the silent watch
 		}
 	}
 	if call := l.calls.next(t, "a call"); call != "/catalog/members?since=1&timeout_ms=1" {
--- a/internal/proxy/fakes_test.go
+++ b/internal/proxy/fakes_test.go
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// toy accepts connections and serves each with serve until it is closed.
+// fakeServer accepts connections and calls serve for each one until it is closed.
 type fakeServer struct {
 	ln    net.Listener
 	serve func(c net.Conn, br *bufio.Reader)
 	wg    sync.WaitGroup
-	done  chan struct{} // closed with it
+	done  chan struct{} // closed by close
 	mu    sync.Mutex
 	open  map[net.Conn]bool
 }
@@ -69,15 +69,15 @@
 	s.wg.Wait()
 }
 
-// seenRequest is a request as a host got it.
+// receivedRequest is a request as a host received it.
 type receivedRequest struct {
 	*http.Request
-	body       string // body
-	reusedConn bool   // not the first on its connection
+	body       string
+	reusedConn bool // not the first on its connection
 }
 
-// toyHost is a host. answer is called for each whole request, one at a time on each connection, and says whether the
-// connection goes on.
+// fakeHost is a host. Its handler is called for each complete request, one at a time per connection, and reports whether
+// the connection stays open.
 type fakeHost struct {
 	*fakeServer
 	requests watched[receivedRequest]
@@ -110,10 +110,10 @@
 	return h
 }
 
-// ok is the answer of a host that serves.
+// okResponse is a host's response to a successful request.
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
 
-// says answers every request with raw bytes.
+// respondWith returns a handler that responds to every request with raw bytes.
 func respondWith(raw string) func(net.Conn, receivedRequest) bool {
 	return func(c net.Conn, _ receivedRequest) bool {
 		_, err := io.WriteString(c, raw)
@@ -121,13 +121,13 @@
 	}
 }
 
-// gate holds hosts back until it is opened. Tests defer that too: one that fails must not leave a host waiting.
+// gate blocks hosts until it is opened. Tests also defer open, so that a failed test leaves no host blocked.
 type gate struct {
 	opened chan struct{}
 	once   sync.Once
 }
 
-// says answers as the function of that name does, once the gate is open.
+// respondWith returns a handler that waits for the gate and then responds with raw bytes.
 func (g *gate) respondWith(raw string) func(net.Conn, receivedRequest) bool {
 	return func(c net.Conn, r receivedRequest) bool {
 		<-g.opened
@@ -139,13 +139,13 @@
 
 func (g *gate) open() { g.once.Do(func() { close(g.opened) }) }
 
-// resets ends a connection with a reset.
+// resetConn closes a connection with a TCP reset.
 func resetConn(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-// listEntry is a line of discovery's list.
+// listEntry is a host in discovery's list.
 type listEntry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -156,7 +156,7 @@
 	Started int64   `json:"started_ms"`
 }
 
-// entry is a ready host of the proxy's own zone.
+// entry returns a ready host in the proxy's own zone.
 func entry(id, addr string) listEntry {
 	return listEntry{ID: id, Addr: addr, Zone: "a", State: "ready", Weight: 1}
 }
@@ -176,7 +176,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 }
 
-// toyList is discovery. A watch is answered with the whole list once there is a newer one.
+// fakeDiscovery is a discovery service. It responds to a watch with the full list once there is a newer version.
 type fakeDiscovery struct {
 	*fakeServer
 	calls watched[string]
@@ -185,8 +185,8 @@
 	version           int
 	entries           []listEntry
 	changed           chan struct{}
-	unansweredWatches int      // watches that are not answered
-	rawAnswers        []string // answers to the next calls, in place of the list; "" ends the connection
+	unansweredWatches int      // watches still to be left without a response
+	rawAnswers        []string // responses to the next calls, in place of the list; "" closes the connection
 }
 
 func newFakeDiscovery(t testing.TB, entries ...listEntry) *fakeDiscovery {
@@ -245,7 +245,7 @@
 	return httpOK(listText(l.version, true, l.entries...))
 }
 
-// set makes a new version of the list.
+// set publishes a new version of the list.
 func (l *fakeDiscovery) set(entries ...listEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proxy/log_test.go
+++ b/internal/proxy/log_test.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// stuck is an output that takes nothing until it is released.
+// blockedWriter is an output that blocks until it is released.
 type blockedWriter struct {
 	release chan struct{}
 	bytes.Buffer
@@ -19,7 +19,8 @@
 	return s.Buffer.Write(b)
 }
 
-// TestLogNeverBlocks: an output that takes nothing holds nobody up; what does not fit is dropped and counted.
+// TestLogNeverBlocks checks that a blocked output does not block loggers, and that lines which do not fit in the queue are
+// dropped and counted.
 func TestLogNeverBlocks(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
 	log, flush := NewLogger(out, zapcore.InfoLevel)
@@ -30,15 +31,17 @@
 	close(out.release)
 	flush()
 	text := out.String()
-	if n := strings.Count(text, "a line"); n < maxQueuedLines || n > maxQueuedLines+2 || !strings.Contains(text, "lines dropped") {
-		t.Fatalf("%d lines written, dropped ones told: %v", n, strings.Contains(text, "lines dropped"))
+	if n := strings.Count(text, "a line"); n < maxQueuedLines || n > maxQueuedLines+2 ||
+		!strings.Contains(text, "lines dropped") {
+		t.Fatalf("%d lines written, dropped lines reported: %v", n, strings.Contains(text, "lines dropped"))
 	}
 	if strings.Contains(text, "not at this level") {
 		t.Fatal("a debug line was written")
 	}
 }
 
-// TestLogEnds: an output that takes nothing does not keep the program from ending, and a late line is no crash.
+// TestLogEnds checks that a blocked output does not keep the program from ending, and that logging after flush does not
+// panic.
 func TestLogEnds(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
 	log, flush := NewLogger(out, zapcore.InfoLevel)
--- a/internal/proxy/owner_test.go
+++ b/internal/proxy/owner_test.go
@@ -15,7 +15,7 @@
 	"beechwing/balancer"
 )
 
-// pair starts a proxy with a script and two hosts, h1 and h2.
+// startWithTwoHosts starts a proxy with a scripted balancer and two hosts, h1 and h2.
 func startWithTwoHosts(t *testing.T, s *script, h1, h2 *fakeHost) *rig {
 	t.Helper()
 	l := newFakeDiscovery(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
@@ -24,10 +24,11 @@
 	return g
 }
 
-// silent is a host's answer to nothing.
+// noResponse is a host's handler that leaves requests unanswered.
 func noResponse(net.Conn, receivedRequest) bool { return true }
 
-// TestSecondCopy: two attempts are out; the first whole answer is the client's, the other attempt is called off.
+// TestSecondCopy checks a hedged request: with two attempts outstanding, the client gets the first complete response, and
+// the other attempt is cancelled.
 func TestSecondCopy(t *testing.T) {
 	slow, quick := newFakeHost(t, noResponse), newFakeHost(t, respondWith(okResponse))
 	s := newScript()
@@ -48,7 +49,8 @@
 	}
 }
 
-// TestCancel: a cancelled attempt closes its connection and has one outcome; another may follow.
+// TestCancel checks that a cancelled attempt closes its connection and has exactly one outcome, and that another attempt
+// may follow.
 func TestCancel(t *testing.T) {
 	slow, quick := newFakeHost(t, noResponse), newFakeHost(t, respondWith(okResponse))
 	s := newScript()
@@ -64,9 +66,9 @@
 	slow.requests.next(t, "the request")
 	g.p.owner.post(ownerFunc(func(o *owner) {
 		o.Cancel(1, 0)
-		o.Cancel(1, 0) // and again
-		o.Cancel(1, 7) // never made
-		o.Cancel(9, 0) // nobody's
+		o.Cancel(1, 0) // a second time
+		o.Cancel(1, 7) // no such attempt
+		o.Cancel(9, 0) // no such request
 	}))
 	if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.Cancelled || o.Final {
 		t.Fatalf("outcome %+v", o)
@@ -78,15 +80,16 @@
 		t.Fatal("the host ended it")
 	}
 	s.outcomes.next(t, "the second attempt's outcome")
-	s.outcomes.none(t, "one more")
+	s.outcomes.none(t, "another outcome")
 }
 
-// inside runs a function in the owner's goroutine.
+// ownerFunc is an event that runs a function in the owner's goroutine.
 type ownerFunc func(o *owner)
 
 func (f ownerFunc) apply(o *owner) { f(o) }
 
-// TestNeverDispatched: attempts that may not go out have an outcome all the same, after the action has returned.
+// TestNeverDispatched checks that attempts which must not be sent still have an outcome, delivered after the action has
+// returned.
 func TestNeverDispatched(t *testing.T) {
 	h1, h2 := newFakeHost(t, respondWith(okResponse)), newFakeHost(t, respondWith(okResponse))
 	s := newScript()
@@ -130,7 +133,7 @@
 	h1.requests.none(t, "the host got a request")
 }
 
-// TestMostAttempts: what the module sends beyond MaxAttempts does not go out.
+// TestMostAttempts checks that attempts beyond MaxAttempts are not sent.
 func TestMostAttempts(t *testing.T) {
 	fails := newFakeHost(t, respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))
 	s := newScript()
@@ -155,14 +158,14 @@
 	}
 }
 
-// TestNothingAfterAnswer: a request that is answered while its attempt is still connecting is not sent any more.
+// TestNothingAfterAnswer checks that a request which is answered while its attempt is still connecting is not sent.
 func TestNothingAfterAnswer(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	s := newScript()
 	var wg sync.WaitGroup
 	s.request = func(s *script, r balancer.Request) {
 		s.act.Send(r.ID, hostID("h1"), 0)
-		s.act.Refuse(r.ID, 0) // allowed: with an unwritten attempt nothing has run
+		s.act.Refuse(r.ID, 0) // allowed, since no attempt has been written yet
 	}
 	g := one(t, h, s.decides)
 	const n = 200
@@ -182,7 +185,8 @@
 	s.outcomes.none(t, "one more outcome")
 }
 
-// TestGone: the module hears of a client that leaves, once, and what is out is called off.
+// TestGone checks that the balancer is told once of a client that disconnects, and that its outstanding attempts are
+// cancelled.
 func TestGone(t *testing.T) {
 	h := newFakeHost(t, noResponse)
 	s := newScript()
@@ -192,17 +196,17 @@
 	io.WriteString(c, message("write", "x"))
 	h.requests.next(t, "the request")
 	c.Close()
-	if id := s.gone.next(t, "word of the client"); id != 1 {
+	if id := s.gone.next(t, "the client's disconnect"); id != 1 {
 		t.Fatalf("request %d", id)
 	}
 	if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.Cancelled || !o.Final {
 		t.Fatalf("outcome %+v", o)
 	}
-	s.gone.none(t, "a second word")
+	s.gone.none(t, "a second disconnect")
 }
 
-// TestBrokenCrowd: after a run of broken clients and hosts no goroutine, buffer or descriptor is left. Buffers are
-// checked by stop.
+// TestBrokenCrowd checks that many broken clients and hosts leave no goroutine, buffer or file descriptor behind. Buffers
+// are checked by stop.
 func TestBrokenCrowd(t *testing.T) {
 	var mu sync.Mutex
 	n := 0
@@ -219,7 +223,7 @@
 			io.WriteString(c, okResponse[:len(okResponse)-2])
 			return false
 		case 2:
-			return true // silence
+			return true // no response
 		case 3:
 			io.WriteString(c, "nonsense\r\n\r\n")
 			return false
@@ -230,7 +234,7 @@
 	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	g := start(t, l.addr(), "null")
 	g.waitReady()
-	whole := message("write", strings.Repeat("x", 30000), "X-Remaining: 100m")
+	request := message("write", strings.Repeat("x", 30000), "X-Remaining: 100m")
 	var wg sync.WaitGroup
 	for k := range 60 {
 		wg.Go(func() {
@@ -243,17 +247,17 @@
 			c.SetDeadline(time.Now().Add(patience))
 			switch k % 4 {
 			case 0:
-				io.WriteString(c, whole[:len(whole)/2])
+				io.WriteString(c, request[:len(request)/2])
 			case 1:
-				io.WriteString(c, whole)
+				io.WriteString(c, request)
 				resetConn(c)
 			case 2:
 				io.WriteString(c, "nonsense\r\n\r\n")
 				hear(t, bufio.NewReader(c))
 			default:
-				io.WriteString(c, whole)
+				io.WriteString(c, request)
 				if a := hear(t, bufio.NewReader(c)); a.status == 0 {
-					t.Error("a whole request got no answer")
+					t.Error("a complete request got no response")
 				}
 			}
 		})
@@ -268,7 +272,7 @@
 	}
 }
 
-// TestTimers: timers come in their order, none before its time.
+// TestTimers checks that timers fire in order, and none before its time.
 func TestTimers(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	s := newScript()
@@ -292,7 +296,7 @@
 	}
 }
 
-// timed is a script that hears of timers.
+// timerScript is a script that passes timer events to a function.
 type timerScript struct {
 	*script
 	fired func(uint64)
@@ -300,7 +304,7 @@
 
 func (s timerScript) Timer(_ float64, token uint64) { s.fired(token) }
 
-// TestQueueTimeCounts: a client's time runs on while its request waits for the owner.
+// TestQueueTimeCounts checks that the time a request waits in the owner's queue is deducted from its budget.
 func TestQueueTimeCounts(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	s := newScript()
@@ -316,7 +320,7 @@
 		q.names = g.p.owner.names
 		g.p.owner.post(arrival{q})
 		if got := budgets.next(t, "the request"); got < c.least || got > c.most {
-			t.Errorf("after %v s in the queue %v s are left", c.waited, got)
+			t.Errorf("after %v s in the queue the budget is %v s", c.waited, got)
 		}
 	}
 }
--- a/internal/proxy/probe_test.go
+++ b/internal/proxy/probe_test.go
@@ -8,17 +8,17 @@
 	"beechwing/balancer"
 )
 
-// TestProbes: every probe has one result, with the report where hosts give one.
+// TestProbes checks that every probe has exactly one result, with the load report if the host sends one.
 func TestProbes(t *testing.T) {
 	for _, c := range []struct {
 		name, raw string
 		want      balancer.Result
 		report    int
 	}{
-		{"well, with a report", httpOK(`{"inflight":3,"queue":1,"util":0.5}`), balancer.OK, 3},
-		{"well, report broken", httpOK(`{"inflight":`), balancer.OK, 0},
-		{"not well", "HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n", balancer.Rejected, 0},
-		{"unknown there", "HTTP/1.1 404 N\r\nContent-Length: 0\r\n\r\n", balancer.Errored, 0},
+		{"healthy, with a report", httpOK(`{"inflight":3,"queue":1,"util":0.5}`), balancer.OK, 3},
+		{"healthy, report invalid", httpOK(`{"inflight":`), balancer.OK, 0},
+		{"unhealthy", "HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n", balancer.Rejected, 0},
+		{"path unknown to the host", "HTTP/1.1 404 N\r\nContent-Length: 0\r\n\r\n", balancer.Errored, 0},
 		{"garbage", "nonsense\r\n\r\n", balancer.Malformed, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -53,7 +53,7 @@
 	})
 }
 
-// TestProbeOnKeptConnection: the time of the call before does not hold for the next call on its connection.
+// TestProbeOnKeptConnection checks that the deadline of one call does not apply to the next call on the same connection.
 func TestProbeOnKeptConnection(t *testing.T) {
 	h := newFakeHost(t, respondWith(httpOK(`{"util":0.5}`)))
 	s := newScript()
@@ -63,12 +63,12 @@
 		t.Fatalf("answered %d", a.status)
 	}
 	h.requests.next(t, "the request")
-	time.Sleep(350 * time.Millisecond) // its time is over
+	time.Sleep(350 * time.Millisecond) // past the request's deadline
 	g.p.owner.post(ownerFunc(func(o *owner) { o.Probe(hostID("h1")) }))
 	if p := s.probes.next(t, "the result"); p.Result != balancer.OK {
 		t.Fatalf("result %+v", p)
 	}
 	if r := h.requests.next(t, "the probe"); !r.reusedConn {
-		t.Fatal("the probe took a new connection")
+		t.Fatal("the probe used a new connection")
 	}
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -14,8 +14,8 @@
 	"go.uber.org/zap"
 )
 
-// TestDrainPhases: told to end, a proxy answers what is out and what still comes, closes each connection with its
-// answer, and ends.
+// TestDrainPhases checks that a stopping proxy answers pending and new requests, closes each connection with its response,
+// and then ends.
 func TestDrainPhases(t *testing.T) {
 	release := newGate()
 	defer release.open()
@@ -51,21 +51,21 @@
 	}
 }
 
-// TestBacklog: connections that wait in the listener's backlog when the proxy is told to end are taken and answered.
+// TestBacklog checks that connections in the listener's backlog when the proxy is told to stop are accepted and answered.
 func TestBacklog(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	g := one(t, h, func(p *Proxy) {
 		p.cfg.Site.Connections.Limit = 1
 		p.times.drain = 100 * time.Millisecond
 	})
-	// All places are taken, so that what comes now stays in the backlog.
+	// All connection slots are taken, so that new connections stay in the backlog.
 	f := g.p.front
 	hold := func(n int) {
 		f.mu.Lock()
 		f.open += n
 		f.mu.Unlock()
 	}
-	hold(overflowConns) // the last place is that of the accept that is waiting
+	hold(overflowConns) // the last slot is for the accept call that is waiting
 	taken := g.dial()
 	io.WriteString(taken, message("read", ""))
 	hear(t, bufio.NewReader(taken))
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestAddressTaken: an address that cannot be listened on is one plain error.
+// TestAddressTaken checks the error for a listening address that is already in use.
 func TestAddressTaken(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestUnreadyHealth: without a list the proxy says so, but not with a refusal.
+// TestUnreadyHealth checks that the health check fails without a host list, but not with 503, which would mean a refusal.
 func TestUnreadyHealth(t *testing.T) {
 	l := newFakeDiscovery(t)
 	g := start(t, l.addr(), "null")
@@ -109,11 +109,11 @@
 		t.Fatalf("answered %d", a.status)
 	}
 	if a := g.raw(message("write", "x")); a.status != http.StatusServiceUnavailable {
-		t.Fatalf("a request got %d; nothing has run, so it is refused", a.status)
+		t.Fatalf("a request got %d, want a refusal since nothing has run", a.status)
 	}
 }
 
-// TestPhaseNames: the log names the phases.
+// TestPhaseNames checks the names of the phases in the log.
 func TestPhaseNames(t *testing.T) {
 	for p, want := range map[Phase]string{Starting: "starting", Serving: "serving", Draining: "draining",
 		Finishing: "finishing", Stopped: "stopped"} {
@@ -123,14 +123,14 @@
 	}
 }
 
-// TestFullHouseEnds: with every place for clients taken, so that accepting waits for one, it still ends with the
-// listener.
+// TestFullHouseEnds checks that accept returns when the listener is closed, even while it waits for a free connection slot.
 func TestFullHouseEnds(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := newFront(ln, frontLimits{connections: 1}, newRoom(Limits{Sockets: 100}), nil, nil, wire.NewPool(), nil, quickTiming(), zap.NewNop())
+	f, err := newFront(ln, frontLimits{connections: 1}, newRoom(Limits{Sockets: 100}), nil, nil, wire.NewPool(), nil,
+		quickTiming(), zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,5 +142,5 @@
 		ended <- true
 	}()
 	f.close()
-	ended.next(t, "the end of accepting")
+	ended.next(t, "the return of accept")
 }
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -14,14 +14,14 @@
 	"beechwing/balancer"
 )
 
-// rereads stands in for the file of the configuration: what it holds now, and how often it was read.
+// fakeConfigFile stands in for the configuration file. It determines what a reload reads, and collects what is logged.
 type fakeConfigFile struct {
 	mu     sync.Mutex
-	change func(*Config) error // changes a copy of the configuration, or fails
-	logged watched[string]     // what was logged of each reading
+	change func(*Config) error // changes a copy of the first configuration, or fails
+	logged watched[string]     // messages logged by reloads
 }
 
-// reloads gives a rig's proxy a file to read again. By default nothing in it changes.
+// withConfigFile gives a proxy a fake configuration file for reloads. By default it does not change.
 func withConfigFile() (*fakeConfigFile, func(*Proxy)) {
 	r := &fakeConfigFile{change: func(*Config) error { return nil }, logged: make(watched[string], 64)}
 	return r, func(p *Proxy) {
@@ -35,7 +35,8 @@
 		core, _ := observer.New(zap.InfoLevel)
 		p.log = zap.New(core, zap.Hooks(func(e zapcore.Entry) error {
 			if e.Level == zap.ErrorLevel || e.Message == "discovery has moved" ||
-				e.Message == "configuration read again, discovery is where it was" || e.Message == "settings in force" || e.Level == zap.WarnLevel {
+				e.Message == "configuration read again, discovery is where it was" ||
+				e.Message == "settings in force" || e.Level == zap.WarnLevel {
 				r.logged <- e.Message
 			}
 			return nil
@@ -49,14 +50,14 @@
 	r.change = f
 }
 
-// movesTo is a file whose discovery is at addr.
+// withDiscovery returns a change that sets the address of discovery.
 func withDiscovery(addr string) func(*Config) error {
 	return func(c *Config) error { c.file.Discovery = addr; return nil }
 }
 
-// TestReloadMoves: discovery is followed to the address that the file names now. Its whole list is asked for and
-// believed, though its versions are lower; the module hears of no failure, and hosts that are still listed keep their
-// connections. Back again it goes the same way.
+// TestReloadMoves checks a reload with another address of discovery. The proxy fetches the full list there and accepts it
+// even though its version is lower. The balancer sees no failure, and hosts that are still listed keep their connections.
+// A reload with the first address works the same way.
 func TestReloadMoves(t *testing.T) {
 	h, h2 := newFakeHost(t, respondWith(okResponse)), newFakeHost(t, respondWith(okResponse))
 	old, next := newFakeDiscovery(t, entry("h1", h.addr())), newFakeDiscovery(t, entry("h1", h.addr()), entry("h2", h2.addr()))
@@ -68,7 +69,7 @@
 	g := start(t, old.addr(), "null", s.decides, f)
 	g.waitReady()
 	if a := g.raw(message("read", "")); a.status != http.StatusOK {
-		t.Fatalf("before: %d", a.status)
+		t.Fatalf("before the reload: %d", a.status)
 	}
 	for len(s.lists) > 0 {
 		<-s.lists
@@ -79,7 +80,7 @@
 		}
 		file.set(withDiscovery(to.addr()))
 		g.p.Reload()
-		if call := to.calls.next(t, "a call at the new address"); call != membersPath {
+		if call := to.calls.next(t, "a call to the new address"); call != membersPath {
 			t.Fatalf("first call %s", call)
 		}
 		if e := s.lists.next(t, "the list"); e.kind != balancer.ListFull || len(e.hosts) != len(to.entries) {
@@ -87,7 +88,7 @@
 		}
 		to.calls.next(t, "the watch")
 	}
-	s.lists.none(t, "an event beside the two lists")
+	s.lists.none(t, "an event other than the two lists")
 	h.requests.next(t, "the first request")
 	if a := g.raw(message("read", "")); a.status != http.StatusOK || !h.requests.next(t, "a request").reusedConn {
 		t.Error("the host's connection was not kept")
@@ -95,12 +96,12 @@
 	next.mu.Lock()
 	defer next.mu.Unlock()
 	if len(next.open) > 1 {
-		t.Errorf("%d connections to a discovery that was left", len(next.open))
+		t.Errorf("%d connections to the previous discovery service", len(next.open))
 	}
 }
 
-// TestReloadRefused: a file that cannot be read, or makes no sense, changes nothing; nor does one that has not changed,
-// or changes what waits for the next start. Each is logged, and the watch goes on.
+// TestReloadRefused checks that nothing changes by a file that is unreadable, invalid or unchanged, or that only changes what
+// takes effect at the next start. Each case is logged, and the watch continues.
 func TestReloadRefused(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	l := newFakeDiscovery(t, entry("h1", h.addr()))
@@ -128,14 +129,14 @@
 	}
 	l.set(entry("h1", h.addr()))
 	for e := s.lists.next(t, "a list"); e.kind != balancer.ListFull || len(e.hosts) != 1; {
-		e = s.lists.next(t, "the list after all that")
+		e = s.lists.next(t, "the list after the reloads")
 	}
 	if a := g.raw(message("read", "")); a.status != http.StatusOK {
-		t.Fatalf("after all that: %d", a.status)
+		t.Fatalf("after the reloads: %d", a.status)
 	}
 }
 
-// TestReloadAnyTime: before the start, many times at once, while draining and after the end a call does no harm.
+// TestReloadAnyTime checks that Reload is harmless before the start, many times in a row, while draining and after the end.
 func TestReloadAnyTime(t *testing.T) {
 	release := newGate()
 	defer release.open()
@@ -164,9 +165,9 @@
 	g.p.Reload()
 }
 
-// TestSameJSON: white space is no change of the settings.
+// TestSameJSON checks that only white space is ignored.
 func TestSameJSON(t *testing.T) {
 	if !sameJSON([]byte(`{"a": 1}`), []byte("{\n\"a\":1}")) || sameJSON([]byte(`{"a":1}`), []byte(`{"a":2}`)) {
-		t.Fatal("compared wrongly")
+		t.Fatal("sameJSON is wrong")
 	}
 }
--- a/internal/proxy/settings_reload_test.go
+++ b/internal/proxy/settings_reload_test.go
@@ -14,8 +14,8 @@
 	"beechwing/internal/settings"
 )
 
-// poolSettings are those of a deployment of another shape: one location, other classes in another order, no probes, no
-// second copies, no reports, a pool of proxies.
+// otherSettings are the settings of a different deployment: a single zone, other classes in another order, no probes, no
+// hedging, no load reports, and more proxies.
 const otherSettings = `{"Balancers": 16, "Me": 3, "Zone": 0, "Dcs": ["c"], "Discovery": "push",
  "Classes": [
  {"Name": "pay", "Effect": "once", "AimS": 0.8, "DeadlineS": 2.5, "Credit": 8.0, "LateWorth": 0.3},
@@ -26,7 +26,7 @@
  "Rules": {"AskWithinS": 5.0, "StopSendingWithinS": 1.0, "ColdFrom": 0.12, "ColdS": 23.0, "FallMultiple": 3.0,
   "TipAfterS": 2.0}}`
 
-// to is a configuration with other settings, read as the file is.
+// withSettings returns a change that parses the settings in text, as when the file is read.
 func withSettings(text string) func(*Config) error {
 	return func(c *Config) (err error) {
 		if c.Settings, err = settings.Parse([]byte(text)); err != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// switchTo has the proxy read a configuration again, and waits until that is done.
+// reloadWith reloads the configuration with the settings in text, and waits for the log message that ends the reload.
 func (r *fakeConfigFile) reloadWith(t testing.TB, g *rig, text, log string) {
 	t.Helper()
 	r.set(withSettings(text))
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestSwitchUnderLoad: settings of another shape come into force and go again, many times, while clients ask. Each request
-// has one answer, each unsafe one reaches hosts once at the most, and what one of the two does not know is told at once.
+// TestSwitchUnderLoad switches several times between two different settings while clients send requests. Each request gets
+// one response, each unsafe request reaches hosts at most once, and classes that the current settings lack are rejected.
 func TestSwitchUnderLoad(t *testing.T) {
 	var mu sync.Mutex
 	runs := map[string]int{}
@@ -85,7 +85,7 @@
 				io.WriteString(c, message(class, text))
 				r, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil {
-					t.Errorf("%s without an answer: %v", class, err)
+					t.Errorf("%s without a response: %v", class, err)
 					c.Close()
 					return
 				}
@@ -97,21 +97,21 @@
 	for range 6 {
 		file.reloadWith(t, g, otherSettings, "settings in force")
 		if a := g.raw(message("pay", "")); a.status == http.StatusBadRequest {
-			t.Error("the new settings' class is unknown")
+			t.Error("a class of the new settings is unknown")
 		}
 		if a := g.raw(message("read", "")); a.status != http.StatusBadRequest {
-			t.Errorf("a class that went: %d", a.status)
+			t.Errorf("a class that the new settings lack: %d", a.status)
 		}
 		file.reloadWith(t, g, testSettings, "settings in force")
 		if a := g.raw(message("pay", "")); a.status != http.StatusBadRequest {
-			t.Errorf("back again, the other's class: %d", a.status)
+			t.Errorf("a class of the other settings, after switching back: %d", a.status)
 		}
 	}
 	close(stop)
 	clients.Wait()
 	for i, count := range counts {
 		if count[http.StatusOK] == 0 || i%3 == 0 && (count[http.StatusBadRequest] > 0 || count[http.StatusBadGateway] > 0) {
-			t.Errorf("client %d: answers %v", i, count)
+			t.Errorf("client %d: responses %v", i, count)
 		}
 	}
 	mu.Lock()
@@ -121,19 +121,20 @@
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	if figures := string(g.p.owner.stats.text()); strings.Count(figures, "proxy.ok.write=") != 1 ||
-		!strings.Contains(figures, "proxy.ok.pay=") || !strings.Contains(figures, "proxy.active=0") {
-		t.Errorf("figures %s", figures)
+	if stats := string(g.p.owner.stats.text()); strings.Count(stats, "proxy.ok.write=") != 1 ||
+		!strings.Contains(stats, "proxy.ok.pay=") || !strings.Contains(stats, "proxy.active=0") {
+		t.Errorf("statistics: %s", stats)
 	}
 }
 
-// TestClassGoesWhileOpen: what was taken under the old settings ends under them: its class may be gone, its deadline may be
-// longer than any now.
+// TestClassGoesWhileOpen checks that requests accepted under earlier settings still complete under them, although their
+// class may no longer exist or their deadline may exceed all current ones.
 func TestClassGoesWhileOpen(t *testing.T) {
 	release := newGate()
 	defer release.open()
 	h := newFakeHost(t, release.respondWith(okResponse))
-	l := newFakeDiscovery(t, entry("h1", h.addr()), entry("h2", h.addr()), entry("h3", h.addr())) // three: limits start low
+	// Three hosts, because concurrency limits start low.
+	l := newFakeDiscovery(t, entry("h1", h.addr()), entry("h2", h.addr()), entry("h3", h.addr()))
 	file, f := withConfigFile()
 	g := start(t, l.addr(), "null", f)
 	g.waitReady()
@@ -153,11 +154,12 @@
 		}
 	}
 	if len(h.requests) > 0 {
-		t.Errorf("%d attempts more", len(h.requests))
+		t.Errorf("%d more attempts", len(h.requests))
 	}
 }
 
-// TestBadSettingsChangeNothing: one field that makes no sense, and the old settings serve on as a whole.
+// TestBadSettingsChangeNothing checks that with one invalid field in the new settings, the old settings stay in force as a
+// whole.
 func TestBadSettingsChangeNothing(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	l := newFakeDiscovery(t, entry("h1", h.addr()))
@@ -170,12 +172,12 @@
 		t.Errorf("a class of the old settings: %d", a.status)
 	}
 	if a := g.raw(message("pay", "")); a.status != http.StatusBadRequest {
-		t.Errorf("a class of the refused settings: %d", a.status)
+		t.Errorf("a class of the rejected settings: %d", a.status)
 	}
 }
 
-// TestSwitchWhileEnding: settings that come while the proxy is told to end, or one after another without a pause, lose nothing:
-// what is open is answered, the last ones are in force, and the proxy ends.
+// TestSwitchWhileEnding checks reloads in quick succession, and while the proxy is told to stop: pending requests are
+// answered, the last settings come into force, and the proxy ends.
 func TestSwitchWhileEnding(t *testing.T) {
 	release, ending := newGate(), newGate()
 	defer release.open()
@@ -207,11 +209,11 @@
 			t.Fatal("the last settings are not in force")
 		}
 		g.p.Reload()
-		file.logged.next(t, "a reading")
+		file.logged.next(t, "a reload")
 	}
 	release.open()
 	if a := hear(t, bufio.NewReader(c)); a.status != http.StatusOK {
-		t.Errorf("what was open: %d", a.status)
+		t.Errorf("the pending request: %d", a.status)
 	}
 	ending.open()
 	g.stop()
