--- a/internal/proxy/connection_stats.go
+++ b/internal/proxy/connection_stats.go
@@ -20,6 +20,7 @@
 	Hosts  int                // connections to hosts
 }
 
+// stats returns the current connection statistics.
 func (f *front) stats() connectionStats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -75,13 +75,13 @@
 
 // configure applies changed settings. If they affect the calls to discovery, a new session starts, and as in setAddr the
 // balancer sees no failure.
-func (d *discovery) configure(was, is *balancer.Config) {
-	if was.AskWithin == is.AskWithin && was.Balancers == is.Balancers {
+func (d *discovery) configure(current, next *balancer.Config) {
+	if current.AskWithin == next.AskWithin && current.Balancers == next.Balancers {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.pendingConfig = is
+	d.pendingConfig = next
 	if d.cancelCalls != nil {
 		d.cancelCalls()
 	}
@@ -172,7 +172,7 @@
 func (d *discovery) watchList(ctx context.Context) {
 	conn, err := (*discoveryConn)(nil), error(nil)
 	wait, pause := immediateWait, d.budget.Pause()
-	if d.hasList && !d.hasWatched { // a proxy without a list cannot wait
+	if d.hasList && !d.hasWatched { // a proxy without a list must not wait before its first call
 		pause = d.budget.First()
 	}
 	d.hasWatched = true
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -128,7 +128,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newFakeHost(t, respondWith(okResponse))
 			l := newFakeDiscovery(t, entry("h1", h.addr()))
-			l.version, l.rawAnswers = 5, []string{c.raw}
+			l.version, l.rawResponses = 5, []string{c.raw}
 			s := newScript()
 			s.request = sends("h1")
 			g := start(t, l.addr(), listText(5, true, entry("h1", h.addr())), s.decides)
@@ -169,7 +169,7 @@
 func TestSpentConnection(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	l := newFakeDiscovery(t, entry("h1", h.addr()))
-	l.rawAnswers = []string{
+	l.rawResponses = []string{
 		strings.Replace(httpOK(listText(1, true, entry("h1", h.addr()))), "\r\n", "\r\nConnection: close\r\n", 1)}
 	s := newScript()
 	start(t, l.addr(), "null", s.decides)
@@ -188,7 +188,7 @@
 func TestSpentInALargeFleet(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	l := newFakeDiscovery(t, entry("h1", h.addr()))
-	l.rawAnswers = []string{"HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n",
+	l.rawResponses = []string{"HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n",
 		strings.Replace(httpOK(listText(1, true, entry("h1", h.addr()))), "\r\n", "\r\nConnection: close\r\n", 1)}
 	s := newScript()
 	g := start(t, l.addr(), "null", s.decides, func(p *Proxy) { p.cfg.Balancer.Balancers, p.cfg.Balancer.AskWithin = 80, 1 })
@@ -208,7 +208,7 @@
 func TestModuleAsksAgain(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	l := newFakeDiscovery(t, entry("h1", h.addr()))
-	l.rawAnswers = []string{"", "nonsense\r\n\r\n"}
+	l.rawResponses = []string{"", "nonsense\r\n\r\n"}
 	g := start(t, l.addr(), "null", func(p *Proxy) { p.cfg.Balancer.AskWithin = 0.2 })
 	g.waitReady()
 	for range 3 {
--- a/internal/proxy/fakes_test.go
+++ b/internal/proxy/fakes_test.go
@@ -84,7 +84,7 @@
 	ended    watched[error] // what ended each connection
 }
 
-func newFakeHost(t testing.TB, answer func(c net.Conn, r receivedRequest) bool) *fakeHost {
+func newFakeHost(t testing.TB, handler func(c net.Conn, r receivedRequest) bool) *fakeHost {
 	t.Helper()
 	h := &fakeHost{requests: make(watched[receivedRequest], 4096), ended: make(watched[error], 4096)}
 	h.fakeServer = newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
@@ -101,7 +101,7 @@
 			}
 			q := receivedRequest{r, string(body), reused}
 			h.requests <- q
-			if !answer(c, q) {
+			if !handler(c, q) {
 				h.ended <- nil
 				return
 			}
@@ -186,7 +186,7 @@
 	entries           []listEntry
 	changed           chan struct{}
 	unansweredWatches int      // watches still to be left without a response
-	rawAnswers        []string // responses to the next calls, in place of the list; "" closes the connection
+	rawResponses      []string // responses to the next calls, in place of the list; "" closes the connection
 }
 
 func newFakeDiscovery(t testing.TB, entries ...listEntry) *fakeDiscovery {
@@ -199,7 +199,7 @@
 				return
 			}
 			l.calls <- r.URL.String()
-			text := l.answer(c, r)
+			text := l.respond(c, r)
 			if text == "" {
 				return
 			}
@@ -211,11 +211,11 @@
 	return l
 }
 
-func (l *fakeDiscovery) answer(c net.Conn, r *http.Request) string {
+func (l *fakeDiscovery) respond(c net.Conn, r *http.Request) string {
 	l.mu.Lock()
-	if len(l.rawAnswers) > 0 {
-		raw := l.rawAnswers[0]
-		l.rawAnswers = l.rawAnswers[1:]
+	if len(l.rawResponses) > 0 {
+		raw := l.rawResponses[0]
+		l.rawResponses = l.rawResponses[1:]
 		l.mu.Unlock()
 		return raw
 	}
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -120,31 +120,31 @@
 
 // complete answers a request, at most once. Nothing may be sent for the request from then on, so its outstanding attempts
 // are cancelled.
-func (o *owner) complete(f *pendingRequest, a answer) {
-	if f.answered {
+func (o *owner) complete(pending *pendingRequest, a answer) {
+	if pending.answered {
 		return
 	}
-	f.answered = true
+	pending.answered = true
 	if line := o.log.Check(zap.DebugLevel, "answered"); line != nil {
-		line.Write(zap.String("id", f.request.name), zap.Int("class", f.request.Class), zap.Int("status", a.status),
-			zap.Int("attempts", len(f.attempts)), zap.Float64("left", f.deadline-o.clock.now()))
+		line.Write(zap.String("id", pending.request.name), zap.Int("class", pending.request.Class), zap.Int("status", a.status),
+			zap.Int("attempts", len(pending.attempts)), zap.Float64("left", pending.deadline-o.clock.now()))
 	}
-	if f.request.up != nil {
-		f.request.up.leave()
+	if pending.request.up != nil {
+		pending.request.up.leave()
 	}
-	for _, at := range f.attempts {
-		if at.begunAt == 0 && at.callOff() {
-			a.stopped = append(a.stopped, at)
+	for _, attempt := range pending.attempts {
+		if attempt.begunAt == 0 && attempt.callOff() {
+			a.stopped = append(a.stopped, attempt)
 		}
 	}
-	f.request.answer <- a // never blocks: the channel has a buffer of one
+	pending.request.answer <- a // never blocks: the channel has a buffer of one
 }
 
 // release removes a request that is answered and has no outstanding attempts.
-func (o *owner) release(f *pendingRequest) {
-	if f.answered && f.outstanding == 0 && o.pending[f.request.ID] == f {
-		delete(o.pending, f.request.ID)
-		delete(o.openIDs, f.request.name)
-		freeRequest(o.bufs, f.request)
+func (o *owner) release(pending *pendingRequest) {
+	if pending.answered && pending.outstanding == 0 && o.pending[pending.request.ID] == pending {
+		delete(o.pending, pending.request.ID)
+		delete(o.openIDs, pending.request.name)
+		freeRequest(o.bufs, pending.request)
 	}
 }
--- a/internal/proxy/owner_test.go
+++ b/internal/proxy/owner_test.go
@@ -206,7 +206,7 @@
 }
 
 // TestBrokenCrowd checks that many broken clients and hosts leave no goroutine, buffer or file descriptor behind. Buffers
-// are checked by stop.
+// are checked at the end of every test.
 func TestBrokenCrowd(t *testing.T) {
 	var mu sync.Mutex
 	n := 0
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -16,7 +16,8 @@
 	loadReportPath = "/_load" // like probePath, with the load report as the response body
 )
 
-// probeRequest is a GET request for a path. It is idempotent, so write need not call settle.
+// probeRequest is a GET request for a path. It is idempotent, so it may be written in one go, without a
+// check of the connection before the last byte.
 type probeRequest string
 
 func (q probeRequest) write(l line) error {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -64,10 +64,8 @@
 	ready           chan struct{} // closed when the proxy can serve
 	stopRequestedAt time.Time     // when the proxy was told to stop
 	serving         atomic.Bool   // reported by the admin health check
-
-	adminServer *ops.Door // nil: no admin address is configured
-
-	zonePlanner *zonePlanner // nil: failover between zones is off
+	adminServer     *ops.Door     // nil: no admin address is configured
+	zonePlanner     *zonePlanner  // nil: failover between zones is off
 
 	bufs       *wire.Pool
 	hosts      *hosts
@@ -106,6 +104,7 @@
 	return nil
 }
 
+// start binds the addresses, creates the components and starts their goroutines.
 func (p *Proxy) start(context.Context) (Phase, error) {
 	p.cfg.Limits.apply()
 	ln, err := p.listenForClients()
@@ -148,6 +147,7 @@
 	return Serving, nil
 }
 
+// frontLimits derives the limits on client connections and requests from the resource limits and the operator's file.
 func (p *Proxy) frontLimits() frontLimits {
 	clients, requests := p.cfg.Limits.clientLimits()
 	return frontLimits{most: clients, connections: clientLimit(clients, p.cfg.Site.Connections),
@@ -183,7 +183,8 @@
 	return seconds(shortest / 4)
 }
 
-// clientLimit returns the operator's connection limit, or maxConns, which the machine allows, if that is lower.
+// clientLimit returns the limit of client connections: maxConns, which the machine allows, or the operator's limit if that
+// is set and lower.
 func clientLimit(maxConns int, c site.Connections) int {
 	if c.Limit > 0 {
 		return min(maxConns, c.Limit)
@@ -225,8 +226,8 @@
 	p.goroutines.Go(func() { s.watchFile(ctx) })
 }
 
-// awaitList waits until the proxy can serve. It prefers a host list from discovery. If none arrives within
-// times.firstList, any list will do, such as the one from the configuration.
+// awaitList waits until the proxy can serve. It prefers a host list from discovery. If none arrives in time, any
+// list with hosts will do, such as the one from the configuration.
 func (p *Proxy) awaitList(ctx context.Context) {
 	timeout := time.NewTimer(p.times.firstList)
 	defer timeout.Stop()
@@ -245,6 +246,7 @@
 	close(p.ready)
 }
 
+// serve accepts connections until ctx is cancelled. With an inherited socket it first waits until the proxy is ready.
 func (p *Proxy) serve(ctx context.Context) (Phase, error) {
 	if p.cfg.ListenFD != "" { // new connections wait in the backlog, or go to the other process
 		select {
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -88,17 +88,17 @@
 	next.Seed = current.Seed
 	p.setActiveConfig(next)
 	p.hosts.by.Store(newHostSettings(c.Settings, next))
-	event := configured{cfg: *next, names: newNames(c.Settings, next, p.owner.stats), applied: make(chan struct{})}
-	p.owner.post(event)
+	change := configured{cfg: *next, names: newNames(c.Settings, next, p.owner.stats), applied: make(chan struct{})}
+	p.owner.post(change)
 	select {
-	case <-event.applied:
+	case <-change.applied:
 	case <-p.owner.done:
 		return
 	}
-	p.front.names.Store(event.names)
+	p.front.names.Store(change.names)
 	p.front.seat(func(time.Duration) { p.front.desk.Patient(maxQueueWait(next.Classes)) })
 	p.owner.discovery.configure(current, next)
-	p.log.Info("settings in force", zap.Strings("classes", event.names.words), zap.Int("proxies", next.Balancers))
+	p.log.Info("settings in force", zap.Strings("classes", change.names.words), zap.Int("proxies", next.Balancers))
 }
 
 // sameJSON reports whether two valid JSON texts are equal except for white space.
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -112,7 +112,7 @@
 	g.waitReady()
 	for _, c := range []struct {
 		name, log string
-		now       func(*Config) error
+		change    func(*Config) error
 	}{
 		{"unreadable", "configuration not read again, the old one stays",
 			func(*Config) error { return errors.New("no such file") }},
@@ -121,7 +121,7 @@
 		{"other limits", "a change that waits for the next start",
 			func(c *Config) error { c.file.Limits.Sockets++; return nil }},
 	} {
-		file.set(c.now)
+		file.set(c.change)
 		g.p.Reload()
 		for got := ""; got != c.log; {
 			got = file.logged.next(t, c.name)
@@ -145,10 +145,10 @@
 	_, f := withConfigFile()
 	g := start(t, l.addr(), "null", f, func(p *Proxy) {
 		p.Reload()
-		steps := p.phaseFuncs[Draining]
+		drain := p.phaseFuncs[Draining]
 		p.phaseFuncs[Draining] = func(ctx context.Context) (Phase, error) {
 			<-release.opened
-			return steps(ctx)
+			return drain(ctx)
 		}
 	})
 	g.waitReady()
