--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -70,7 +70,7 @@
 		closed: make(chan struct{}), stopped: make(chan struct{}), admission: places.NewDesk(l.admission),
 		connTable: places.New(connTableConfig(l, t))}
 	f.names.Store(n)
-	r.onHostShortage = func() { ask(f.maintenanceDue) }
+	r.onHostShortage = func() { signal(f.maintenanceDue) }
 	wake := func(holder any) { f.wake(holder.(*clientConn)) }
 	if l.goroutinePerParked {
 		f.poller = park.NewWatchers(wake)
@@ -87,7 +87,7 @@
 	defer timer.Stop()
 	for {
 		f.mu.Lock()
-		free := f.open < min(f.limits.maxConns, f.budget.limit(places.Callers))+shedReserve
+		free := f.open < min(f.limits.maxConns, f.budget.limit(places.Callers))+overflowConns
 		f.mu.Unlock()
 		if free {
 			return true
@@ -174,7 +174,7 @@
 	count := f.connTable.Count()
 	limit := f.budget.claimClients(count + extra)
 	if limit < count+extra {
-		ask(f.maintenanceDue) // idle connections to hosts may be closed to free some budget
+		signal(f.maintenanceDue) // idle connections to hosts may be closed to free some budget
 	}
 	f.connTable.SetMost(min(f.limits.maxConns, limit))
 }
@@ -238,7 +238,7 @@
 		f.closeParked(c)
 	}
 	if len(selected) == n {
-		ask(f.maintenanceDue)
+		signal(f.maintenanceDue)
 	}
 	return len(selected) < n
 }
--- a/internal/proxy/actions.go
+++ b/internal/proxy/actions.go
@@ -12,7 +12,7 @@
 
 // Send starts the next attempt of a request.
 func (o *owner) Send(id balancer.RequestID, host balancer.HostID, timeout float64) {
-	f := o.flights[id]
+	f := o.pending[id]
 	if f == nil {
 		return
 	}
@@ -21,16 +21,16 @@
 	if timeout != 0 {
 		until = min(until, now+timeout)
 	}
-	a := &attempt{request: f.request, number: len(f.attempts), host: host, sentAt: now, tally: o.tally, post: o.post,
-		timeout: seconds(timeout), zone: o.sight.zoneOf(host)}
+	a := &attempt{request: f.request, number: len(f.attempts), host: host, sentAt: now, tally: o.stats, post: o.post,
+		timeout: seconds(timeout), zone: o.zoneObserver.zoneOf(host)}
 	f.attempts = append(f.attempts, a)
-	f.out++
+	f.outstanding++
 	up := o.hosts.find(host)
 	switch {
-	case f.answered, f.bodyBound(), until <= now && f.request.upload == nil, f.most > 0 && a.number >= f.most:
-		o.local = append(o.local, attemptEnded{attempt: a, result: balancer.Skipped})
+	case f.answered, f.bodyBound(), until <= now && f.request.upload == nil, f.maxAttempts > 0 && a.number >= f.maxAttempts:
+		o.localEvents = append(o.localEvents, attemptEnded{attempt: a, result: balancer.Skipped})
 	case up == nil:
-		o.local = append(o.local, attemptEnded{attempt: a, result: balancer.ConnectFailed})
+		o.localEvents = append(o.localEvents, attemptEnded{attempt: a, result: balancer.ConnectFailed})
 	default:
 		a.ctx, a.cancel = context.WithCancelCause(o.ctx)
 		if f.request.upload == nil {
@@ -52,17 +52,17 @@
 
 // respondTo gives a request its final response.
 func (o *owner) respondTo(id balancer.RequestID, a clientResponse) {
-	f := o.flights[id]
+	f := o.pending[id]
 	if f == nil {
 		return
 	}
-	o.conclude(f, a)
-	o.local = append(o.local, dropCheck{f})
+	o.complete(f, a)
+	o.localEvents = append(o.localEvents, dropCheck{f})
 }
 
 // Cancel aborts an attempt.
 func (o *owner) Cancel(id balancer.RequestID, n int) {
-	f := o.flights[id]
+	f := o.pending[id]
 	if f == nil || n < 0 || n >= len(f.attempts) {
 		return
 	}
@@ -71,11 +71,11 @@
 
 // Probe asks a host for its state.
 func (o *owner) Probe(host balancer.HostID) {
-	o.probes++
+	o.pendingProbes++
 	p := probeEnded{host: host, sentAt: o.clock.now(), result: balancer.ConnectFailed}
 	up := o.hosts.find(host)
 	if up == nil {
-		o.local = append(o.local, p)
+		o.localEvents = append(o.localEvents, p)
 		return
 	}
 	go func() { o.post(p.run(o.ctx, up)) }()
@@ -87,10 +87,10 @@
 }
 
 // Watch subscribes to the host list and its changes.
-func (o *owner) Watch() { ask(o.list.watch) }
+func (o *owner) Watch() { signal(o.discovery.watchRequests) }
 
 // Fetch requests the host list once.
-func (o *owner) Fetch() { ask(o.list.fetch) }
+func (o *owner) Fetch() { signal(o.discovery.fetchRequests) }
 
 // Broadcast does nothing: the protocol has no messages between balancers, and Config.PeerMessages tells the balancer
 // so.
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -27,10 +27,10 @@
 }
 
 // respond waits for the response from the owner and writes it. It reports whether the connection stays open.
-func (c *clientConn) respond(q *request, class *classTally, last bool) bool {
+func (c *clientConn) respond(q *request, class *classStats, last bool) bool {
 	a := <-q.response
 	defer c.front.bufs.FreeBody(&a.body)
-	defer func() { c.front.owner.tally.end(class, a.status) }()
+	defer func() { c.front.owner.stats.end(class, a.status) }()
 	if a.stream != nil {
 		defer a.stream.abandon()
 	}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -31,7 +31,7 @@
 	response          *stream // that response. Used by the owner only
 
 	post    func(event)
-	tally   *tally
+	tally   *requestStats
 	writeMu sync.Mutex // held while bytes are written
 }
 
@@ -110,7 +110,7 @@
 	if err := a.writeParts(l, net.Buffers{last}); err != nil {
 		return err
 	}
-	a.tally.tries.Add(1)
+	a.tally.attempts.Add(1)
 	return nil
 }
 
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -23,10 +23,10 @@
 		result    balancer.Result
 		reused    bool // the connection is used for the next request
 	}{
-		{"served", ok, balancer.OK, true},
+		{"served", okResponse, balancer.OK, true},
 		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", balancer.OK, true},
 		{"served, then closes", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", balancer.OK, false},
-		{"after an interim response", "HTTP/1.1 103 Early Hints\r\n\r\n" + ok, balancer.OK, true},
+		{"after an interim response", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, balancer.OK, true},
 		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balancer.Errored, true},
 		{"turned away", turnedAway, balancer.Rejected, true},
 		{"turned away late", strings.Replace(turnedAway, "503", "504", 1), balancer.Rejected, true},
@@ -41,7 +41,7 @@
 		{"ended by an announced close", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok", balancer.OK, false},
 		{"head over the limit", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeadBytes), balancer.Malformed, false},
 		{"too many interim responses", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxHeadBytes/4), balancer.Malformed, false},
-		{"many interim responses", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", 20) + ok, balancer.OK, true},
+		{"many interim responses", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", 20) + okResponse, balancer.OK, true},
 		{"length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"2\r\nok\r\n0\r\n\r\n", balancer.Malformed, false},
 		{"two equal lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok", balancer.Malformed, false},
@@ -50,15 +50,15 @@
 		{"folded head", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n 0\r\n\r\nok", balancer.Malformed, false},
 		{"header name with a space", "HTTP/1.1 200 OK\r\nContent-Length : 2\r\n\r\nok", balancer.Malformed, false},
 		{"invalid load report", "HTTP/1.1 200 OK\r\nX-Pressure: %%%\r\nContent-Length: 2\r\n\r\nok", balancer.OK, true},
-		{"garbage after the response", ok + "\x00\x01noise", balancer.OK, false},
-		{"second response after the response", ok + ok, balancer.OK, false},
+		{"garbage after the response", okResponse + "\x00\x01noise", balancer.OK, false},
+		{"second response after the response", okResponse + okResponse, balancer.OK, false},
 		{"nothing", "", balancer.Reset, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			first := true
-			h := newHost(t, func(conn net.Conn, r seenRequest) bool {
+			h := newFakeHost(t, func(conn net.Conn, r receivedRequest) bool {
 				if !first {
-					return says(ok)(conn, r)
+					return respondWith(okResponse)(conn, r)
 				}
 				first = false
 				io.WriteString(conn, c.raw)
@@ -75,11 +75,11 @@
 			if want := c.result == balancer.OK; (a.status == http.StatusOK) != want {
 				t.Fatalf("the client got status %d", a.status)
 			}
-			h.seen.next(t, "the request")
+			h.requests.next(t, "the request")
 			if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
 				t.Fatalf("the next request got status %d", a.status)
 			}
-			if again := h.seen.next(t, "the next request").again; again != c.reused {
+			if again := h.requests.next(t, "the next request").reusedConn; again != c.reused {
 				t.Errorf("connection reused: %v", again)
 			}
 			s.outcomes.next(t, "the next outcome")
@@ -92,7 +92,7 @@
 // another host.
 func TestRequestAtFault(t *testing.T) {
 	for _, status := range []int{400, 404, 413} {
-		h := newHost(t, says(fmt.Sprintf("HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n", status)))
+		h := newFakeHost(t, respondWith(fmt.Sprintf("HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n", status)))
 		s := newFakeBalancer()
 		s.onRequest = sendsOnceTo("h1")
 		g := startOneHost(t, h, s.install)
@@ -107,7 +107,7 @@
 
 // TestHugeAnswer: a response whose announced length is over the limit fails at once, without reading its body.
 func TestHugeAnswer(t *testing.T) {
-	h := newHost(t, func(c net.Conn, _ seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, _ receivedRequest) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc")
 		_, err := c.Read(make([]byte, 1)) // until the proxy closes it
 		return err == nil
@@ -153,7 +153,7 @@
 			}
 		})
 	}
-	h := newHost(t, says(strings.Replace(ok, "\r\n\r\n", "\r\nX-Pressure: {\"util\":0.25}\r\n\r\n", 1)))
+	h := newFakeHost(t, respondWith(strings.Replace(okResponse, "\r\n\r\n", "\r\nX-Pressure: {\"util\":0.25}\r\n\r\n", 1)))
 	s := newFakeBalancer()
 	s.onRequest = sendsOnceTo("h1")
 	g := startOneHost(t, h, s.install)
@@ -168,42 +168,42 @@
 // the request fails and is not repeated.
 func TestReusedConnectionBreaks(t *testing.T) {
 	t.Run("before its last byte", func(t *testing.T) {
-		h := newHost(t, says(ok))
+		h := newFakeHost(t, respondWith(okResponse))
 		g := startOneHost(t, h)
 		if a := g.raw(requestText("write", "first")); a.status != http.StatusOK {
 			t.Fatalf("the first got status %d", a.status)
 		}
-		h.seen.next(t, "the first")
+		h.requests.next(t, "the first")
 		h.mu.Lock()
 		for c := range h.open { // the idle connection dies, whether or not the proxy has noticed
-			resets(c)
+			resetConn(c)
 		}
 		h.mu.Unlock()
 		if a := g.raw(requestText("write", "second")); a.status != http.StatusOK {
 			t.Fatalf("the second got status %d", a.status)
 		}
-		if r := h.seen.next(t, "the second"); r.again || r.text != "second" {
-			t.Fatalf("the host got %q, on a reused connection: %v", r.text, r.again)
+		if r := h.requests.next(t, "the second"); r.reusedConn || r.body != "second" {
+			t.Fatalf("the host got %q, on a reused connection: %v", r.body, r.reusedConn)
 		}
-		h.seen.none(t, "the request was sent twice")
+		h.requests.none(t, "the request was sent twice")
 	})
 	t.Run("after its last byte", func(t *testing.T) {
-		h := newHost(t, func(c net.Conn, r seenRequest) bool {
-			if r.again {
-				resets(c)
+		h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
+			if r.reusedConn {
+				resetConn(c)
 				return false
 			}
-			return says(ok)(c, r)
+			return respondWith(okResponse)(c, r)
 		})
 		g := startOneHost(t, h)
 		g.raw(requestText("write", "first"))
-		h.seen.next(t, "the first")
+		h.requests.next(t, "the first")
 		a := g.raw(requestText("write", "second"))
 		if a.status != http.StatusBadGateway {
 			t.Fatalf("got status %d, want a failure: the request may have run", a.status)
 		}
-		h.seen.next(t, "the second")
-		h.seen.none(t, "the request was sent again")
+		h.requests.next(t, "the second")
+		h.requests.none(t, "the request was sent again")
 	})
 }
 
@@ -212,13 +212,13 @@
 func TestResetAtOnce(t *testing.T) {
 	var resetFirst atomic.Bool
 	whole := make(eventChan[bool], 16) // one value per complete request: whether the connection had carried one before
-	h := newToy(t, func(c net.Conn, br *bufio.Reader) {
+	h := newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		for again := false; ; again = true {
 			if _, err := br.Peek(1); err != nil {
 				return
 			}
 			if again || resetFirst.Load() {
-				resets(c)
+				resetConn(c)
 				return
 			}
 			r, err := http.ReadRequest(br)
@@ -227,12 +227,12 @@
 			}
 			io.Copy(io.Discard, r.Body)
 			whole <- again
-			io.WriteString(c, ok)
+			io.WriteString(c, okResponse)
 		}
 	})
 	s := newFakeBalancer()
 	s.onRequest = sendsOnceTo("h1")
-	l := newList(t, entry("h1", h.addr()))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	g := startProxy(t, l.addr(), "null", s.install, func(p *Proxy) { p.times.lastByteDelay = time.Second })
 	g.waitReady()
 	for _, text := range []string{"first", "second"} {
@@ -256,14 +256,14 @@
 
 // TestNothingHalfWritten: a host that resets the connection before the last byte of a large request has not started it.
 func TestNothingHalfWritten(t *testing.T) {
-	h := newToy(t, func(c net.Conn, br *bufio.Reader) {
+	h := newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		c.(*net.TCPConn).SetReadBuffer(2048)
 		br.ReadByte()
-		resets(c)
+		resetConn(c)
 	})
 	s := newFakeBalancer()
 	s.onRequest = sendsOnceTo("h1")
-	l := newList(t, entry("h1", h.addr()))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	g := startProxy(t, l.addr(), "null", s.install)
 	g.waitReady()
 	up := g.p.hosts.find(hostID("h1"))
@@ -287,8 +287,8 @@
 // TestRefusedConnection: if a host refuses connections, the request has not run. It is sent to another host, or refused
 // if there is none.
 func TestRefusedConnection(t *testing.T) {
-	h := newHost(t, says(ok))
-	l := newList(t, entry("h1", h.addr()), entry("h2", refusingAddr))
+	h := newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()), entry("h2", refusingAddr))
 	g := startProxy(t, l.addr(), "null")
 	g.waitReady()
 	for n := range 20 {
@@ -304,7 +304,7 @@
 }
 
 // awaitListApplied waits until the proxy has applied the newest list: its next call to discovery names that version.
-func (g *testProxy) awaitListApplied(l *toyList) {
+func (g *testProxy) awaitListApplied(l *fakeDiscovery) {
 	g.t.Helper()
 	l.mu.Lock()
 	want := "since=" + strconv.Itoa(l.version) + "&"
@@ -329,7 +329,7 @@
 
 // checkTimesOut runs a request against a host that starts a response and never completes it.
 func checkTimesOut(t *testing.T, first, rest string) {
-	h := newHost(t, func(c net.Conn, r seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
 		for text := first; text != ""; text = rest {
 			if _, err := io.WriteString(c, text); err != nil {
 				return true
@@ -357,31 +357,31 @@
 
 // TestNoTimeLeft: a request that arrives with no time left is refused at once and not sent.
 func TestNoTimeLeft(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h)
 	if a := g.raw(requestText("write", "x", "X-Remaining: 0u")); a.status != http.StatusServiceUnavailable {
 		t.Fatalf("got status %d", a.status)
 	}
-	h.seen.none(t, "the request was sent")
+	h.requests.none(t, "the request was sent")
 }
 
 // TestKeyedStaysInGroup: a keyed request that may have run is retried only within its zone, where repeats are dropped.
 // With one host in each zone it cannot be retried, and it must not be refused either, since it may have run.
 func TestKeyedStaysInGroup(t *testing.T) {
-	breaks := func(c net.Conn, r seenRequest) bool {
-		resets(c)
+	breaks := func(c net.Conn, r receivedRequest) bool {
+		resetConn(c)
 		return false
 	}
-	h1, h2 := newHost(t, breaks), newHost(t, breaks)
+	h1, h2 := newFakeHost(t, breaks), newFakeHost(t, breaks)
 	other := entry("h2", h2.addr())
 	other.Zone = "b"
-	l := newList(t, entry("h1", h1.addr()), other)
+	l := newFakeDiscovery(t, entry("h1", h1.addr()), other)
 	g := startProxy(t, l.addr(), "null")
 	g.waitReady()
 	if a := g.raw(requestText("log", "x")); a.status != http.StatusBadGateway {
 		t.Fatalf("got status %d", a.status)
 	}
-	if n := len(h1.seen) + len(h2.seen); n != 1 {
+	if n := len(h1.requests) + len(h2.requests); n != 1 {
 		t.Fatalf("sent %d times", n)
 	}
 }
--- a/internal/proxy/catalog.go
+++ b/internal/proxy/catalog.go
@@ -9,32 +9,32 @@
 	"beechwing/balancer"
 )
 
-// catalog is a list of hosts, or changes to one, as discovery words it.
+// catalog is a host list from discovery, or a set of changes to one.
 type catalog struct {
 	version uint64
 	full    bool
 	hosts   []balancer.Host
 	addrs   []string // of hosts, in the same order
-	names   []string // the same
+	names   []string // of hosts, in the same order
 }
 
-var statuses = map[string]balancer.Status{
+var hostStatuses = map[string]balancer.Status{
 	"ready": balancer.Ready, "draining": balancer.Draining, "gone": balancer.Removed,
 }
 
-// parseCatalog reads an answer of discovery. An entry that makes no sense is skipped, so that it does not take the
-// others with it.
-func parseCatalog(text []byte, z *zones) (catalog, error) {
+// parseCatalog parses a response of discovery. Invalid entries are skipped, so that one of them does not make the whole
+// list unusable.
+func parseCatalog(text []byte, z *zoneTable) (catalog, error) {
 	var f struct {
 		Version *uint64           `json:"version"`
 		Full    bool              `json:"full"`
 		Servers []json.RawMessage `json:"servers"`
 	}
 	if err := json.Unmarshal(text, &f); err != nil {
-		return catalog{}, fmt.Errorf("list: %w", err)
+		return catalog{}, fmt.Errorf("host list: %w", err)
 	}
 	if f.Version == nil {
-		return catalog{}, fmt.Errorf("list: no version")
+		return catalog{}, fmt.Errorf("host list: no version")
 	}
 	c := catalog{version: *f.Version, full: f.Full}
 	for _, raw := range f.Servers {
@@ -49,7 +49,8 @@
 	c.names, c.hosts, c.addrs = append(c.names, name), append(c.hosts, h), append(c.addrs, addr)
 }
 
-func parseEntry(raw []byte, z *zones) (name string, h balancer.Host, addr string, ok bool) {
+// parseEntry parses one host. It returns false for an entry that is invalid.
+func parseEntry(raw []byte, z *zoneTable) (name string, h balancer.Host, addr string, ok bool) {
 	var e struct {
 		ID, Addr, Zone, State string
 		Cell                  int
@@ -59,16 +60,16 @@
 	if json.Unmarshal(raw, &e) != nil || e.ID == "" {
 		return "", h, "", false
 	}
-	status, known := statuses[e.State]
+	status, known := hostStatuses[e.State]
 	if _, _, err := net.SplitHostPort(e.Addr); !known || status != balancer.Removed && err != nil {
 		return "", h, "", false
 	}
 	return e.ID, balancer.Host{
-		ID: hostID(e.ID), Weight: e.Weight, Zone: z.number(e.Zone), Cell: e.Cell, Status: status,
+		ID: hostID(e.ID), Weight: e.Weight, Zone: z.index(e.Zone), Cell: e.Cell, Status: status,
 		Started: math.Max(0, e.StartedMS) / 1000,
 	}, e.Addr, true
 }
 
-// hostID makes the number that the module knows a host by of its name alone: the address differs from proxy to
-// proxy, and rendezvous hashing needs the same number in all of them.
-func hostID(name string) balancer.HostID { return balancer.HostID(hash(name)) }
+// hostID returns the ID by which the balancer knows a host. It depends only on the name, because addresses differ between
+// proxies and rendezvous hashing needs the same ID in all of them.
+func hostID(name string) balancer.HostID { return balancer.HostID(hashName(name)) }
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -178,8 +178,8 @@
 	if bad == nil && c.overLimit() {
 		freeRequest(c.front.bufs, q)
 		bad = &badRequest{http.StatusInternalServerError, "too many connections"}
-		c.front.owner.tally.begin()
-		defer c.front.owner.tally.end(q.names.tallies[q.Class], bad.status)
+		c.front.owner.stats.begin()
+		defer c.front.owner.stats.end(q.names.tallies[q.Class], bad.status)
 	}
 	if bad != nil {
 		c.reject(bad)
@@ -212,7 +212,7 @@
 func (c *clientConn) dispatch(q *request, last bool) bool {
 	written := make(chan bool, 1)
 	c.markReceived()
-	c.front.owner.tally.begin()
+	c.front.owner.stats.begin()
 	class := q.names.tallies[q.Class] // read now: a settings change may renumber the classes once the owner has the request
 	go func() { written <- c.respond(q, class, last) }()
 	c.front.owner.post(requestReceived{q})
@@ -241,8 +241,8 @@
 func (c *clientConn) refuse(q *request, last bool) bool {
 	freeRequest(c.front.bufs, q)
 	c.markReceived()
-	c.front.owner.tally.begin()
-	defer c.front.owner.tally.end(q.names.tallies[q.Class], http.StatusServiceUnavailable)
+	c.front.owner.stats.begin()
+	defer c.front.owner.stats.end(q.names.tallies[q.Class], http.StatusServiceUnavailable)
 	a := clientResponse{status: http.StatusServiceUnavailable, text: "busy\n", retryAfterSeconds: q.names.retryAfterSeconds}
 	return c.deliver(&a, last)
 }
--- a/internal/proxy/client_test.go
+++ b/internal/proxy/client_test.go
@@ -25,9 +25,9 @@
 		{"largest body read at once", "write", "POST", big},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHost(t, func(conn net.Conn, r seenRequest) bool {
+			h := newFakeHost(t, func(conn net.Conn, r receivedRequest) bool {
 				_, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/x\r\n"+
-					fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(r.text), r.text))
+					fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(r.body), r.body))
 				return err == nil
 			})
 			g := startOneHost(t, h)
@@ -35,8 +35,8 @@
 			if a.status != http.StatusOK || a.text != c.text || a.header.Get("Content-Type") != "text/x" {
 				t.Fatalf("status %d, %d bytes, %v", a.status, len(a.text), a.header)
 			}
-			r := h.seen.next(t, "the request")
-			if r.Method != c.method || r.RequestURI != "/api?x=1" || r.text != c.text || r.Header.Get(headerID) != "id-1" ||
+			r := h.requests.next(t, "the request")
+			if r.Method != c.method || r.RequestURI != "/api?x=1" || r.body != c.text || r.Header.Get(headerID) != "id-1" ||
 				r.Header.Get("X-Own") != "kept" || r.Header.Get("X-Hop") != "" || r.Host != "api.internal" {
 				t.Errorf("the host got %s %s %v", r.Method, r.RequestURI, r.Header)
 			}
@@ -50,24 +50,24 @@
 
 // TestChunked: a short chunked body is sent to the host with a Content-Length.
 func TestChunked(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h)
 	a := g.raw(requestText("write", "3\r\nabc\r\n0\r\n\r\n", "Content-Length: ", "Transfer-Encoding: chunked"))
-	if r := h.seen.next(t, "the request"); a.status != http.StatusOK || r.text != "abc" || r.ContentLength != 3 {
-		t.Fatalf("status %d, the host got %q", a.status, r.text)
+	if r := h.requests.next(t, "the request"); a.status != http.StatusOK || r.body != "abc" || r.ContentLength != 3 {
+		t.Fatalf("status %d, the host got %q", a.status, r.body)
 	}
 }
 
 // TestExpect: a client that sends Expect: 100-continue gets the interim response, even if the write deadline of the
 // last response has passed.
 func TestExpect(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h, func(p *Proxy) { p.times.responseTimeout = 200 * time.Millisecond })
 	c := g.dial()
 	br := bufio.NewReader(c)
 	io.WriteString(c, requestText("read", "")) // the write deadline of this response passes before the next request
 	readResponse(t, br)
-	h.seen.next(t, "the first request")
+	h.requests.next(t, "the first request")
 	time.Sleep(250 * time.Millisecond)
 	head, text, _ := strings.Cut(requestText("write", "abc", "Expect: 100-continue"), "\r\n\r\n")
 	io.WriteString(c, head+"\r\n\r\n")
@@ -76,7 +76,7 @@
 	}
 	br.ReadString('\n')
 	io.WriteString(c, text)
-	if a := readResponse(t, br); a.status != http.StatusOK || h.seen.next(t, "the request").text != "abc" {
+	if a := readResponse(t, br); a.status != http.StatusOK || h.requests.next(t, "the request").body != "abc" {
 		t.Fatalf("got status %d", a.status)
 	}
 }
@@ -84,7 +84,7 @@
 // TestBadRequests: an invalid request gets one error response, neither 429 nor 503. The connection is closed, and no
 // host gets anything.
 func TestBadRequests(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h)
 	for _, c := range []struct {
 		name, text string
@@ -145,7 +145,7 @@
 			conn.Close()
 		})
 	}
-	h.seen.none(t, "the host got a request")
+	h.requests.none(t, "the host got a request")
 	if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
 		t.Fatalf("a valid request after these got status %d", a.status)
 	}
@@ -153,7 +153,7 @@
 
 // TestTruncated: a connection that ends within a request gets no response.
 func TestTruncated(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h)
 	whole := requestText("write", "0123456789")
 	for _, cut := range []int{1, len(whole) / 2, len(whole) - 1} {
@@ -164,12 +164,12 @@
 			t.Errorf("cut at %d: got status %d", cut, a.status)
 		}
 	}
-	h.seen.none(t, "the host got a request")
+	h.requests.none(t, "the host got a request")
 }
 
 // TestSilentClients: a connection that sends nothing, or stops within a request, is closed in time.
 func TestSilentClients(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h, func(p *Proxy) { p.times.firstRequestTimeout = 20 * time.Millisecond })
 	for _, text := range []string{"", "GET /api", requestText("write", "ab", "Content-Length: 5")} {
 		c := g.dial()
@@ -185,11 +185,11 @@
 // TestSentEarly: a client that sends more before it has its response violates the protocol. The attempt is aborted, and
 // the host gets nothing more.
 func TestSentEarly(t *testing.T) {
-	h := newHost(t, func(c net.Conn, r seenRequest) bool { return true }) // never responds
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool { return true }) // never responds
 	g := startOneHost(t, h)
 	c := g.dial()
 	io.WriteString(c, requestText("read", ""))
-	h.seen.next(t, "the request")
+	h.requests.next(t, "the request")
 	io.WriteString(c, requestText("read", ""))
 	br := bufio.NewReader(c)
 	if a := readResponse(t, br); a.status != http.StatusBadRequest || !a.closes {
@@ -199,7 +199,7 @@
 		t.Fatalf("after the response: %v", err)
 	}
 	h.ended.next(t, "the end of the attempt's connection")
-	h.seen.none(t, "the second request was sent")
+	h.requests.none(t, "the second request was sent")
 }
 
 // TestOpenID: a request with the ID of an open request is rejected before the balancer sees it. The open request goes
@@ -207,17 +207,17 @@
 func TestOpenID(t *testing.T) {
 	release := newGate()
 	defer release.open()
-	h := newHost(t, release.says(ok))
+	h := newFakeHost(t, release.respondWith(okResponse))
 	g := startOneHost(t, h)
 	first := g.dial()
 	io.WriteString(first, requestText("read", "", "X-Txn: a"))
-	h.seen.next(t, "the first request")
+	h.requests.next(t, "the first request")
 	for range 3 {
 		if a := g.raw(requestText("write", "x", "X-Txn: a")); a.status != http.StatusConflict || !a.closes {
 			t.Fatalf("the same id got %+v", a)
 		}
 	}
-	h.seen.none(t, "the same id was sent on")
+	h.requests.none(t, "the same id was sent on")
 	release.open()
 	if a := readResponse(t, bufio.NewReader(first)); a.status != http.StatusOK {
 		t.Fatalf("the first got status %d", a.status)
@@ -237,7 +237,7 @@
 // TestDripFed: bytes sent one by one extend no deadline, neither for the first request of a connection nor for a
 // further one.
 func TestDripFed(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h, func(p *Proxy) {
 		p.times.firstRequestTimeout, p.times.requestTimeout = 200*time.Millisecond, 200*time.Millisecond
 	})
@@ -248,7 +248,7 @@
 			if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
 				t.Fatalf("the first request got status %d", a.status)
 			}
-			h.seen.next(t, "the first request")
+			h.requests.next(t, "the first request")
 		}
 		go func() {
 			for _, b := range []byte(strings.Repeat("X-Pad: x\r\n", 1000)) {
@@ -262,7 +262,7 @@
 			t.Errorf("after a served request (%v): still open", served)
 		}
 	}
-	h.seen.none(t, "a partial request was sent")
+	h.requests.none(t, "a partial request was sent")
 }
 
 // TestGivesWay: at the connection limit, a connection that has sent nothing is closed first, then one that has sent
@@ -271,11 +271,11 @@
 func TestGivesWay(t *testing.T) {
 	release := newGate()
 	defer release.open()
-	h := newHost(t, func(c net.Conn, r seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
 		if r.Method == http.MethodPost {
 			<-release.opened
 		}
-		return says(ok)(c, r)
+		return respondWith(okResponse)(c, r)
 	})
 	s := newFakeBalancer()
 	s.onRequest = sendsOnceTo("h1")
@@ -285,12 +285,12 @@
 	})
 	busy, idle, begun, silent := g.dial(), g.dial(), g.dial(), g.dial()
 	io.WriteString(busy, requestText("write", "x", "X-Remaining: 9000m"))
-	h.seen.next(t, "the request being processed")
+	h.requests.next(t, "the request being processed")
 	io.WriteString(idle, requestText("read", ""))
 	readResponse(t, bufio.NewReader(idle))
-	h.seen.next(t, "the first request of the idle connection")
+	h.requests.next(t, "the first request of the idle connection")
 	io.WriteString(begun, "GET /api HTTP/1.1\r\n")
-	for g.p.front.figures().Places.Held[places.Partial] == 0 { // until the partial request is read
+	for g.p.front.stats().Places.Held[places.Partial] == 0 { // until the partial request is read
 		time.Sleep(time.Millisecond)
 	}
 	for _, c := range []struct {
@@ -302,7 +302,7 @@
 		if !closedByProxy(c.conn) {
 			t.Fatalf("the %s connection is still open", c.name)
 		}
-		h.seen.next(t, "the request on the new connection")
+		h.requests.next(t, "the request on the new connection")
 	}
 	release.open()
 	if a := readResponse(t, bufio.NewReader(busy)); a.status != http.StatusOK {
@@ -312,7 +312,7 @@
 
 // TestFlood: hundreds of connections that send nothing or invalid requests do not affect other clients.
 func TestFlood(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h, func(p *Proxy) {
 		p.cfg.Site.Connections.Limit = 8
 		p.times.lingerTimeout = 50 * time.Millisecond
@@ -332,7 +332,7 @@
 
 // TestKeepAlive: a connection carries several requests, one after another.
 func TestKeepAlive(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h)
 	c := g.dial()
 	br := bufio.NewReader(c)
@@ -353,13 +353,13 @@
 func TestTooManyClients(t *testing.T) {
 	release := newGate()
 	defer release.open()
-	h := newHost(t, release.says(ok))
+	h := newFakeHost(t, release.respondWith(okResponse))
 	g := startOneHost(t, h, func(p *Proxy) { p.cfg.Site.Connections.Limit = 2 })
 	idle := g.dial()
 	busy := []net.Conn{g.dial(), g.dial()}
 	for _, c := range busy {
 		io.WriteString(c, requestText("read", "", "X-Remaining: 9000m"))
-		h.seen.next(t, "a request")
+		h.requests.next(t, "a request")
 	}
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the idle connection: %v", err)
@@ -367,7 +367,7 @@
 	if a := g.raw(requestText("write", "x")); a.status != http.StatusInternalServerError || !a.closes {
 		t.Errorf("the connection over the limit got status %d", a.status)
 	}
-	h.seen.none(t, "the request over the limit was sent")
+	h.requests.none(t, "the request over the limit was sent")
 	release.open()
 	for _, c := range busy {
 		if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
@@ -391,7 +391,7 @@
 // when the proxy stops.
 func TestSlowReader(t *testing.T) {
 	large := strings.Repeat("x", wire.MaxBody)
-	h := newHost(t, says(httpOK(large)))
+	h := newFakeHost(t, respondWith(httpOK(large)))
 	g := startOneHost(t, h, func(p *Proxy) {
 		p.times.responseTimeout = 100 * time.Millisecond
 		listen := p.listen
@@ -403,7 +403,7 @@
 	c := g.dial()
 	c.(*net.TCPConn).SetReadBuffer(4096)
 	io.WriteString(c, requestText("read", ""))
-	h.seen.next(t, "the request")
+	h.requests.next(t, "the request")
 	eventually(t, "the client that does not read is disconnected", g.noClientConns)
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -416,11 +416,11 @@
 
 // TestClientLeaves: when a client closes its connection, its attempt is aborted by closing the connection to the host.
 func TestClientLeaves(t *testing.T) {
-	h := newHost(t, func(c net.Conn, r seenRequest) bool { return true }) // never responds
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool { return true }) // never responds
 	g := startOneHost(t, h)
 	c := g.dial()
 	io.WriteString(c, requestText("write", "x"))
-	h.seen.next(t, "the request")
+	h.requests.next(t, "the request")
 	c.Close()
 	if err := h.ended.next(t, "the end of the connection"); err == nil {
 		t.Fatal("the host ended it")
@@ -432,14 +432,14 @@
 // before their idle timeout.
 func TestAskOnceAndKeep(t *testing.T) {
 	const own, asked = 40, 300
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h, func(p *Proxy) { p.cfg.Site.Connections.Limit = 48 })
 	places := make(chan struct{}, own)
 	for n := range asked {
 		select {
 		case places <- struct{}{}:
 		case <-time.After(testTimeout):
-			t.Fatalf("request %d: none of the client's connections was closed: %+v", n, g.p.front.figures())
+			t.Fatalf("request %d: none of the client's connections was closed: %+v", n, g.p.front.stats())
 		}
 		c := g.dial()
 		io.WriteString(c, requestText("read", ""))
--- a/internal/proxy/connbudget.go
+++ b/internal/proxy/connbudget.go
@@ -23,7 +23,7 @@
 }
 
 func newConnBudget(l Limits) *connBudget {
-	total, clients, hosts := l.shares()
+	total, clients, hosts := l.connectionShares()
 	return &connBudget{shares: places.NewShares(total, clients, hosts), onHostShortage: func() {}}
 }
 
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -53,7 +53,7 @@
 // tell the two apart.
 func (e requestReceived) apply(o *owner) {
 	q := e.request
-	if o.open[q.txnID] {
+	if o.openIDs[q.txnID] {
 		q.response <- badRequest{http.StatusConflict, "a request with this id is open"}.response()
 		freeRequest(o.bufs, q)
 		return
@@ -65,21 +65,21 @@
 			return
 		}
 	}
-	o.open[q.txnID] = true
+	o.openIDs[q.txnID] = true
 	o.lastID++
 	q.ID = o.lastID
 	now := o.clock.now()
 	q.Budget = max(0, q.Budget-time.Since(q.receivedAt).Seconds()) // the request may have waited in the queue
-	if o.endBy > 0 {
-		q.Budget = max(0, min(q.Budget, o.endBy-now))
+	if o.endsAt > 0 {
+		q.Budget = max(0, min(q.Budget, o.endsAt-now))
 	}
-	o.flights[q.ID] = &flight{request: q, deadline: now + q.Budget, most: o.cfg.MaxAttempts}
-	o.sight.took(now)
+	o.pending[q.ID] = &pendingRequest{request: q, deadline: now + q.Budget, maxAttempts: o.cfg.MaxAttempts}
+	o.zoneObserver.requestReceived(now)
 	o.bal.Request(now, q.Request)
 }
 
 func (e requestAborted) apply(o *owner) {
-	f := o.flights[e.request.ID]
+	f := o.pending[e.request.ID]
 	if f == nil {
 		return
 	}
@@ -87,41 +87,41 @@
 		f.abandonResponse()
 		return
 	}
-	o.conclude(f, e.response)
+	o.complete(f, e.response)
 	o.bal.ClientLeft(o.clock.now(), e.request.ID)
-	o.drop(f)
+	o.release(f)
 }
 
 func (e attemptEnded) apply(o *owner) {
 	a := e.attempt
-	f := o.flights[a.request.ID]
+	f := o.pending[a.request.ID]
 	if line := o.log.Check(zap.DebugLevel, "attempt"); line != nil {
 		line.Write(zap.String("id", a.request.txnID), zap.Int("class", a.request.Class), zap.Int("attempt", a.number),
 			zap.String("host", fmt.Sprintf("%x", a.host)), zap.Stringer("result", e.result), zap.Int("status", e.response.status),
 			zap.Float64("took", o.clock.now()-a.sentAt), zap.NamedError("cause", e.response.err))
 	}
 	a.ended = true
-	f.out--
+	f.outstanding--
 	switch {
 	case f.answered:
 	case e.result == balancer.OK:
-		o.conclude(f, clientResponse{status: http.StatusOK, contentType: e.response.contentType, body: e.response.body})
+		o.complete(f, clientResponse{status: http.StatusOK, contentType: e.response.contentType, body: e.response.body})
 		e.response.body = wire.Body{}
 	case e.result == balancer.Errored && blamesRequest(e.response.status):
-		o.conclude(f, clientResponse{status: e.response.status, text: "a host cannot use the request\n"})
+		o.complete(f, clientResponse{status: e.response.status, text: "a host cannot use the request\n"})
 		e.result = balancer.Cancelled // tells nothing about the host, and no other host would accept the request
 	}
 	o.bufs.FreeBody(&e.response.body)
 	now := o.clock.now()
 	took := cmp.Or(a.responseStartedAt, now) - a.sentAt
-	o.sight.ended(now, took, a, e.result, o.cfg.Classes)
+	o.zoneObserver.attemptEnded(now, took, a, e.result, o.cfg.Classes)
 	o.bal.Outcome(now, balancer.Outcome{ID: a.request.ID, Attempt: a.number, Host: a.host, Result: e.result,
 		Took: took, Final: f.answered, Report: e.response.loadReport})
-	o.drop(f)
+	o.release(f)
 }
 
 func (e probeEnded) apply(o *owner) {
-	o.probes--
+	o.pendingProbes--
 	now := o.clock.now()
 	o.bal.Probed(now, balancer.ProbeResult{Host: e.host, Result: e.result, Took: now - e.sentAt, Report: e.report})
 }
@@ -130,14 +130,14 @@
 	now := o.clock.now()
 	list := e.list
 	if e.kind != balancer.ListFailed {
-		list = o.roll.take(e.kind, e.list)
+		list = o.registry.update(e.kind, e.list)
 		o.hosts.update(e.kind, list, now)
-		o.sight.listed(e.kind, list)
+		o.zoneObserver.updateHosts(e.kind, list)
 	}
 	o.bal.UpdateHosts(now, e.kind, list.hosts)
-	o.look(now)
+	o.refreshHostStats(now)
 	if len(list.hosts) > 0 && !o.ready.Swap(true) {
-		close(o.known)
+		close(o.hostsKnown)
 	}
 	if e.kind == balancer.ListFull || e.kind == balancer.ListChanges {
 		o.markListFresh()
@@ -147,10 +147,10 @@
 // markListFresh records that discovery has delivered a host list.
 func (o *owner) markListFresh() {
 	select {
-	case <-o.fresh:
+	case <-o.listReceived:
 	default:
 		if o.ready.Load() {
-			close(o.fresh)
+			close(o.listReceived)
 		}
 	}
 }
@@ -174,10 +174,10 @@
 // ends.
 type shutdownScheduled struct{ at float64 }
 
-func (e shutdownScheduled) apply(o *owner) { o.endBy = e.at }
+func (e shutdownScheduled) apply(o *owner) { o.endsAt = e.at }
 
 // dropCheck drops a flight if nothing is pending for it. It is queued when the balancer answers a request, and runs once
 // the balancer has returned.
-type dropCheck struct{ flight *flight }
+type dropCheck struct{ flight *pendingRequest }
 
-func (e dropCheck) apply(o *owner) { o.drop(e.flight) }
+func (e dropCheck) apply(o *owner) { o.release(e.flight) }
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -131,9 +131,9 @@
 }
 
 // startOneHost starts a proxy with a single host.
-func startOneHost(t testing.TB, h *toyHost, change ...func(*Proxy)) *testProxy {
+func startOneHost(t testing.TB, h *fakeHost, change ...func(*Proxy)) *testProxy {
 	t.Helper()
-	l := newList(t, entry("h1", h.addr()))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	g := startProxy(t, l.addr(), "null", change...)
 	g.waitReady()
 	return g
@@ -169,7 +169,7 @@
 // noClientConns reports whether the proxy holds no client connection.
 func (g *testProxy) noClientConns() bool {
 	n := 0
-	for _, held := range g.p.front.figures().Places.Held {
+	for _, held := range g.p.front.stats().Places.Held {
 		n += held
 	}
 	return n == 0
--- a/internal/proxy/hosts_test.go
+++ b/internal/proxy/hosts_test.go
@@ -15,7 +15,7 @@
 // TestDrainWhileQueued: a host starts to drain while attempts wait for a connection to it. After the grace time no
 // request may be sent to it.
 func TestDrainWhileQueued(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	s := newFakeBalancer()
 	s.onRequest = sendsOnceTo("h1")
 	g := startOneHost(t, h, s.install)
@@ -38,17 +38,17 @@
 		}
 	}
 	wg.Wait()
-	h.seen.none(t, "a draining host got a request")
+	h.requests.none(t, "a draining host got a request")
 }
 
 // TestDrained: a host that is listed as draining gets no new requests, and its idle connections are closed.
 func TestDrained(t *testing.T) {
-	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
-	l := newList(t, entry("h1", h1.addr()))
+	h1, h2 := newFakeHost(t, respondWith(okResponse)), newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h1.addr()))
 	g := startProxy(t, l.addr(), "null", func(p *Proxy) { p.cfg.Settings.Limits.ConnIdleS = 1000 })
 	g.waitReady()
 	g.raw(requestText("read", ""))
-	h1.seen.next(t, "a request")
+	h1.requests.next(t, "a request")
 	drains := entry("h1", h1.addr())
 	drains.State = "draining"
 	l.set(drains, entry("h2", h2.addr()))
@@ -61,29 +61,29 @@
 			t.Fatalf("got status %d", a.status)
 		}
 	}
-	h1.seen.none(t, "the draining host got a request")
+	h1.requests.none(t, "the draining host got a request")
 }
 
 // TestMovedHost: a host that is listed under a new address gets its requests there, and none at the old address.
 func TestMovedHost(t *testing.T) {
-	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
-	l := newList(t, entry("h", h1.addr()))
+	h1, h2 := newFakeHost(t, respondWith(okResponse)), newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h", h1.addr()))
 	g := startProxy(t, l.addr(), "null")
 	g.waitReady()
 	g.raw(requestText("read", ""))
-	h1.seen.next(t, "a request at the first address")
+	h1.requests.next(t, "a request at the first address")
 	l.set(entry("h", h2.addr()))
 	g.awaitListApplied(l)
 	if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
 		t.Fatalf("got status %d", a.status)
 	}
-	h2.seen.next(t, "a request at the second address")
-	h1.seen.none(t, "a request at the first address")
+	h2.requests.next(t, "a request at the second address")
+	h1.requests.none(t, "a request at the first address")
 }
 
 // TestIdleRetired: the proxy closes an idle connection before the host does.
 func TestIdleRetired(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h, func(p *Proxy) { p.cfg.Settings.Limits.ConnIdleS = 0.02 })
 	g.raw(requestText("read", ""))
 	if err := h.ended.next(t, "the end of the idle connection"); !errors.Is(err, io.EOF) {
@@ -93,13 +93,13 @@
 
 // TestFewDescriptors: if idle connections use up the limit of connections to hosts, the oldest is closed for a new one.
 func TestFewDescriptors(t *testing.T) {
-	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
+	h1, h2 := newFakeHost(t, respondWith(okResponse)), newFakeHost(t, respondWith(okResponse))
 	s := newFakeBalancer()
 	// The key selects the host: keys and host IDs are hashed alike.
 	s.onRequest = func(s *fakeBalancer, r balancer.Request) { s.act.Send(r.ID, balancer.HostID(r.Key), 0) }
-	l := newList(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
+	l := newFakeDiscovery(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
 	g := startProxy(t, l.addr(), "null", s.install, func(p *Proxy) {
-		p.cfg.Limits.Sockets = spareSockets + shedReserve + 2 // leaves one connection to hosts
+		p.cfg.Limits.Sockets = reservedDescriptors + overflowConns + 2 // leaves one connection to hosts
 	})
 	g.waitReady()
 	// All requests use one connection: the limit covers clients too, and a closed connection may still count.
@@ -116,7 +116,7 @@
 // TestNamesAlike: the ID of a host depends on its name only, so that all proxies rank hosts in the same way.
 func TestNamesAlike(t *testing.T) {
 	read := func(addr string) balancer.HostID {
-		c, err := parseCatalog([]byte(listText(1, true, entry("s-5be2a07c", addr))), newZones())
+		c, err := parseCatalog([]byte(listText(1, true, entry("s-5be2a07c", addr))), newZoneTable())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -48,7 +48,7 @@
 // serveOrQueue serves a connection that has something to read, or adds it to the admission queue. The caller holds mu.
 func (f *frontend) serveOrQueue(now time.Duration, c *clientConn) {
 	if f.admission.Come(now, &c.admission, c) == places.Wait {
-		ask(f.maintenanceDue)
+		signal(f.maintenanceDue)
 		return
 	}
 	go c.serve(places.Serve, 0)
@@ -120,7 +120,7 @@
 	f.connTable.Leave(&c.entry)
 	f.budget.claimClients(f.connTable.Count())
 	f.mu.Unlock()
-	ask(f.slotFreed)
+	signal(f.slotFreed)
 	f.wg.Done()
 }
 
@@ -129,12 +129,12 @@
 func (f *frontend) maintain() {
 	timer := time.NewTimer(maintenanceInterval)
 	defer timer.Stop()
-	report := reporter{front: f, due: time.Now().Add(reportEvery)}
+	report := statsReporter{front: f, due: time.Now().Add(statsInterval)}
 	releaser := memoryReleaser{due: time.Now().Add(quietInterval)}
 	for {
 		select {
 		case <-f.stopped:
-			report.look(time.Now(), true)
+			report.reportIfDue(time.Now(), true)
 			return
 		case <-f.maintenanceDue:
 		case <-timer.C:
@@ -145,7 +145,7 @@
 		f.shedForHosts()
 		f.closeSelected()
 		now := time.Now()
-		report.look(now, false)
+		report.reportIfDue(now, false)
 		releaser.check(now, f)
 		timer.Reset(f.serveQueue())
 	}
@@ -169,7 +169,7 @@
 		return
 	}
 	c.due = now.Add(quietInterval)
-	g := f.figures().Places
+	g := f.stats().Places
 	n := g.Entered + g.Reused
 	if n-c.seen < quietMaxRequests && n-c.released > burstMinRequests {
 		c.released = n
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -50,7 +50,7 @@
 
 // parkedConns returns the number of idle connections without a goroutine.
 func (g *testProxy) parkedConns() int {
-	f := g.p.front.figures()
+	f := g.p.front.stats()
 	return f.Places.Held[places.Once] + f.Places.Held[places.Often] + f.Places.Held[places.Trial] - f.Warm - f.Desk.Serving
 }
 
@@ -58,7 +58,7 @@
 	g.t.Helper()
 	for end := time.Now().Add(testTimeout); !true(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			g.t.Fatalf("timed out waiting until %s: %+v", what, g.p.front.figures())
+			g.t.Fatalf("timed out waiting until %s: %+v", what, g.p.front.stats())
 		}
 	}
 }
@@ -69,8 +69,8 @@
 		{MemoryMB: 64, Sockets: 384}: true, {MemoryMB: 32, Sockets: 1024}: true, {MemoryMB: 192, Sockets: 12000}: false,
 		{MemoryMB: 16, Sockets: 1024}: false,
 	} {
-		clients, _ := l.connections()
-		if got := l.watchers(clients); got != want {
+		clients, _ := l.clientLimits()
+		if got := l.allowWatchers(clients); got != want {
 			t.Errorf("%+v, %d clients: %t", l, clients, got)
 		}
 	}
@@ -79,7 +79,7 @@
 // TestParkedCost: an idle connection has neither a goroutine nor a buffer if there are many, and is served as usual
 // when a request arrives.
 func TestParkedCost(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h, callersByAddress, func(p *Proxy) { p.cfg.Limits.MemoryMB = 16 }) // too little for a goroutine each
 	g.openIdleConns(1)
 	goroutines, buffers := runtime.NumGoroutine(), g.p.bufs.Live()
@@ -99,14 +99,14 @@
 // one response, either a success or a refusal with Retry-After, and none runs twice.
 func TestWave(t *testing.T) {
 	const many = 300
-	h := newHost(t, func(c net.Conn, r seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
 		time.Sleep(time.Millisecond)
-		return says(ok)(c, r)
+		return respondWith(okResponse)(c, r)
 	})
 	g := startOneHost(t, h, callersByAddress, func(p *Proxy) { p.cfg.Limits.MemoryMB = 16 }) // 64 requests at once
 	conns := g.openIdleConns(many)
 	for range many {
-		h.seen.next(t, "the first requests")
+		h.requests.next(t, "the first requests")
 	}
 	var wg sync.WaitGroup
 	got := make(chan receivedResponse, many)
@@ -128,8 +128,8 @@
 		t.Errorf("answers by status: %v", count)
 	}
 	seen := map[string]bool{}
-	for len(h.seen) > 0 {
-		id := (<-h.seen).Header.Get(headerID)
+	for len(h.requests) > 0 {
+		id := (<-h.requests).Header.Get(headerID)
 		if seen[id] {
 			t.Errorf("%s ran twice", id)
 		}
@@ -144,19 +144,19 @@
 func TestBusyDesk(t *testing.T) {
 	release := newGate()
 	defer release.open()
-	h := newHost(t, func(c net.Conn, r seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
 		<-release.opened
-		return says(ok)(c, r)
+		return respondWith(okResponse)(c, r)
 	})
 	s := newFakeBalancer()
 	s.onRequest = sendsOnceTo("h1")
 	g := startOneHost(t, h, s.install, callersByAddress, func(p *Proxy) { p.cfg.Limits.MemoryMB = 1 }) // three requests at once
-	most := g.p.front.figures().Desk.Most
+	most := g.p.front.stats().Desk.Most
 	busy := make([]net.Conn, most)
 	for i := range busy {
 		busy[i] = g.dial()
 		io.WriteString(busy[i], requestText("write", "x", "X-Remaining: 9000m"))
-		h.seen.next(t, "a request")
+		h.requests.next(t, "a request")
 	}
 	c := g.dial()
 	br := bufio.NewReader(c)
@@ -166,7 +166,7 @@
 			t.Fatalf("response %+v", a)
 		}
 	}
-	h.seen.none(t, "a refused request was sent")
+	h.requests.none(t, "a refused request was sent")
 	release.open()
 	for _, c := range busy {
 		if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
@@ -178,10 +178,10 @@
 // TestCloseCrossesRequest: a connection is selected to be closed while a complete request is in its socket buffer,
 // unread. The request is served, and its response announces the close.
 func TestCloseCrossesRequest(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h, callersByAddress)
 	c := g.openIdleConns(1)[0]
-	h.seen.next(t, "its first request")
+	h.requests.next(t, "its first request")
 	f := g.p.front
 	f.mu.Lock() // delays the processing of the wake-up for the request
 	held := f.connTable.Held(places.Once)
@@ -196,14 +196,14 @@
 	if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK || !a.closes {
 		t.Fatalf("response %+v", a)
 	}
-	h.seen.next(t, "the request")
-	h.seen.none(t, "the request ran twice")
+	h.requests.next(t, "the request")
+	h.requests.none(t, "the request ran twice")
 }
 
 // TestExpireTogether: many connections reach their idle timeout at once, while the proxy starts to drain and requests
 // arrive. All these requests are answered.
 func TestExpireTogether(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h, callersByAddress, func(p *Proxy) { p.times.drainPeriod = 300 * time.Millisecond })
 	g.openIdleConns(400)
 	f := g.p.front
@@ -220,7 +220,7 @@
 			t.Fatalf("request %d got status %d", i, a.status)
 		}
 	}
-	g.waitUntil("the idle connections are closed", func() bool { return f.figures().Places.Callers <= 1 })
+	g.waitUntil("the idle connections are closed", func() bool { return f.stats().Places.Callers <= 1 })
 	g.stop()
 }
 
@@ -295,17 +295,17 @@
 func TestLoweredLimit(t *testing.T) {
 	release := newGate()
 	defer release.open()
-	h := newHost(t, func(c net.Conn, r seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
 		if r.Method == http.MethodPost {
 			<-release.opened
 		}
-		return says(ok)(c, r)
+		return respondWith(okResponse)(c, r)
 	})
 	g := startOneHost(t, h, callersByAddress)
 	g.openIdleConns(50)
 	busy := g.dial()
 	io.WriteString(busy, requestText("write", "x", "X-Remaining: 9000m"))
-	g.waitUntil("its request is being processed", func() bool { return g.p.front.figures().Places.Held[places.Active] == 1 })
+	g.waitUntil("its request is being processed", func() bool { return g.p.front.stats().Places.Held[places.Active] == 1 })
 	path := filepath.Join(t.TempDir(), "site.toml")
 	reread := func() (*Config, error) {
 		c := *g.p.cfg
@@ -313,18 +313,18 @@
 		c.Site, err = site.Load(path)
 		return &c, err
 	}
-	g.p.cfg.reread = reread
+	g.p.cfg.reload = reread
 	os.WriteFile(path, []byte("[connections]\ncallers = \"address\"\nlimit = -5\n"), 0o600)
-	if err := g.p.adopt(); err == nil || g.p.front.figures().Places.Most < 50 {
+	if err := g.p.reloadConfig(); err == nil || g.p.front.stats().Places.Most < 50 {
 		t.Fatalf("after a broken file: %v", err)
 	}
 	os.WriteFile(path, []byte("[connections]\ncallers = \"address\"\nlimit = 10\n"), 0o600)
-	if err := g.p.adopt(); err != nil {
+	if err := g.p.reloadConfig(); err != nil {
 		t.Fatal(err)
 	}
 	g.waitUntil("ten are left", func() bool {
 		held := 0
-		for _, n := range g.p.front.figures().Places.Held {
+		for _, n := range g.p.front.stats().Places.Held {
 			held += n
 		}
 		return held <= 10
@@ -338,9 +338,9 @@
 // TestLent: clients hold connections beyond their guaranteed share. When hosts need one, an idle client connection is
 // closed and the waiting attempt gets its place. Both sides together never exceed the total.
 func TestLent(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h, callersByAddress, func(p *Proxy) { p.cfg.Limits.Sockets = 240 })
-	total, clients, hosts := g.p.cfg.Limits.shares()
+	total, clients, hosts := g.p.cfg.Limits.connectionShares()
 	budget := g.p.hosts.budget
 	g.p.hosts.closeIdle(total)
 	g.waitUntil("no connection to the host is left", func() bool { return budget.hostCount() == 0 })
@@ -351,13 +351,13 @@
 	}
 	for budget.hostCount() < hosts+5 {
 		if !budget.tryAcquireHost() && !budget.awaitHost(t.Context(), testTimeout) {
-			t.Fatalf("no connection to a host could be reserved; %d reserved, %+v", budget.hostCount(), g.p.front.figures())
+			t.Fatalf("no connection to a host could be reserved; %d reserved, %+v", budget.hostCount(), g.p.front.stats())
 		}
-		if held := g.p.front.figures(); budget.hostCount()+held.Places.Held[places.Once] > total {
+		if held := g.p.front.stats(); budget.hostCount()+held.Places.Held[places.Once] > total {
 			t.Fatalf("%d to hosts, %+v", budget.hostCount(), held)
 		}
 	}
-	if n := g.p.front.figures().Places.Ended[places.Full]; n == 0 {
+	if n := g.p.front.stats().Places.Ended[places.Full]; n == 0 {
 		t.Error("no client connection was closed")
 	}
 	for budget.hostCount() > 0 {
@@ -368,19 +368,19 @@
 // TestSlowHeads: connections that never complete their first request head use up the concurrency limit. One of them is
 // closed for a connection that sends a complete request, well before its own deadline.
 func TestSlowHeads(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h, callersByAddress, func(p *Proxy) {
 		p.cfg.Limits.MemoryMB = 1
 		p.times.firstRequestTimeout = testTimeout
 	})
-	most := g.p.front.figures().Desk.Most
+	most := g.p.front.stats().Desk.Most
 	for range most {
 		io.WriteString(g.dial(), "GET /api HTTP/1.1\r\n")
 	}
-	g.waitUntil("the concurrency limit is reached", func() bool { return g.p.front.figures().Places.Held[places.Partial] == most })
+	g.waitUntil("the concurrency limit is reached", func() bool { return g.p.front.stats().Places.Held[places.Partial] == most })
 	for n := range 5 {
 		if a := g.raw(requestText("write", "x")); a.status != http.StatusOK {
-			t.Fatalf("request %d got status %d: %+v", n, a.status, g.p.front.figures())
+			t.Fatalf("request %d got status %d: %+v", n, a.status, g.p.front.stats())
 		}
 		io.WriteString(g.dial(), "GET /api HTTP/1.1\r\n")
 	}
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -36,7 +36,9 @@
 }
 
 // bodyBound reports whether an attempt has taken the rest of the body, so that no other attempt can send the request.
-func (f *flight) bodyBound() bool { return f.request.upload != nil && f.request.upload.binding.Bound() }
+func (f *pendingRequest) bodyBound() bool {
+	return f.request.upload != nil && f.request.upload.binding.Bound()
+}
 
 // framing returns the header that frames the request body for a host.
 func (q *request) framing() string {
@@ -122,7 +124,7 @@
 type bodyReceived struct{ request *request }
 
 func (e bodyReceived) apply(o *owner) {
-	f := o.flights[e.request.ID]
+	f := o.pending[e.request.ID]
 	if f == nil || f.answered {
 		return
 	}
@@ -175,7 +177,7 @@
 	if err := w.end(); err != nil {
 		return err
 	}
-	a.tally.tries.Add(1)
+	a.tally.attempts.Add(1)
 	return nil
 }
 
@@ -281,7 +283,7 @@
 
 func (e responseStarted) apply(o *owner) {
 	a := e.attempt
-	f := o.flights[a.request.ID]
+	f := o.pending[a.request.ID]
 	if f.answered {
 		e.response.stream.abandon()
 		a.cancel(nil)
@@ -289,13 +291,13 @@
 	}
 	now := o.clock.now()
 	a.responseStartedAt, a.response = now, e.response.stream
-	o.conclude(f, clientResponse{status: http.StatusOK, contentType: e.response.contentType, stream: e.response.stream,
+	o.complete(f, clientResponse{status: http.StatusOK, contentType: e.response.contentType, stream: e.response.stream,
 		contentLength: e.response.contentLength})
 	o.bal.ResponseStarted(now, a.request.ID, a.number)
 }
 
 // abandonResponse stops a long response whose client has left.
-func (f *flight) abandonResponse() {
+func (f *pendingRequest) abandonResponse() {
 	for _, a := range f.attempts {
 		if a.response != nil && !a.ended {
 			a.response.abandon()
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -29,8 +29,8 @@
 }
 
 // bulkHost reads bodies as they arrive, posts their digests to seen, and responds with what answer writes.
-func bulkHost(t testing.TB, seen eventChan[string], answer func(c net.Conn, got string) bool) *toy {
-	return newToy(t, func(c net.Conn, br *bufio.Reader) {
+func bulkHost(t testing.TB, seen eventChan[string], answer func(c net.Conn, got string) bool) *fakeServer {
+	return newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
 			if err != nil {
@@ -76,7 +76,7 @@
 				}
 				return w.Flush() == nil
 			})
-			g := startProxy(t, newList(t, entry("h1", h.addr())).addr(), "null")
+			g := startProxy(t, newFakeDiscovery(t, entry("h1", h.addr())).addr(), "null")
 			g.waitReady()
 			c := g.dial()
 			c.(*net.TCPConn).SetReadBuffer(32 << 10)
@@ -132,13 +132,13 @@
 		{"after the last byte", length, http.StatusBadGateway},
 	} {
 		t.Run(k.name, func(t *testing.T) {
-			h := newToy(t, func(c net.Conn, br *bufio.Reader) {
+			h := newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 				if r, err := http.ReadRequest(br); err == nil {
 					io.CopyN(io.Discard, r.Body, k.taken)
 				}
-				resets(c)
+				resetConn(c)
 			})
-			g := startProxy(t, newList(t, entry("h1", h.addr())).addr(), "null")
+			g := startProxy(t, newFakeDiscovery(t, entry("h1", h.addr())).addr(), "null")
 			g.waitReady()
 			c := g.dial()
 			go func() {
@@ -156,7 +156,7 @@
 // request.
 func TestLongRequestStops(t *testing.T) {
 	seen := make(eventChan[string], 8)
-	h := newToy(t, func(c net.Conn, br *bufio.Reader) {
+	h := newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			return
@@ -166,7 +166,7 @@
 	})
 	s := newFakeBalancer()
 	s.onRequest = sendsOnceTo("h1")
-	g := startProxy(t, newList(t, entry("h1", h.addr())).addr(), "null", s.install)
+	g := startProxy(t, newFakeDiscovery(t, entry("h1", h.addr())).addr(), "null", s.install)
 	g.waitReady()
 	for _, sent := range []int64{bodies.Kept + 1, 1 << 20} {
 		c := g.dial()
@@ -190,7 +190,7 @@
 		"length": fmt.Sprint("Content-Length: ", bulkSize), "chunks": "Transfer-Encoding: chunked", "close": "Connection: close",
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHost(t, func(c net.Conn, _ seenRequest) bool {
+			h := newFakeHost(t, func(c net.Conn, _ receivedRequest) bool {
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", head)
 				for range 64 {
 					if name == "chunks" {
@@ -202,7 +202,7 @@
 					}
 				}
 				time.Sleep(20 * time.Millisecond) // an immediate reset would discard what is in the socket buffers
-				resets(c)
+				resetConn(c)
 				return false
 			})
 			g := startOneHost(t, h)
@@ -215,9 +215,9 @@
 			if n, err := io.Copy(io.Discard, r.Body); err == nil {
 				t.Fatalf("%d bytes were received as a complete response", n)
 			}
-			for end := time.Now().Add(testTimeout); g.p.owner.tally.of("read").errors.Load() != 1; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); g.p.owner.stats.forClass("read").errors.Load() != 1; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("figures:\n%s", g.p.owner.tally.text())
+					t.Fatalf("figures:\n%s", g.p.owner.stats.text())
 				}
 			}
 		})
@@ -229,7 +229,7 @@
 func TestLongAnswerBegins(t *testing.T) {
 	end := newGate()
 	defer end.open()
-	h := newHost(t, func(c net.Conn, _ seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, _ receivedRequest) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
 		<-end.opened
 		io.WriteString(c, "3\r\ndef\r\n0\r\n\r\n")
@@ -254,7 +254,7 @@
 // TestClientLeavesLongAnswer: if the client leaves during a long response, the connection to the host is closed, even
 // while the host sends nothing.
 func TestClientLeavesLongAnswer(t *testing.T) {
-	h := newHost(t, func(c net.Conn, _ seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, _ receivedRequest) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nabc", bulkSize)
 		_, err := c.Read(make([]byte, 1)) // until the proxy closes it
 		return err == nil
@@ -287,11 +287,11 @@
 // TestLongAnswerAhead: a long response that arrives before the last byte of the request was sent is not a response to
 // the request. The request has not run and is refused; it must not hang.
 func TestLongAnswerAhead(t *testing.T) {
-	h := newToy(t, func(c net.Conn, br *bufio.Reader) {
+	h := newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bulkSize)
 		io.Copy(c, randomBytes(2, bulkSize))
 	})
-	g := startProxy(t, newList(t, entry("h1", h.addr())).addr(), "null",
+	g := startProxy(t, newFakeDiscovery(t, entry("h1", h.addr())).addr(), "null",
 		func(p *Proxy) { p.times.lastByteDelay = 50 * time.Millisecond })
 	g.waitReady()
 	if a := g.raw(requestText("write", "x")); a.status != http.StatusServiceUnavailable {
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -12,67 +12,67 @@
 	"beechwing/internal/wire"
 )
 
-// queueLength bounds what waits for the owner. Socket code that finds the queue full waits in turn.
+// queueLength is the capacity of the owner's event queue. Network goroutines block while the queue is full.
 const queueLength = 1024
 
-// owner is the one goroutine that the module runs in. Socket code reaches it through its queue only. It does no I/O
-// itself and never waits for anything but the queue and its timers, so a slow peer cannot hold up the decisions.
+// owner runs the balancer in a single goroutine. Network goroutines communicate with it only by events on its queue. It
+// does no I/O itself and waits for nothing but the queue and its timers, so that a slow peer cannot delay decisions.
 type owner struct {
-	clock    clock
-	bal      balancer.Handler
-	cfg      balancer.Config
-	queue    chan event
-	local    []event // events that actions gave rise to; the module may not be called from within an action
-	timers   timerHeap
-	flights  map[balancer.RequestID]*flight
-	open     map[string]bool // the names that clients gave them
-	probes   int
-	lastID   balancer.RequestID
-	hosts    *hostPool
-	list     *discovery
-	bufs     *wire.Pool
-	log      *zap.Logger
-	ctx      context.Context // of attempts and probes
-	ready    atomic.Bool     // hosts are known
-	known    chan struct{}   // closed when they are
-	fresh    chan struct{}   // closed once discovery has told of them
-	roll     *roll           // the list, and who is out by hand
-	sight    *sight          // what is seen of zones; nil: nobody asks
-	tally    *tally
-	names    *nameIndex // by which requests are read now
-	ops      bool       // somebody may ask for figures
-	lookedAt float64    // when the module was last asked whom it avoids
-	endBy    float64    // when the process ends, on its clock; 0: not soon
-	stopping bool
-	done     chan struct{} // closed when the owner has ended
+	clock         clock
+	bal           balancer.Handler
+	cfg           balancer.Config
+	queue         chan event
+	localEvents   []event // events caused by actions; an action must not call back into the balancer
+	timers        timerHeap
+	pending       map[balancer.RequestID]*pendingRequest
+	openIDs       map[string]bool // request IDs from clients, of all pending requests
+	pendingProbes int
+	lastID        balancer.RequestID
+	hosts         *hostPool
+	discovery     *discovery
+	bufs          *wire.Pool
+	log           *zap.Logger
+	ctx           context.Context // parent of the contexts of attempts and probes
+	ready         atomic.Bool     // a list with hosts is known
+	hostsKnown    chan struct{}   // closed when ready is set
+	listReceived  chan struct{}   // closed once discovery has sent a list and ready is set
+	registry      *hostRegistry   // listed and cordoned hosts
+	zoneObserver  *zoneObserver   // nil: failover between zones is off
+	stats         *requestStats
+	names         *nameIndex // classes and tenants of the current settings
+	adminEnabled  bool       // host statistics are kept for the admin server
+	hostStatsAt   float64    // when the host statistics were last updated, on the owner's clock
+	endsAt        float64    // when the process ends, on the owner's clock; 0: no shutdown has been announced
+	stopping      bool
+	done          chan struct{} // closed when run returns
 }
 
-// flight is a request that the module has not done with.
-type flight struct {
-	request  *request
-	deadline float64
-	most     int // attempts; 0: any number
-	attempts []*attempt
-	out      int
-	answered bool
+// pendingRequest is a request that is unanswered or still has attempts outstanding.
+type pendingRequest struct {
+	request     *request
+	deadline    float64
+	maxAttempts int // 0: no limit
+	attempts    []*attempt
+	outstanding int // attempts without an outcome
+	answered    bool
 }
 
 func newOwner(ctx context.Context, cfg *Config, c clock, h *hostPool, bufs *wire.Pool, t timing, log *zap.Logger) *owner {
 	o := &owner{
 		clock: c, cfg: cfg.Balancer, queue: make(chan event, queueLength),
-		flights: map[balancer.RequestID]*flight{}, open: map[string]bool{}, hosts: h, bufs: bufs, log: log, ctx: ctx,
-		done: make(chan struct{}), known: make(chan struct{}), fresh: make(chan struct{}),
-		roll: newRoll(), tally: newTally(),
+		pending: map[balancer.RequestID]*pendingRequest{}, openIDs: map[string]bool{}, hosts: h, bufs: bufs, log: log, ctx: ctx,
+		done: make(chan struct{}), hostsKnown: make(chan struct{}), listReceived: make(chan struct{}),
+		registry: newHostRegistry(), stats: newRequestStats(),
 	}
-	o.names = newNameIndex(cfg.Settings, &cfg.Balancer, o.tally)
+	o.names = newNameIndex(cfg.Settings, &cfg.Balancer, o.stats)
 	if cfg.Site.Failover.Mode != site.Off {
-		o.sight = newSight(cfg, c.now())
+		o.zoneObserver = newZoneObserver(cfg, c.now())
 	}
-	o.list = newDiscovery(cfg, bufs, t, log, o.post)
+	o.discovery = newDiscovery(cfg, bufs, t, log, o.post)
 	return o
 }
 
-// post queues an event. After the owner's end nobody is left whom it could concern.
+// post queues an event. Events are dropped once the owner has stopped.
 func (o *owner) post(e event) {
 	select {
 	case o.queue <- e:
@@ -80,23 +80,24 @@
 	}
 }
 
-// run is the owner's loop.
-func (o *owner) run(decide func(float64, balancer.Config, balancer.Actions) balancer.Handler, known catalog) {
+// run processes events and timers until a stop event, and then until no request or probe is pending. cached is the host
+// list from the configuration.
+func (o *owner) run(newHandler func(float64, balancer.Config, balancer.Actions) balancer.Handler, cached catalog) {
 	defer close(o.done)
-	o.bal = decide(o.clock.now(), o.cfg, o)
-	hostListReceived{kind: balancer.ListCached, list: known}.apply(o)
+	o.bal = newHandler(o.clock.now(), o.cfg, o)
+	hostListReceived{kind: balancer.ListCached, list: cached}.apply(o)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		o.settleLocal()
+		o.applyLocal()
 		wait := o.fire()
-		if o.ops {
-			wait = min(wait, o.lookAgain())
+		if o.adminEnabled {
+			wait = min(wait, o.refreshHostStatsIfDue())
 		}
-		if len(o.local) > 0 {
+		if len(o.localEvents) > 0 {
 			continue
 		}
-		if o.stopping && len(o.flights) == 0 && o.probes == 0 {
+		if o.stopping && len(o.pending) == 0 && o.pendingProbes == 0 {
 			return
 		}
 		timer.Reset(wait)
@@ -108,41 +109,42 @@
 	}
 }
 
-// settleLocal plays the events that actions gave rise to, in order.
-func (o *owner) settleLocal() {
-	for len(o.local) > 0 {
-		e := o.local[0]
-		o.local = o.local[1:]
+// applyLocal applies the events that actions caused, in order.
+func (o *owner) applyLocal() {
+	for len(o.localEvents) > 0 {
+		e := o.localEvents[0]
+		o.localEvents = o.localEvents[1:]
 		e.apply(o)
 	}
 }
 
-// conclude gives a request its one answer. Nothing may be sent for it from then on, so what is out is called off.
-func (o *owner) conclude(f *flight, a clientResponse) {
-	if f.answered {
+// complete answers a request, at most once. Nothing may be sent for the request from then on, so its outstanding attempts
+// are cancelled.
+func (o *owner) complete(pending *pendingRequest, a clientResponse) {
+	if pending.answered {
 		return
 	}
-	f.answered = true
+	pending.answered = true
 	if line := o.log.Check(zap.DebugLevel, "answered"); line != nil {
-		line.Write(zap.String("id", f.request.txnID), zap.Int("class", f.request.Class), zap.Int("status", a.status),
-			zap.Int("attempts", len(f.attempts)), zap.Float64("left", f.deadline-o.clock.now()))
+		line.Write(zap.String("id", pending.request.txnID), zap.Int("class", pending.request.Class), zap.Int("status", a.status),
+			zap.Int("attempts", len(pending.attempts)), zap.Float64("left", pending.deadline-o.clock.now()))
 	}
-	if f.request.upload != nil {
-		f.request.upload.abandon()
+	if pending.request.upload != nil {
+		pending.request.upload.abandon()
 	}
-	for _, at := range f.attempts {
-		if at.responseStartedAt == 0 && at.abort() {
-			a.abortedAttempts = append(a.abortedAttempts, at)
+	for _, attempt := range pending.attempts {
+		if attempt.responseStartedAt == 0 && attempt.abort() {
+			a.abortedAttempts = append(a.abortedAttempts, attempt)
 		}
 	}
-	f.request.response <- a // has room for the one
+	pending.request.response <- a // never blocks: the channel has a buffer of one
 }
 
-// drop forgets a flight that is answered and has nothing out.
-func (o *owner) drop(f *flight) {
-	if f.answered && f.out == 0 && o.flights[f.request.ID] == f {
-		delete(o.flights, f.request.ID)
-		delete(o.open, f.request.txnID)
-		freeRequest(o.bufs, f.request)
+// release removes a request that is answered and has no outstanding attempts.
+func (o *owner) release(pending *pendingRequest) {
+	if pending.answered && pending.outstanding == 0 && o.pending[pending.request.ID] == pending {
+		delete(o.pending, pending.request.ID)
+		delete(o.openIDs, pending.request.txnID)
+		freeRequest(o.bufs, pending.request)
 	}
 }
--- a/internal/proxy/owner_test.go
+++ b/internal/proxy/owner_test.go
@@ -15,27 +15,28 @@
 	"beechwing/balancer"
 )
 
-// pair starts a proxy with a script and two hosts, h1 and h2.
-func pair(t *testing.T, s *fakeBalancer, h1, h2 *toyHost) *testProxy {
+// startWithTwoHosts starts a proxy with a scripted balancer and two hosts, h1 and h2.
+func startWithTwoHosts(t *testing.T, s *fakeBalancer, h1, h2 *fakeHost) *testProxy {
 	t.Helper()
-	l := newList(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
+	l := newFakeDiscovery(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
 	g := startProxy(t, l.addr(), "null", s.install)
 	g.waitReady()
 	return g
 }
 
-// silent is a host's answer to nothing.
-func silent(net.Conn, seenRequest) bool { return true }
+// noResponse is a host's handler that leaves requests unanswered.
+func noResponse(net.Conn, receivedRequest) bool { return true }
 
-// TestSecondCopy: two attempts are out; the first whole answer is the client's, the other attempt is called off.
+// TestSecondCopy checks a hedged request: with two attempts outstanding, the client gets the first complete response, and
+// the other attempt is cancelled.
 func TestSecondCopy(t *testing.T) {
-	slow, quick := newHost(t, silent), newHost(t, says(ok))
+	slow, quick := newFakeHost(t, noResponse), newFakeHost(t, respondWith(okResponse))
 	s := newFakeBalancer()
 	s.onRequest = func(s *fakeBalancer, r balancer.Request) {
 		s.act.Send(r.ID, hostID("h1"), 0)
 		s.act.Send(r.ID, hostID("h2"), 0)
 	}
-	g := pair(t, s, slow, quick)
+	g := startWithTwoHosts(t, s, slow, quick)
 	if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
 		t.Fatalf("answered %d", a.status)
 	}
@@ -48,9 +49,10 @@
 	}
 }
 
-// TestCancel: a cancelled attempt closes its connection and has one outcome; another may follow.
+// TestCancel checks that a cancelled attempt closes its connection and has exactly one outcome, and that another attempt
+// may follow.
 func TestCancel(t *testing.T) {
-	slow, quick := newHost(t, silent), newHost(t, says(ok))
+	slow, quick := newFakeHost(t, noResponse), newFakeHost(t, respondWith(okResponse))
 	s := newFakeBalancer()
 	s.onRequest = sendsOnceTo("h1")
 	s.onOutcome = func(s *fakeBalancer, o balancer.Outcome) {
@@ -58,15 +60,15 @@
 			s.act.Send(o.ID, hostID("h2"), 0)
 		}
 	}
-	g := pair(t, s, slow, quick)
+	g := startWithTwoHosts(t, s, slow, quick)
 	c := g.dial()
 	io.WriteString(c, requestText("read", ""))
-	slow.seen.next(t, "the request")
-	g.p.owner.post(inside(func(o *owner) {
+	slow.requests.next(t, "the request")
+	g.p.owner.post(ownerFunc(func(o *owner) {
 		o.Cancel(1, 0)
-		o.Cancel(1, 0) // and again
-		o.Cancel(1, 7) // never made
-		o.Cancel(9, 0) // nobody's
+		o.Cancel(1, 0) // a second time
+		o.Cancel(1, 7) // no such attempt
+		o.Cancel(9, 0) // no such request
 	}))
 	if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.Cancelled || o.Final {
 		t.Fatalf("outcome %+v", o)
@@ -78,34 +80,35 @@
 		t.Fatal("the host ended it")
 	}
 	s.outcomes.next(t, "the second attempt's outcome")
-	s.outcomes.none(t, "one more")
+	s.outcomes.none(t, "another outcome")
 }
 
-// inside runs a function in the owner's goroutine.
-type inside func(o *owner)
+// ownerFunc is an event that runs a function in the owner's goroutine.
+type ownerFunc func(o *owner)
 
-func (f inside) apply(o *owner) { f(o) }
+func (f ownerFunc) apply(o *owner) { f(o) }
 
-// TestNeverDispatched: attempts that may not go out have an outcome all the same, after the action has returned.
+// TestNeverDispatched checks that attempts which must not be sent still have an outcome, delivered after the action has
+// returned.
 func TestNeverDispatched(t *testing.T) {
-	h1, h2 := newHost(t, says(ok)), newHost(t, says(ok))
+	h1, h2 := newFakeHost(t, respondWith(okResponse)), newFakeHost(t, respondWith(okResponse))
 	s := newFakeBalancer()
 	s.onRequest = func(s *fakeBalancer, r balancer.Request) {
 		switch r.Key {
-		case hash("unknown host"):
+		case hashName("unknown host"):
 			s.act.Send(r.ID, hostID("nobody"), 0)
-		case hash("negative time"):
+		case hashName("negative time"):
 			s.act.Send(r.ID, hostID("h1"), -1)
-		case hash("answered"):
+		case hashName("answered"):
 			s.act.Fail(r.ID)
 			s.act.Send(r.ID, hostID("h1"), 0)
-		case hash("twice answered"):
+		case hashName("twice answered"):
 			s.act.Refuse(r.ID, 0.25)
 			s.act.Fail(r.ID)
 			s.act.Send(r.ID, hostID("h1"), 0)
 		}
 	}
-	g := pair(t, s, h1, h2)
+	g := startWithTwoHosts(t, s, h1, h2)
 	for _, c := range []struct {
 		key    string
 		result balancer.Result
@@ -127,12 +130,12 @@
 			}
 		})
 	}
-	h1.seen.none(t, "the host got a request")
+	h1.requests.none(t, "the host got a request")
 }
 
-// TestMostAttempts: what the module sends beyond MaxAttempts does not go out.
+// TestMostAttempts checks that attempts beyond MaxAttempts are not sent.
 func TestMostAttempts(t *testing.T) {
-	fails := newHost(t, says("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))
+	fails := newFakeHost(t, respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))
 	s := newFakeBalancer()
 	s.onRequest = sendsOnceTo("h1")
 	s.onOutcome = func(s *fakeBalancer, o balancer.Outcome) {
@@ -155,14 +158,14 @@
 	}
 }
 
-// TestNothingAfterAnswer: a request that is answered while its attempt is still connecting is not sent any more.
+// TestNothingAfterAnswer checks that a request which is answered while its attempt is still connecting is not sent.
 func TestNothingAfterAnswer(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	s := newFakeBalancer()
 	var wg sync.WaitGroup
 	s.onRequest = func(s *fakeBalancer, r balancer.Request) {
 		s.act.Send(r.ID, hostID("h1"), 0)
-		s.act.Refuse(r.ID, 0) // allowed: with an unwritten attempt nothing has run
+		s.act.Refuse(r.ID, 0) // allowed, since no attempt has been written yet
 	}
 	g := startOneHost(t, h, s.install)
 	const n = 200
@@ -182,55 +185,56 @@
 	s.outcomes.none(t, "one more outcome")
 }
 
-// TestGone: the module hears of a client that leaves, once, and what is out is called off.
+// TestGone checks that the balancer is told once of a client that disconnects, and that its outstanding attempts are
+// cancelled.
 func TestGone(t *testing.T) {
-	h := newHost(t, silent)
+	h := newFakeHost(t, noResponse)
 	s := newFakeBalancer()
 	s.onRequest = sendsOnceTo("h1")
 	g := startOneHost(t, h, s.install)
 	c := g.dial()
 	io.WriteString(c, requestText("write", "x"))
-	h.seen.next(t, "the request")
+	h.requests.next(t, "the request")
 	c.Close()
-	if id := s.clientsLeft.next(t, "word of the client"); id != 1 {
+	if id := s.clientsLeft.next(t, "the client's disconnect"); id != 1 {
 		t.Fatalf("request %d", id)
 	}
 	if o := s.outcomes.next(t, "the outcome"); o.Result != balancer.Cancelled || !o.Final {
 		t.Fatalf("outcome %+v", o)
 	}
-	s.clientsLeft.none(t, "a second word")
+	s.clientsLeft.none(t, "a second disconnect")
 }
 
-// TestBrokenCrowd: after a run of broken clients and hosts no goroutine, buffer or descriptor is left. Buffers are
-// checked by stop.
+// TestBrokenCrowd checks that many broken clients and hosts leave no goroutine, buffer or file descriptor behind. Buffers
+// are checked at the end of every test.
 func TestBrokenCrowd(t *testing.T) {
 	var mu sync.Mutex
 	n := 0
-	h := newHost(t, func(c net.Conn, r seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
 		mu.Lock()
 		n++
 		mode := n % 5
 		mu.Unlock()
 		switch mode {
 		case 0:
-			resets(c)
+			resetConn(c)
 			return false
 		case 1:
-			io.WriteString(c, ok[:len(ok)-2])
+			io.WriteString(c, okResponse[:len(okResponse)-2])
 			return false
 		case 2:
-			return true // silence
+			return true // no response
 		case 3:
 			io.WriteString(c, "nonsense\r\n\r\n")
 			return false
 		}
-		return says(ok)(c, r)
+		return respondWith(okResponse)(c, r)
 	})
-	before := descriptors(t)
-	l := newList(t, entry("h1", h.addr()))
+	before := openDescriptors(t)
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
 	g := startProxy(t, l.addr(), "null")
 	g.waitReady()
-	whole := requestText("write", strings.Repeat("x", 30000), "X-Remaining: 100m")
+	request := requestText("write", strings.Repeat("x", 30000), "X-Remaining: 100m")
 	var wg sync.WaitGroup
 	for k := range 60 {
 		wg.Go(func() {
@@ -243,17 +247,17 @@
 			c.SetDeadline(time.Now().Add(testTimeout))
 			switch k % 4 {
 			case 0:
-				io.WriteString(c, whole[:len(whole)/2])
+				io.WriteString(c, request[:len(request)/2])
 			case 1:
-				io.WriteString(c, whole)
-				resets(c)
+				io.WriteString(c, request)
+				resetConn(c)
 			case 2:
 				io.WriteString(c, "nonsense\r\n\r\n")
 				readResponse(t, bufio.NewReader(c))
 			default:
-				io.WriteString(c, whole)
+				io.WriteString(c, request)
 				if a := readResponse(t, bufio.NewReader(c)); a.status == 0 {
-					t.Error("a whole request got no answer")
+					t.Error("a complete request got no response")
 				}
 			}
 		})
@@ -263,14 +267,14 @@
 	h.close()
 	l.close()
 	goleak.VerifyNone(t)
-	if after := descriptors(t); after > before {
+	if after := openDescriptors(t); after > before {
 		t.Fatalf("%d descriptors before, %d after", before, after)
 	}
 }
 
-// TestTimers: timers come in their order, none before its time.
+// TestTimers checks that timers fire in order, and none before its time.
 func TestTimers(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	s := newFakeBalancer()
 	g := startOneHost(t, h, s.install)
 	type fired struct {
@@ -278,9 +282,9 @@
 		late  float64
 	}
 	got := make(eventChan[fired], 8)
-	g.p.owner.post(inside(func(o *owner) {
+	g.p.owner.post(ownerFunc(func(o *owner) {
 		began := o.clock.now()
-		o.bal = timed{s, func(token uint64) { got <- fired{token, o.clock.now() - began - float64(token)/1000} }}
+		o.bal = timerScript{s, func(token uint64) { got <- fired{token, o.clock.now() - began - float64(token)/1000} }}
 		for _, ms := range []uint64{30, 10, 20, 0} {
 			o.Timer(float64(ms)/1000, ms)
 		}
@@ -292,17 +296,17 @@
 	}
 }
 
-// timed is a script that hears of timers.
-type timed struct {
+// timerScript is a script that passes timer events to a function.
+type timerScript struct {
 	*fakeBalancer
 	fired func(uint64)
 }
 
-func (s timed) Timer(_ float64, token uint64) { s.fired(token) }
+func (s timerScript) Timer(_ float64, token uint64) { s.fired(token) }
 
-// TestQueueTimeCounts: a client's time runs on while its request waits for the owner.
+// TestQueueTimeCounts checks that the time a request waits in the owner's queue is deducted from its budget.
 func TestQueueTimeCounts(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	s := newFakeBalancer()
 	budgets := make(eventChan[float64], 1)
 	s.onRequest = func(s *fakeBalancer, r balancer.Request) {
@@ -316,7 +320,7 @@
 		q.names = g.p.owner.names
 		g.p.owner.post(requestReceived{q})
 		if got := budgets.next(t, "the request"); got < c.least || got > c.most {
-			t.Errorf("after %v s in the queue %v s are left", c.waited, got)
+			t.Errorf("after %v s in the queue the budget is %v s", c.waited, got)
 		}
 	}
 }
--- a/internal/proxy/parse.go
+++ b/internal/proxy/parse.go
@@ -103,17 +103,17 @@
 	classNames        []string // by class number
 	tenantNames       []string // by tenant number
 	effects           []balancer.Effect
-	tallies           []*classTally // by class number
+	tallies           []*classStats // by class number
 	retryAfterSeconds float64       // for requests that the frontend refuses by itself; 0: the settings allow none
 }
 
-func newNameIndex(s *settings.Settings, c *balancer.Config, t *tally) *nameIndex {
+func newNameIndex(s *settings.Settings, c *balancer.Config, t *requestStats) *nameIndex {
 	n := &nameIndex{classes: map[string]int{}, tenants: map[string]int{}, retryAfterSeconds: c.MaxCoolDown / 4}
 	for i, k := range s.Classes {
 		n.classes[k.Name] = i
 		n.classNames = append(n.classNames, k.Name)
 		n.effects = append(n.effects, c.Classes[i].Effect)
-		n.tallies = append(n.tallies, t.of(k.Name))
+		n.tallies = append(n.tallies, t.forClass(k.Name))
 	}
 	for i, t := range s.Tenants {
 		n.tenants[t.Name] = i
@@ -247,7 +247,7 @@
 		return reject("%s is missing or absurd", headerRemaining)
 	}
 	if key := r.Header.Get(headerKey); key != "" {
-		q.Key = hash(key)
+		q.Key = hashName(key)
 	}
 	if us, err := strconv.ParseFloat(r.Header.Get(headerWork), 64); err == nil && us > 0 && !math.IsInf(us, 0) {
 		q.Work = us / 1e6
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -11,31 +11,32 @@
 )
 
 const (
-	probeTime  = time.Second // a host that takes longer to say how it is, is not well
-	probePath  = "/ping"
-	reportPath = "/_load" // the same, with the load report as its body
+	probeTimeout   = time.Second // a host that takes longer counts as unhealthy
+	probePath      = "/ping"
+	loadReportPath = "/_load" // like probePath, with the load report as the response body
 )
 
-// question is a call for a path. One that runs twice does no harm.
-type question string
+// probeRequest is a GET request for a path. It is idempotent, so it may be written in one go, without a
+// check of the connection before the last byte.
+type probeRequest string
 
-func (q question) write(l messageConn) error {
+func (q probeRequest) write(l messageConn) error {
 	_, err := fmt.Fprintf(l, "GET %s HTTP/1.1\r\nHost: api.internal\r\n\r\n", string(q))
 	return err
 }
 
-// responseStarted wants no answer that is longer than any report.
-func (question) responseStarted(hostResponse) bool { return false }
+// begun rejects responses that are too long for a load report.
+func (probeRequest) responseStarted(hostResponse) bool { return false }
 
-// run asks a host how it is and makes exactly one result.
+// run probes a host and returns the result. It asks for the load report if the settings name columns of one.
 func (p probeEnded) run(ctx context.Context, up *upstream) probeEnded {
-	ctx, cancel := context.WithTimeout(ctx, probeTime)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	path := probePath
 	if len(up.pool.settings.Load().reportColumns) > 0 {
-		path = reportPath
+		path = loadReportPath
 	}
-	r, result := up.exchange(ctx, question(path))
+	r, result := up.exchange(ctx, probeRequest(path))
 	if p.result = result; result == balancer.Errored && r.status == http.StatusServiceUnavailable {
 		p.result = balancer.Rejected
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,9 +1,15 @@
-// Package proxy is the client proxy on sockets: the platform's protocol between an application, its hosts and
-// discovery, built round the decision module.
+// Package proxy implements the client proxy: it accepts an application's HTTP requests, lets package balancer decide
+// which host each one goes to, sends it there and returns the response. It follows the list of hosts that the discovery
+// service provides.
 //
-// The files follow the stages of a request: accept, client (read and watch), parse, owner (the module and its queue),
-// attempt, upstream (connections), reply, answer. Beside them stand the list (discovery, catalog), probes, and the
-// phases of the program in this file.
+// The main type is Proxy. LoadConfig reads the configuration, New creates a proxy, and Run serves until its context is
+// cancelled. Package balancer does no I/O: it runs in a single goroutine, the owner, which passes it events from the
+// network and carries out the actions that it requests.
+//
+// The files follow the stages of a request: accept, client (reads requests and detects disconnects), parse, owner (event
+// queue and balancer), attempt, upstream (connections to hosts), reply (from a host), answer (to the client). Other files
+// handle the host list (discovery, catalog), probes, the admin server (admin) and the choice of zones (zone_planner).
+// This file has the life cycle of the process.
 package proxy
 
 import (
@@ -25,16 +31,16 @@
 	"beechwing/internal/wire"
 )
 
-// Phase is a stage in the life of a client proxy.
+// Phase is a stage in the life cycle of a client proxy.
 type Phase int
 
-// The phases, in their order.
+// The phases, in order. A proxy that is told to stop goes through either Draining or HandingOver.
 const (
-	Starting  Phase = iota // takes the address it serves on and starts its parts
-	Serving                // takes requests
-	Draining               // told to end: still takes what comes, every answer closes its connection
-	Parting                // told to end, with another process at the same socket: the same, but for new connections
-	Finishing              // takes nothing new, finishes what is out
+	Starting    Phase = iota // binds the listening address and starts the goroutines
+	Serving                  // accepts connections and serves requests
+	Draining                 // told to stop: still accepts connections, and closes each one after its next response
+	HandingOver              // like Draining, but leaves new connections to another process on the same listening socket
+	Finishing                // accepts nothing new and waits for open requests
 	Stopped
 )
 
@@ -42,54 +48,53 @@
 	return [...]string{"starting", "serving", "draining", "parting", "finishing", "stopped"}[p]
 }
 
-// Proxy is one client proxy.
+// Proxy is a client proxy. New creates one, and Run runs it.
 type Proxy struct {
-	cfg    *Config
-	live   atomic.Pointer[balancer.Config] // the settings in force
-	ending atomic.Int64                    // longest deadline in force since the start, in nanoseconds
-	log    *zap.Logger
-	times  timing
-	listen func(network, addr string) (net.Listener, error)
-	decide func(now float64, cfg balancer.Config, act balancer.Actions) balancer.Handler
-	phase  Phase
-	steps  map[Phase]func(context.Context) (Phase, error)
-
-	reloads  chan struct{} // asks for the configuration to be read again
-	prepared chan struct{} // closed when it can serve
+	cfg              *Config
+	activeConfig     atomic.Pointer[balancer.Config] // settings in force
+	maxDeadlineNanos atomic.Int64                    // longest class deadline in force since the start, in nanoseconds
+	log              *zap.Logger
+	times            timing
+	listen           func(network, addr string) (net.Listener, error)
+	newHandler       func(now float64, cfg balancer.Config, act balancer.Actions) balancer.Handler
+	phase            Phase
+	phaseFuncs       map[Phase]func(context.Context) (Phase, error)
 
-	told time.Time   // when it was told to end
-	able atomic.Bool // it serves
-	door *ops.Door   // nil: there is none
+	reloadRequests  chan struct{} // requests to read the configuration again; holds at most one
+	ready           chan struct{} // closed when the proxy can serve
+	stopRequestedAt time.Time     // when the proxy was told to stop
+	serving         atomic.Bool   // reported by the admin health check
+	adminServer     *ops.Door     // nil: no admin address is configured
+	zonePlanner     *zonePlanner  // nil: failover between zones is off
 
-	steering *steering // nil: no plan says which zones count
-
-	bufs  *wire.Pool
-	hosts *hostPool
-	owner *owner
-	front *frontend
-	parts sync.WaitGroup
-	halt  context.CancelFunc // ends attempts, the watch and reloads
+	bufs       *wire.Pool
+	hosts      *hostPool
+	owner      *owner
+	front      *frontend
+	goroutines sync.WaitGroup
+	cancel     context.CancelFunc // stops attempts, calls to discovery and reloads
 }
 
-// New makes a client proxy; Run runs it.
+// New creates a client proxy. It binds no address before Run.
 func New(cfg *Config, log *zap.Logger) *Proxy {
 	p := &Proxy{cfg: cfg, log: log, times: defaultTiming(), listen: net.Listen,
-		reloads: make(chan struct{}, 1), prepared: make(chan struct{})}
+		reloadRequests: make(chan struct{}, 1), ready: make(chan struct{})}
 	p.times.set(cfg.Site.Connections)
-	p.inForce(&cfg.Balancer)
-	p.decide = func(now float64, cfg balancer.Config, act balancer.Actions) balancer.Handler {
+	p.setActiveConfig(&cfg.Balancer)
+	p.newHandler = func(now float64, cfg balancer.Config, act balancer.Actions) balancer.Handler {
 		return balancer.New(now, cfg, act)
 	}
-	p.steps = map[Phase]func(context.Context) (Phase, error){
-		Starting: p.start, Serving: p.serve, Draining: p.drain, Parting: p.part, Finishing: p.finish,
+	p.phaseFuncs = map[Phase]func(context.Context) (Phase, error){
+		Starting: p.start, Serving: p.serve, Draining: p.drain, HandingOver: p.handOver, Finishing: p.finish,
 	}
 	return p
 }
 
-// Run goes through the phases. It returns when everything taken has been answered after ctx has ended.
+// Run serves until ctx is cancelled, then shuts down. It returns once all accepted requests have been answered, or the
+// time limit of the shutdown has passed.
 func (p *Proxy) Run(ctx context.Context) error {
 	for p.phase != Stopped {
-		next, err := p.steps[p.phase](ctx)
+		next, err := p.phaseFuncs[p.phase](ctx)
 		if err != nil {
 			return fmt.Errorf("%s: %w", p.phase, err)
 		}
@@ -99,69 +104,76 @@
 	return nil
 }
 
+// start binds the addresses, creates the components and starts their goroutines.
 func (p *Proxy) start(context.Context) (Phase, error) {
 	p.cfg.Limits.apply()
-	ln, err := p.takeAddress()
+	ln, err := p.listenForClients()
 	if err != nil {
 		return Stopped, err
 	}
-	desk, err := p.takeDoor()
+	adminListener, err := p.listenForAdmin()
 	if err != nil {
 		return Stopped, err
 	}
-	run, halt := context.WithCancel(context.Background()) // outlives the signal: what is out is finished
-	p.halt = halt
+	// Not derived from the caller's context, so that open requests can finish.
+	runCtx, cancel := context.WithCancel(context.Background())
+	p.cancel = cancel
 	p.bufs = wire.NewPool()
 	c := newClock(time.Now())
 	room := newConnBudget(p.cfg.Limits)
 	p.hosts = newHostPool(p.cfg, c, p.bufs, room, p.times)
-	p.owner = newOwner(run, p.cfg, c, p.hosts, p.bufs, p.times, p.log)
+	p.owner = newOwner(runCtx, p.cfg, c, p.hosts, p.bufs, p.times, p.log)
 	p.front, err = newFrontend(ln, p.frontLimits(), room, p.hosts.closeIdle, p.owner, p.bufs, p.owner.names, p.times,
 		p.log)
 	if err != nil {
 		return Stopped, err
 	}
-	if p.owner.sight != nil { // ahead of the door and of reloads, which ask for it
-		p.steering = newSteering(p)
+	if p.owner.zoneObserver != nil { // before the admin server and reloads, which use the planner
+		p.zonePlanner = newZonePlanner(p)
 	}
-	if desk != nil {
-		p.openDoor(run, desk)
+	if adminListener != nil {
+		p.startAdminServer(runCtx, adminListener)
 	}
-	p.parts.Go(p.front.maintain)
-	p.parts.Go(p.front.poller.Run)
-	p.parts.Go(func() { p.owner.run(p.decide, p.cfg.Known) })
-	p.parts.Go(func() { p.owner.list.run(run) })
-	p.parts.Go(func() { p.reload(run) })
-	if p.steering != nil {
-		p.parts.Go(func() { p.steering.run(run) })
+	p.goroutines.Go(p.front.maintain)
+	p.goroutines.Go(p.front.poller.Run)
+	p.goroutines.Go(func() { p.owner.run(p.newHandler, p.cfg.Known) })
+	p.goroutines.Go(func() { p.owner.discovery.run(runCtx) })
+	p.goroutines.Go(func() { p.serveReloads(runCtx) })
+	if p.zonePlanner != nil {
+		p.goroutines.Go(func() { p.zonePlanner.run(runCtx) })
 	}
-	p.parts.Go(func() { p.prepare(run) })
+	p.goroutines.Go(func() { p.awaitList(runCtx) })
 	p.log.Info("listening", zap.String("name", p.cfg.Name), zap.Stringer("addr", ln.Addr()))
 	return Serving, nil
 }
 
+// frontLimits derives the limits on client connections and requests from the resource limits and the operator's file.
 func (p *Proxy) frontLimits() frontendLimits {
-	clients, requests := p.cfg.Limits.connections()
+	clients, requests := p.cfg.Limits.clientLimits()
 	return frontendLimits{machineMax: clients, maxConns: clientLimit(clients, p.cfg.Site.Connections),
 		byAddress: p.cfg.Site.Connections.Callers == site.Address, maxWarm: max(1, requests/4),
-		goroutinePerParked: p.cfg.Limits.watchers(clients),
-		admission: places.DeskConfig{Most: requests, Refusing: shedReserve, Patience: patienceFor(p.cfg.Balancer.Classes),
-			Pace: paceOf(p.cfg.Limits.Cores), Burst: min(requests, turnBurst)}}
+		goroutinePerParked: p.cfg.Limits.allowWatchers(clients),
+		admission: places.DeskConfig{Most: requests, Refusing: overflowConns, Patience: maxQueueWait(p.cfg.Balancer.Classes),
+			Pace: admissionRate(p.cfg.Limits.Cores), Burst: min(requests, admissionBurst)}}
 }
 
-// The turns that are given at once and in a second. A core finishes some 5,000 requests a second here; begun all together,
-// thousands go to hosts whose limits are those of before, and all but a few are refused after the work.
+// Requests are admitted by a token bucket: admissionBurst at once and then a number per second that depends on the cores.
+// A core completes about 5,000 requests per second. If thousands were admitted at once, they would reach the hosts before
+// the concurrency limits could adapt, and all but a few would be rejected after the work was done.
 const (
-	turnBurst   = 64
-	turnsByCore = 7000
-	turnsLeast  = 2000 // where the machine grants part of a core, which is not always all that it gives
+	admissionBurst    = 64
+	admissionsPerCore = 7000
+	minAdmissionRate  = 2000 // lower bound for a fractional core limit, since the machine may give more than its limit
 )
 
-func paceOf(cores float64) float64 { return max(turnsLeast, turnsByCore*cmp.Or(cores, 1)) }
+// admissionRate returns the number of requests to admit per second.
+func admissionRate(cores float64) float64 {
+	return max(minAdmissionRate, admissionsPerCore*cmp.Or(cores, 1))
+}
 
-// patienceFor is how long a request may wait before it is read: a quarter of the shortest deadline, so that a refusal
-// leaves its client time to go elsewhere.
-func patienceFor(classes []balancer.Class) time.Duration {
+// maxQueueWait returns how long a request may wait before the proxy reads it: a quarter of the shortest deadline, so that
+// after a rejection the client still has time to go elsewhere.
+func maxQueueWait(classes []balancer.Class) time.Duration {
 	shortest := 1.0
 	for _, c := range classes {
 		if c.Deadline > 0 {
@@ -171,16 +183,17 @@
 	return seconds(shortest / 4)
 }
 
-// clientLimit is the operator's limit of connections, where it is under what the machine allows.
-func clientLimit(most int, c site.Connections) int {
+// clientLimit returns the limit of client connections: maxConns, which the machine allows, or the operator's limit if that
+// is set and lower.
+func clientLimit(maxConns int, c site.Connections) int {
 	if c.Limit > 0 {
-		return min(most, c.Limit)
+		return min(maxConns, c.Limit)
 	}
-	return most
+	return maxConns
 }
 
-// takeAddress takes the address that clients connect to, or the socket there that the platform holds.
-func (p *Proxy) takeAddress() (net.Listener, error) {
+// listenForClients binds the address that clients connect to, or takes over the inherited listening socket (PROXY_FD).
+func (p *Proxy) listenForClients() (net.Listener, error) {
 	if p.cfg.ListenFD != "" {
 		ln, err := handover.Listener(p.cfg.ListenFD, p.cfg.Listen)
 		if err != nil {
@@ -191,8 +204,8 @@
 	return p.listen("tcp", p.cfg.Listen)
 }
 
-// takeDoor takes the operators' address, if there is one.
-func (p *Proxy) takeDoor() (net.Listener, error) {
+// listenForAdmin binds the admin address. It returns nil if none is configured.
+func (p *Proxy) listenForAdmin() (net.Listener, error) {
 	if p.cfg.Ops == "" {
 		return nil, nil
 	}
@@ -203,130 +216,135 @@
 	return ln, nil
 }
 
-func (p *Proxy) openDoor(ctx context.Context, ln net.Listener) {
-	s := newOperators(p)
-	p.owner.ops = true
-	p.owner.roll.out = s.load()
-	p.door = ops.New(ln, s, p.log)
-	p.parts.Go(p.door.Run)
-	p.parts.Go(func() { s.follow(ctx) })
+// startAdminServer loads the cordoned hosts and serves the admin API on ln.
+func (p *Proxy) startAdminServer(ctx context.Context, ln net.Listener) {
+	s := newAdminCalls(p)
+	p.owner.adminEnabled = true
+	p.owner.registry.cordoned = s.loadCordoned()
+	p.adminServer = ops.New(ln, s, p.log)
+	p.goroutines.Go(p.adminServer.Run)
+	p.goroutines.Go(func() { s.watchFile(ctx) })
 }
 
-// prepare waits until this process can serve: it has a list, from discovery if that answers in time.
-func (p *Proxy) prepare(ctx context.Context) {
-	late := time.NewTimer(p.times.firstListTimeout)
-	defer late.Stop()
+// awaitList waits until the proxy can serve. It prefers a host list from discovery. If none arrives in time, any
+// list with hosts will do, such as the one from the configuration.
+func (p *Proxy) awaitList(ctx context.Context) {
+	timeout := time.NewTimer(p.times.firstListTimeout)
+	defer timeout.Stop()
 	select {
 	case <-ctx.Done():
 		return
-	case <-p.owner.fresh:
-	case <-late.C:
+	case <-p.owner.listReceived:
+	case <-timeout.C:
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.owner.known:
+		case <-p.owner.hostsKnown:
 		}
 	}
-	p.able.Store(true)
-	close(p.prepared)
+	p.serving.Store(true)
+	close(p.ready)
 }
 
+// serve accepts connections until ctx is cancelled. With an inherited socket it first waits until the proxy is ready.
 func (p *Proxy) serve(ctx context.Context) (Phase, error) {
-	if p.cfg.ListenFD != "" { // what connects meanwhile waits in the backlog, or is another process's
+	if p.cfg.ListenFD != "" { // new connections wait in the backlog, or go to the other process
 		select {
 		case <-ctx.Done():
-			return p.end(), nil
-		case <-p.prepared:
+			return p.beginShutdown(), nil
+		case <-p.ready:
 		}
 	}
 	accepted := make(chan struct{})
-	p.parts.Go(func() {
+	p.goroutines.Go(func() {
 		p.front.accept()
 		close(accepted)
 	})
 	select {
 	case <-ctx.Done():
-		return p.end(), nil
+		return p.beginShutdown(), nil
 	case <-accepted:
-		return Stopped, fmt.Errorf("the listener has closed")
+		return Stopped, fmt.Errorf("listener closed unexpectedly")
 	}
 }
 
-// end begins the end: operators are told that this process serves no longer.
-func (p *Proxy) end() Phase {
-	p.told = time.Now()
-	p.able.Store(false)
+// beginShutdown starts the shutdown and returns its first phase. From here on the admin health check fails.
+func (p *Proxy) beginShutdown() Phase {
+	p.stopRequestedAt = time.Now()
+	p.serving.Store(false)
 	if p.cfg.ListenFD != "" {
-		return Parting
+		return HandingOver
 	}
 	return Draining
 }
 
-// part leaves new connections to the process that takes over. What clients still send on those that they have is
-// answered, each time as the last on its connection: closing an idle one now could cross a request.
-func (p *Proxy) part(context.Context) (Phase, error) {
+// handOver leaves new connections to the process that takes over. Requests on existing connections are still answered, and
+// each response closes its connection. Idle connections stay open, because closing one now could lose a request that the
+// client is just sending.
+func (p *Proxy) handOver(context.Context) (Phase, error) {
 	p.front.close()
-	end := p.told.Add(seconds(p.longest()))
-	p.owner.post(shutdownScheduled{p.owner.clock.now() +
-		time.Until(end.Add(p.times.shutdownSpare-p.times.finalWritePeriod)).Seconds()})
+	end := p.stopRequestedAt.Add(seconds(p.longestDeadline()))
+	p.owner.post(shutdownScheduled{p.owner.clock.now() + time.Until(end.Add(p.times.shutdownSpare-p.times.finalWritePeriod)).Seconds()})
 	p.front.closeAfterResponses()
-	left := make(chan struct{})
+	drained := make(chan struct{})
 	go func() {
 		p.front.wg.Wait()
-		close(left)
+		close(drained)
 	}()
 	select {
-	case <-left:
+	case <-drained:
 	case <-time.After(time.Until(end)):
 	}
 	return Finishing, nil
 }
 
-// longest is the longest deadline, in seconds; one that other settings have shortened holds for what was taken under it.
-func (p *Proxy) longest() float64 { return time.Duration(p.ending.Load()).Seconds() }
+// longestDeadline returns the longest class deadline since the start, in seconds. Requests accepted under earlier settings
+// keep their deadlines, so that a reload with shorter ones does not lower it.
+func (p *Proxy) longestDeadline() float64 { return time.Duration(p.maxDeadlineNanos.Load()).Seconds() }
 
-// inForce notes the settings that hold from now on.
-func (p *Proxy) inForce(c *balancer.Config) {
-	p.live.Store(c)
+// setActiveConfig stores the settings in force from now on.
+func (p *Proxy) setActiveConfig(c *balancer.Config) {
+	p.activeConfig.Store(c)
 	for _, k := range c.Classes {
-		p.ending.Store(max(p.ending.Load(), int64(seconds(k.Deadline))))
+		p.maxDeadlineNanos.Store(max(p.maxDeadlineNanos.Load(), int64(seconds(k.Deadline))))
 	}
 }
 
-// drain goes on accepting: clients learn of the end only from the answers, and closing the listener resets what waits
-// in its backlog.
+// drain keeps accepting connections for a while. Clients learn of the shutdown only from the responses, and closing the
+// listener would reset the connections in its backlog.
 func (p *Proxy) drain(context.Context) (Phase, error) {
 	p.front.drain()
-	time.Sleep(time.Until(p.told.Add(p.times.drainPeriod)))
+	time.Sleep(time.Until(p.stopRequestedAt.Add(p.times.drainPeriod)))
 	p.front.setAcceptDeadline(p.times.backlogPeriod)
 	time.Sleep(p.times.backlogPeriod)
 	return Finishing, nil
 }
 
-// finish waits for what is out, no longer than any client waits for it.
+// finish waits for open requests, at most until the longest deadline and a margin have passed, and then stops all
+// goroutines.
 func (p *Proxy) finish(context.Context) (Phase, error) {
 	if p.cfg.ListenFD == "" {
 		p.front.close()
 		time.Sleep(p.times.lastRequestPeriod)
 	}
 	p.front.drain()
-	answered := make(chan struct{})
+	drained := make(chan struct{})
 	go func() {
 		p.front.wg.Wait()
-		close(answered)
+		close(drained)
 	}()
 	select {
-	case <-answered:
-	case <-time.After(time.Until(p.told.Add(seconds(p.longest()) + p.times.shutdownSpare))):
+	case <-drained:
+	case <-time.After(time.Until(p.stopRequestedAt.Add(seconds(p.longestDeadline()) + p.times.shutdownSpare))):
 		p.log.Warn("requests left unanswered at the end")
 	}
 	p.front.stop()
-	p.halt()
-	if p.door != nil {
-		p.door.Close()
+	p.cancel()
+	if p.adminServer != nil {
+		p.adminServer.Close()
 	}
 	p.owner.post(stopRequested{})
-	p.hosts.update(balancer.ListFull, catalog{}, p.owner.clock.now()) // no host is left: closes what is idle
-	p.parts.Wait()
+	p.hosts.update(balancer.ListFull, catalog{}, p.owner.clock.now()) // with no hosts left, this closes all idle connections
+	p.goroutines.Wait()
 	return Stopped, nil
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -14,14 +14,14 @@
 	"go.uber.org/zap"
 )
 
-// TestDrainPhases: told to end, a proxy answers what is out and what still comes, closes each connection with its
-// answer, and ends.
+// TestDrainPhases checks that a stopping proxy answers pending and new requests, closes each connection with its response,
+// and then ends.
 func TestDrainPhases(t *testing.T) {
 	release := newGate()
 	defer release.open()
-	h := newHost(t, func(c net.Conn, r seenRequest) bool {
+	h := newFakeHost(t, func(c net.Conn, r receivedRequest) bool {
 		<-release.opened
-		return says(ok)(c, r)
+		return respondWith(okResponse)(c, r)
 	})
 	g := startOneHost(t, h, func(p *Proxy) { p.times.drainPeriod = 1500 * time.Millisecond })
 	idle, busy, late := g.dial(), g.dial(), g.dial()
@@ -30,14 +30,14 @@
 	idleReader := bufio.NewReader(idle)
 	readResponse(t, idleReader)
 	io.WriteString(busy, long())
-	h.seen.next(t, "the request")
+	h.requests.next(t, "the request")
 	g.shutDown()
 	if _, err := idleReader.ReadByte(); err != io.EOF {
 		t.Fatalf("the idle connection: %v", err)
 	}
 	after := g.dial() // new connections are still taken
 	io.WriteString(after, long())
-	h.seen.next(t, "the request that came after")
+	h.requests.next(t, "the request that came after")
 	release.open()
 	for name, c := range map[string]net.Conn{"busy": busy, "after": after} {
 		if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK || !a.closes {
@@ -51,21 +51,21 @@
 	}
 }
 
-// TestBacklog: connections that wait in the listener's backlog when the proxy is told to end are taken and answered.
+// TestBacklog checks that connections in the listener's backlog when the proxy is told to stop are accepted and answered.
 func TestBacklog(t *testing.T) {
-	h := newHost(t, says(ok))
+	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h, func(p *Proxy) {
 		p.cfg.Site.Connections.Limit = 1
 		p.times.drainPeriod = 100 * time.Millisecond
 	})
-	// All places are taken, so that what comes now stays in the backlog.
+	// All connection slots are taken, so that new connections stay in the backlog.
 	f := g.p.front
 	hold := func(n int) {
 		f.mu.Lock()
 		f.open += n
 		f.mu.Unlock()
 	}
-	hold(shedReserve) // the last place is that of the accept that is waiting
+	hold(overflowConns) // the last slot is for the accept call that is waiting
 	taken := g.dial()
 	io.WriteString(taken, requestText("read", ""))
 	readResponse(t, bufio.NewReader(taken))
@@ -74,7 +74,7 @@
 		io.WriteString(c, requestText("read", ""))
 	}
 	g.shutDown()
-	hold(-shedReserve)
+	hold(-overflowConns)
 	for n, c := range waiting {
 		if a := readResponse(t, bufio.NewReader(c)); a.status == 0 {
 			t.Errorf("request %d in the backlog was lost", n)
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestAddressTaken: an address that cannot be listened on is one plain error.
+// TestAddressTaken checks the error for a listening address that is already in use.
 func TestAddressTaken(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -100,20 +100,20 @@
 	}
 }
 
-// TestUnreadyHealth: without a list the proxy says so, but not with a refusal.
+// TestUnreadyHealth checks that the health check fails without a host list, but not with 503, which would mean a refusal.
 func TestUnreadyHealth(t *testing.T) {
-	l := newList(t)
+	l := newFakeDiscovery(t)
 	g := startProxy(t, l.addr(), "null")
 	a := g.raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 	if a.status != http.StatusInternalServerError {
 		t.Fatalf("answered %d", a.status)
 	}
 	if a := g.raw(requestText("write", "x")); a.status != http.StatusServiceUnavailable {
-		t.Fatalf("a request got %d; nothing has run, so it is refused", a.status)
+		t.Fatalf("a request got %d, want a refusal since nothing has run", a.status)
 	}
 }
 
-// TestPhaseNames: the log names the phases.
+// TestPhaseNames checks the names of the phases in the log.
 func TestPhaseNames(t *testing.T) {
 	for p, want := range map[Phase]string{Starting: "starting", Serving: "serving", Draining: "draining",
 		Finishing: "finishing", Stopped: "stopped"} {
@@ -123,25 +123,24 @@
 	}
 }
 
-// TestFullHouseEnds: with every place for clients taken, so that accepting waits for one, it still ends with the
-// listener.
+// TestFullHouseEnds checks that accept returns when the listener is closed, even while it waits for a free connection slot.
 func TestFullHouseEnds(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := newFrontend(ln, frontendLimits{maxConns: 1}, newConnBudget(Limits{Sockets: 100}), nil, nil,
-		wire.NewPool(), nil, testTiming(), zap.NewNop())
+	f, err := newFrontend(ln, frontendLimits{maxConns: 1}, newConnBudget(Limits{Sockets: 100}), nil, nil, wire.NewPool(), nil,
+		testTiming(), zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.stop()
-	f.open = 1 + shedReserve
+	f.open = 1 + overflowConns
 	ended := make(eventChan[bool], 1)
 	go func() {
 		f.accept()
 		ended <- true
 	}()
 	f.close()
-	ended.next(t, "the end of accepting")
+	ended.next(t, "the return of accept")
 }
--- a/internal/proxy/script_test.go
+++ b/internal/proxy/script_test.go
@@ -25,7 +25,7 @@
 
 // install makes the proxy use the fake balancer.
 func (s *fakeBalancer) install(p *Proxy) {
-	p.decide = func(_ float64, _ balancer.Config, act balancer.Actions) balancer.Handler {
+	p.newHandler = func(_ float64, _ balancer.Config, act balancer.Actions) balancer.Handler {
 		s.act = act
 		act.Watch()
 		return s
--- a/internal/proxy/switch_test.go
+++ b/internal/proxy/settings_reload_test.go
@@ -14,9 +14,9 @@
 	"beechwing/internal/settings"
 )
 
-// poolSettings are those of a deployment of another shape: one location, other classes in another order, no probes, no
-// second copies, no reports, a pool of proxies.
-const poolSettings = `{"Balancers": 16, "Me": 3, "Zone": 0, "Dcs": ["c"], "Discovery": "push",
+// otherSettings are the settings of a different deployment: a single zone, other classes in another order, no probes, no
+// hedging, no load reports, and more proxies.
+const otherSettings = `{"Balancers": 16, "Me": 3, "Zone": 0, "Dcs": ["c"], "Discovery": "push",
  "Classes": [
  {"Name": "pay", "Effect": "once", "AimS": 0.8, "DeadlineS": 2.5, "Credit": 8.0, "LateWorth": 0.3},
  {"Name": "write", "Effect": "once", "AimS": 0.2, "DeadlineS": 1.0, "Credit": 5.0}],
@@ -26,8 +26,8 @@
  "Rules": {"AskWithinS": 5.0, "StopSendingWithinS": 1.0, "ColdFrom": 0.12, "ColdS": 23.0, "FallMultiple": 3.0,
   "TipAfterS": 2.0}}`
 
-// to is a configuration with other settings, read as the file is.
-func to(text string) func(*Config) error {
+// withSettings returns a change that parses the settings in text, as when the file is read.
+func withSettings(text string) func(*Config) error {
 	return func(c *Config) (err error) {
 		if c.Settings, err = settings.Parse([]byte(text)); err != nil {
 			return err
@@ -41,31 +41,31 @@
 	}
 }
 
-// switchTo has the proxy read a configuration again, and waits until that is done.
-func (r *rereads) switchTo(t testing.TB, g *testProxy, text, log string) {
+// reloadWith reloads the configuration with the settings in text, and waits for the log message that ends the reload.
+func (r *fakeConfigFile) reloadWith(t testing.TB, g *testProxy, text, log string) {
 	t.Helper()
-	r.set(to(text))
+	r.set(withSettings(text))
 	g.p.Reload()
 	for got := ""; got != log; {
-		got = r.done.next(t, log)
+		got = r.logged.next(t, log)
 	}
 }
 
-// TestSwitchUnderLoad: settings of another shape come into force and go again, many times, while clients ask. Each request
-// has one answer, each unsafe one reaches hosts once at the most, and what one of the two does not know is told at once.
+// TestSwitchUnderLoad switches several times between two different settings while clients send requests. Each request gets
+// one response, each unsafe request reaches hosts at most once, and classes that the current settings lack are rejected.
 func TestSwitchUnderLoad(t *testing.T) {
 	var mu sync.Mutex
 	runs := map[string]int{}
-	serve := func(c net.Conn, r seenRequest) bool {
+	serve := func(c net.Conn, r receivedRequest) bool {
 		mu.Lock()
 		runs[r.Header.Get(headerID)]++
 		mu.Unlock()
-		return says(ok)(c, r)
+		return respondWith(okResponse)(c, r)
 	}
-	a, b := newHost(t, serve), newHost(t, serve)
-	l := newList(t, entry("h1", a.addr()), entry("h2", b.addr()))
+	a, b := newFakeHost(t, serve), newFakeHost(t, serve)
+	l := newFakeDiscovery(t, entry("h1", a.addr()), entry("h2", b.addr()))
 	l.set(entry("h1", a.addr()), entry("h2", b.addr()))
-	file, f := reloads()
+	file, f := withConfigFile()
 	g := startProxy(t, l.addr(), "null", f)
 	g.waitReady()
 	stop := make(chan struct{})
@@ -85,7 +85,7 @@
 				io.WriteString(c, requestText(class, text))
 				r, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil {
-					t.Errorf("%s without an answer: %v", class, err)
+					t.Errorf("%s without a response: %v", class, err)
 					c.Close()
 					return
 				}
@@ -95,23 +95,23 @@
 		})
 	}
 	for range 6 {
-		file.switchTo(t, g, poolSettings, "settings in force")
+		file.reloadWith(t, g, otherSettings, "settings in force")
 		if a := g.raw(requestText("pay", "")); a.status == http.StatusBadRequest {
-			t.Error("the new settings' class is unknown")
+			t.Error("a class of the new settings is unknown")
 		}
 		if a := g.raw(requestText("read", "")); a.status != http.StatusBadRequest {
-			t.Errorf("a class that went: %d", a.status)
+			t.Errorf("a class that the new settings lack: %d", a.status)
 		}
-		file.switchTo(t, g, testSettings, "settings in force")
+		file.reloadWith(t, g, testSettings, "settings in force")
 		if a := g.raw(requestText("pay", "")); a.status != http.StatusBadRequest {
-			t.Errorf("back again, the other's class: %d", a.status)
+			t.Errorf("a class of the other settings, after switching back: %d", a.status)
 		}
 	}
 	close(stop)
 	clients.Wait()
 	for i, count := range counts {
 		if count[http.StatusOK] == 0 || i%3 == 0 && (count[http.StatusBadRequest] > 0 || count[http.StatusBadGateway] > 0) {
-			t.Errorf("client %d: answers %v", i, count)
+			t.Errorf("client %d: responses %v", i, count)
 		}
 	}
 	mu.Lock()
@@ -121,20 +121,21 @@
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	if figures := string(g.p.owner.tally.text()); strings.Count(figures, "proxy.ok.write=") != 1 ||
-		!strings.Contains(figures, "proxy.ok.pay=") || !strings.Contains(figures, "proxy.active=0") {
-		t.Errorf("figures %s", figures)
+	if stats := string(g.p.owner.stats.text()); strings.Count(stats, "proxy.ok.write=") != 1 ||
+		!strings.Contains(stats, "proxy.ok.pay=") || !strings.Contains(stats, "proxy.active=0") {
+		t.Errorf("statistics: %s", stats)
 	}
 }
 
-// TestClassGoesWhileOpen: what was taken under the old settings ends under them: its class may be gone, its deadline may be
-// longer than any now.
+// TestClassGoesWhileOpen checks that requests accepted under earlier settings still complete under them, although their
+// class may no longer exist or their deadline may exceed all current ones.
 func TestClassGoesWhileOpen(t *testing.T) {
 	release := newGate()
 	defer release.open()
-	h := newHost(t, release.says(ok))
-	l := newList(t, entry("h1", h.addr()), entry("h2", h.addr()), entry("h3", h.addr())) // three: limits start low
-	file, f := reloads()
+	h := newFakeHost(t, release.respondWith(okResponse))
+	// Three hosts, because concurrency limits start low.
+	l := newFakeDiscovery(t, entry("h1", h.addr()), entry("h2", h.addr()), entry("h3", h.addr()))
+	file, f := withConfigFile()
 	g := startProxy(t, l.addr(), "null", f)
 	g.waitReady()
 	open := map[string]net.Conn{}
@@ -142,50 +143,51 @@
 		c := g.dial()
 		defer c.Close()
 		io.WriteString(c, requestText(class, ""))
-		h.seen.next(t, class)
+		h.requests.next(t, class)
 		open[class] = c
 	}
-	file.switchTo(t, g, poolSettings, "settings in force")
+	file.reloadWith(t, g, otherSettings, "settings in force")
 	release.open()
 	for class, c := range open {
 		if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
 			t.Errorf("%s: %d", class, a.status)
 		}
 	}
-	if len(h.seen) > 0 {
-		t.Errorf("%d attempts more", len(h.seen))
+	if len(h.requests) > 0 {
+		t.Errorf("%d more attempts", len(h.requests))
 	}
 }
 
-// TestBadSettingsChangeNothing: one field that makes no sense, and the old settings serve on as a whole.
+// TestBadSettingsChangeNothing checks that with one invalid field in the new settings, the old settings stay in force as a
+// whole.
 func TestBadSettingsChangeNothing(t *testing.T) {
-	h := newHost(t, says(ok))
-	l := newList(t, entry("h1", h.addr()))
-	file, f := reloads()
+	h := newFakeHost(t, respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
+	file, f := withConfigFile()
 	g := startProxy(t, l.addr(), "null", f)
 	g.waitReady()
-	bad := strings.Replace(poolSettings, `"MissAllowed": 0.02`, `"MissAllowed": 2`, 1)
-	file.switchTo(t, g, bad, "configuration not read again, the old one stays")
+	bad := strings.Replace(otherSettings, `"MissAllowed": 0.02`, `"MissAllowed": 2`, 1)
+	file.reloadWith(t, g, bad, "configuration not read again, the old one stays")
 	if a := g.raw(requestText("read", "")); a.status != http.StatusOK {
 		t.Errorf("a class of the old settings: %d", a.status)
 	}
 	if a := g.raw(requestText("pay", "")); a.status != http.StatusBadRequest {
-		t.Errorf("a class of the refused settings: %d", a.status)
+		t.Errorf("a class of the rejected settings: %d", a.status)
 	}
 }
 
-// TestSwitchWhileEnding: settings that come while the proxy is told to end, or one after another without a pause, lose nothing:
-// what is open is answered, the last ones are in force, and the proxy ends.
+// TestSwitchWhileEnding checks reloads in quick succession, and while the proxy is told to stop: pending requests are
+// answered, the last settings come into force, and the proxy ends.
 func TestSwitchWhileEnding(t *testing.T) {
 	release, ending := newGate(), newGate()
 	defer release.open()
 	defer ending.open()
-	h := newHost(t, release.says(ok))
-	l := newList(t, entry("h1", h.addr()))
-	file, f := reloads()
+	h := newFakeHost(t, release.respondWith(okResponse))
+	l := newFakeDiscovery(t, entry("h1", h.addr()))
+	file, f := withConfigFile()
 	g := startProxy(t, l.addr(), "null", f, func(p *Proxy) {
-		step := p.steps[Draining]
-		p.steps[Draining] = func(ctx context.Context) (Phase, error) {
+		step := p.phaseFuncs[Draining]
+		p.phaseFuncs[Draining] = func(ctx context.Context) (Phase, error) {
 			<-ending.opened
 			return step(ctx)
 		}
@@ -194,11 +196,11 @@
 	c := g.dial()
 	defer c.Close()
 	io.WriteString(c, requestText("write", ""))
-	h.seen.next(t, "the request")
+	h.requests.next(t, "the request")
 	for range 20 {
-		file.set(to(testSettings))
+		file.set(withSettings(testSettings))
 		g.p.Reload()
-		file.set(to(poolSettings))
+		file.set(withSettings(otherSettings))
 		g.p.Reload()
 	}
 	g.shutDown()
@@ -207,11 +209,11 @@
 			t.Fatal("the last settings are not in force")
 		}
 		g.p.Reload()
-		file.done.next(t, "a reading")
+		file.logged.next(t, "a reload")
 	}
 	release.open()
 	if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK {
-		t.Errorf("what was open: %d", a.status)
+		t.Errorf("the pending request: %d", a.status)
 	}
 	ending.open()
 	g.stop()
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -107,7 +107,7 @@
 	} else {
 		s.bufs.PutBuffer(p.buf)
 	}
-	ask(s.dataReady)
+	signal(s.dataReady)
 	return true
 }
 
@@ -116,7 +116,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ended, s.err = true, err
-	ask(s.dataReady)
+	signal(s.dataReady)
 }
 
 // take returns the next piece, whose buffer then belongs to the caller. It returns io.EOF at the end of a complete
@@ -128,7 +128,7 @@
 			p := s.queue[0]
 			s.queue = s.queue[1:]
 			s.mu.Unlock()
-			ask(s.spaceFreed)
+			signal(s.spaceFreed)
 			return p, nil
 		}
 		ended, err := s.ended, s.err
@@ -156,7 +156,7 @@
 		s.bufs.PutBuffer(p.buf)
 	}
 	s.queue = nil
-	ask(s.spaceFreed)
+	signal(s.spaceFreed)
 }
 
 // takeBody returns the whole message as a body. The message has ended and no piece has been taken.
