--- a/cmd/beechwing-control/calls.go
+++ b/cmd/beechwing-control/calls.go
@@ -154,9 +154,9 @@
 	for state, n := range s.Keys {
 		page.Gauge("beechwing_control_registers", float64(n), "state", state)
 	}
-	page.Gauge("beechwing_control_oldest_claim_seconds", s.Oldest)
-	page.Gauge("beechwing_control_edition_held", float64(s.Edition))
-	page.Gauge("beechwing_control_edition_in_force", float64(s.InForce))
+	page.Gauge("beechwing_control_oldest_claim_seconds", s.OldestClaimSeconds)
+	page.Gauge("beechwing_control_edition_held", float64(s.HeldVersion))
+	page.Gauge("beechwing_control_edition_in_force", float64(s.InForceVersion))
 	page.Flag("beechwing_control_voting", s.Voting)
 	page.Flag("beechwing_control_in_contact", s.InContact)
 	page.Flag("beechwing_control_member", s.Member)
@@ -166,7 +166,7 @@
 	page.Gauge("beechwing_control_members", float64(len(s.Members)))
 	page.Gauge("beechwing_control_standbys", float64(len(s.Standbys)))
 	page.Gauge("beechwing_control_silent_members", float64(len(s.Silent)))
-	page.Gauge("beechwing_control_last_contact_seconds", s.ContactAge)
+	page.Gauge("beechwing_control_last_contact_seconds", s.SinceContactSeconds)
 	disk := p.writer.Figures()
 	page.Flag("beechwing_control_disk_failing", disk.Condition != store.Healthy)
 	page.Gauge("beechwing_control_disk_waiting", float64(disk.Values), "what", "values")
@@ -177,9 +177,9 @@
 		page.Gauge("beechwing_control_work_seconds_total", t.Seconds, "kind", string(t.Kind))
 	}
 	for _, a := range s.Assignments {
-		page.Gauge("beechwing_control_assignment_epoch", float64(a.Epoch), "carrier", a.Carrier)
-		page.Gauge("beechwing_control_assignment_members", float64(a.Members), "carrier", a.Carrier)
-		page.Gauge("beechwing_control_assignment_waiting", float64(len(a.Waiting)), "carrier", a.Carrier)
+		page.Gauge("beechwing_control_assignment_epoch", float64(a.Epoch), "carrier", a.Service)
+		page.Gauge("beechwing_control_assignment_members", float64(a.Members), "carrier", a.Service)
+		page.Gauge("beechwing_control_assignment_waiting", float64(len(a.Waiting)), "carrier", a.Service)
 	}
 	page.Gauge("beechwing_control_roll", float64(len(s.Roll)))
 	page.Gauge("beechwing_control_silent", float64(len(s.SilentProxies)))
--- a/cmd/beechwing-control/disk.go
+++ b/cmd/beechwing-control/disk.go
@@ -85,5 +85,5 @@
 	} else {
 		p.log.Info("disk", "condition", c.Condition)
 	}
-	p.with(func(now float64) { p.server.DiskState(now, failing, c.Why) })
+	p.with(func(now float64) { p.server.SetDiskState(now, failing, c.Why) })
 }
--- a/cmd/beechwing-control/run.go
+++ b/cmd/beechwing-control/run.go
@@ -69,9 +69,9 @@
 	values, found := disk.values, disk.found
 	p.writer = p.newWriter(disk)
 	log.Info("disk read", "found", found, "values", len(values), "first", d.FirstStart)
-	p.server, err = control.New(p.clock.Now(), control.Options{Self: d.Inner(), Seeds: d.Seeds(), First: d.FirstStart,
-		Tolerance: d.Tolerance.Machines, Window: d.Bound("passWindowS", 60),
-		LeaseTime: sharding.LeaseTime(d.Span("holdMaxMs", 0).Seconds()), Life: rand.Uint32() | 1, Random: rand.Uint64(),
+	p.server, err = control.New(p.clock.Now(), control.Options{Self: d.Inner(), Seeds: d.Seeds(), Bootstrap: d.FirstStart,
+		Tolerance: d.Tolerance.Machines, RetentionSeconds: d.Bound("passWindowS", 60),
+		LeaseSeconds: sharding.LeaseTime(d.Span("holdMaxMs", 0).Seconds()), Life: rand.Uint32() | 1, RandomSeed: rand.Uint64(),
 		Log: func(e string, args ...any) { log.Info(e, args...) }}, values)
 	if err != nil {
 		return err
@@ -99,7 +99,7 @@
 	again := make(chan os.Signal, 1)
 	signal.Notify(again, syscall.SIGHUP)
 	go cli.Settings(ctx, os.Getenv(bootstrap.Variable), again, log, func(d *bootstrap.Settings) {
-		p.with(func(float64) { p.server.Seeds(d.Seeds()) })
+		p.with(func(float64) { p.server.SetSeeds(d.Seeds()) })
 	})
 	log.Info("listening", "name", d.NodeName, "control", d.Docking.Control, "inner", d.Inner())
 	tick := time.NewTicker(tickEvery)
@@ -131,7 +131,7 @@
 		case <-ticks:
 			p.with(func(now float64) {
 				p.server.Tick(now)
-				left = p.server.Left(now)
+				left = p.server.MayStop(now)
 			})
 			p.writer.Tick()
 		case <-late:
@@ -152,7 +152,7 @@
 func (p *program) step(input func(now float64)) {
 	input(p.clock.Now())
 	for {
-		out := p.server.Take()
+		out := p.server.TakeEffects()
 		if len(out.Puts) > 0 || len(out.After) > 0 {
 			p.writer.Add(out.Puts, out.After)
 		}
@@ -168,7 +168,7 @@
 	self := p.settings.Inner()
 	for _, s := range all {
 		if s.To == self {
-			p.server.Heard(p.clock.Now(), self, s.Message)
+			p.server.HandleMessage(p.clock.Now(), self, s.Message)
 			continue
 		}
 		p.net.Send(s.To, s.Message)
@@ -186,6 +186,6 @@
 	for {
 		came := p.inbox.take()
 		kind := workload.Kind(meshpb.Kind(came.Message))
-		p.timed(kind, func(now float64) { p.server.Heard(now, came.From, came.Message) })
+		p.timed(kind, func(now float64) { p.server.HandleMessage(now, came.From, came.Message) })
 	}
 }
--- a/internal/mesh/control/assignment.go
+++ b/internal/mesh/control/assignment.go
@@ -25,18 +25,18 @@
 const (
 	// reviseEvery is the least time between two readings of a service's register. Larger: proxies learn later what they may grant.
 	// Smaller: more ballots.
-	reviseEvery = 0.1
+	updateInterval = 0.1
 
 	// assignFirst is for how long the hosts of a service have to be the same before its first epoch, assignSoon before any other.
 	// Larger: the epoch is later. Smaller: hosts that come one after the other make an epoch each.
-	assignFirst = 0.6
-	assignSoon  = 0.08
+	firstEpochDelay = 0.6
+	nextEpochDelay  = 0.08
 
 	// assignNews is for how long after a change an assignment stands in every digest: each of the others hears it several times.
-	assignNews = 2.0
+	recentChangeSeconds = 2.0
 
 	// mostLeaseRequests bounds the questions that wait for a reading.
-	mostLeaseRequests = 4096
+	maxWaitingLeaseRequests = 4096
 )
 
 // leaseRequest is a proxy's question.
@@ -47,26 +47,26 @@
 
 // assignment is what this server knows of a sharded service.
 type assignment struct {
-	carrier   string
-	table     *sharding.Table // the newest known to be chosen; nil: the register has not been read
-	changedAt float64         // when the newest version was learned
-	epochAt   float64         // and the newest epoch: no lease of the one before was given since
-	wanted    []string        // the members that the hosts known here make
-	wantedAt  float64         // since when
-	reviseAt  float64         // not before then
-	busy      bool            // a reading is under way
-	asked     []leaseRequest  // that came before it
-	waiting   []leaseRequest  // and after
+	service       string
+	table         *sharding.Table // the newest known to be chosen; nil: the register has not been read
+	changedAt     float64         // when the newest version was learned
+	epochAt       float64         // and the newest epoch: no lease of the one before was given since
+	targetMembers []string        // the members that the hosts known here make
+	targetSince   float64         // since when
+	nextUpdateAt  float64         // not before then
+	busy          bool            // a reading is under way
+	inFlight      []leaseRequest  // that came before it
+	waiting       []leaseRequest  // and after
 }
 
 type assignments struct {
-	services map[string]*assignment // by name; those that the configuration calls sharded
-	edition  uint64                 // of that configuration
+	services      map[string]*assignment // by name; those that the configuration calls sharded
+	configVersion uint64                 // of that configuration
 }
 
 func (a *assignments) init() { a.services = map[string]*assignment{} }
 
-func assignmentKey(carrier string) string { return register.Permanent(sharding.RegisterName(carrier)) }
+func assignmentKey(service string) string { return register.Permanent(sharding.RegisterName(service)) }
 
 func (a *assignment) version() uint64 {
 	if a.table == nil {
@@ -83,11 +83,11 @@
 }
 
 // ofService is what is known of a service's assignment.
-func (a *assignments) ofService(carrier string) *assignment {
-	known := a.services[carrier]
+func (a *assignments) ofService(service string) *assignment {
+	known := a.services[service]
 	if known == nil {
-		known = &assignment{carrier: carrier}
-		a.services[carrier] = known
+		known = &assignment{service: service}
+		a.services[service] = known
 	}
 	return known
 }
@@ -113,18 +113,18 @@
 }
 
 // heardLeaseRequest takes a proxy's question. It is answered once the register has been read.
-func (s *Server) heardLeaseRequest(now float64, from string, m *meshpb.Message) {
-	if !s.canPromise(now) || s.assignments.services[m.LeaseRequest.Carrier] == nil {
+func (s *Server) handleLeaseRequest(now float64, from string, m *meshpb.Message) {
+	if !s.canCommit(now) || s.assignments.services[m.LeaseRequest.Carrier] == nil {
 		s.answerLease(leaseRequest{from, m}, nil)
 		return
 	}
 	a := s.assignments.services[m.LeaseRequest.Carrier]
-	if len(a.waiting) >= mostLeaseRequests {
+	if len(a.waiting) >= maxWaitingLeaseRequests {
 		s.answerLease(leaseRequest{from, m}, nil)
 		return
 	}
 	a.waiting = append(a.waiting, leaseRequest{from, m})
-	s.reviseIfDue(now, a)
+	s.updateIfDue(now, a)
 }
 
 func (s *Server) answerLease(q leaseRequest, a *meshpb.Assignment) {
@@ -133,42 +133,42 @@
 
 // tickAssignments begins what is due for each sharded service.
 func (s *Server) tickAssignments(now float64) {
-	if c := &s.configuration; c.chosenVersion() > s.assignments.edition {
-		s.assignments.edition = c.chosenVersion()
+	if c := &s.configuration; c.chosenVersion() > s.assignments.configVersion {
+		s.assignments.configVersion = c.chosenVersion()
 		for _, name := range shardedServices(c.chosen.Text) {
 			s.assignments.ofService(name)
 		}
 	}
-	if !s.canPromise(now) {
+	if !s.canCommit(now) {
 		return
 	}
-	for _, carrier := range slices.Sorted(maps.Keys(s.assignments.services)) {
-		a := s.assignments.services[carrier]
-		s.noteWanted(now, a)
-		s.reviseIfDue(now, a)
+	for _, service := range slices.Sorted(maps.Keys(s.assignments.services)) {
+		a := s.assignments.services[service]
+		s.trackTargetMembers(now, a)
+		s.updateIfDue(now, a)
 	}
 }
 
 // noteWanted notes which members the hosts that are known make, and since when.
-func (s *Server) noteWanted(now float64, a *assignment) {
-	if wanted := s.wantedMembers(now, a); !slices.Equal(wanted, a.wanted) {
-		a.wanted, a.wantedAt = wanted, now
+func (s *Server) trackTargetMembers(now float64, a *assignment) {
+	if targets := s.computeTargetMembers(now, a); !slices.Equal(targets, a.targetMembers) {
+		a.targetMembers, a.targetSince = targets, now
 	}
 }
 
 // wantedMembers are the proxies beside the counted hosts of a service. A member of which nothing is known, as this server or that
 // proxy has just started, stays until it counts as silent.
-func (s *Server) wantedMembers(now float64, a *assignment) (members []string) {
+func (s *Server) computeTargetMembers(now float64, a *assignment) (members []string) {
 	for source, r := range s.propagation.records {
-		if r.Carrier == a.carrier && r.Station != "" && r.Condition == meshpb.AtDock && !s.silentSource(now, source) {
+		if r.Carrier == a.service && r.Station != "" && r.Condition == meshpb.AtDock && !s.isSilentSource(now, source) {
 			members = append(members, source)
 		}
 	}
 	if a.table != nil {
 		for _, member := range a.table.Members {
 			r := s.propagation.records[member]
-			unknown := r == nil || r.IsTombstone() || r.Station == "" && r.Carrier == a.carrier
-			if unknown && !s.silentSource(now, member) {
+			unknown := r == nil || r.IsTombstone() || r.Station == "" && r.Carrier == a.service
+			if unknown && !s.isSilentSource(now, member) {
 				members = append(members, member)
 			}
 		}
@@ -178,17 +178,17 @@
 }
 
 // silentSource says whether nobody has heard of a proxy for long. Before this server has run for as long, it does not know.
-func (s *Server) silentSource(now float64, source string) bool {
-	return now > max(s.began, s.propagation.heard[source])+silentAfter
+func (s *Server) isSilentSource(now float64, source string) bool {
+	return now > max(s.startedAt, s.propagation.lastHeard[source])+silentAfter
 }
 
 // begins says whether this server is the one to begin the epochs of a service.
-func (s *Server) begins(now float64, carrier string) bool {
-	for _, m := range rendezvous.Order(sharding.RegisterName(carrier), s.view().Staying()) {
-		if m == s.o.Self {
+func (s *Server) isAssignmentCoordinator(now float64, service string) bool {
+	for _, m := range rendezvous.Order(sharding.RegisterName(service), s.view().Staying()) {
+		if m == s.options.Self {
 			return true
 		}
-		if !s.silent(now, m, contactFor) {
+		if !s.silent(now, m, contactTimeout) {
 			return false
 		}
 	}
@@ -196,42 +196,42 @@
 }
 
 // reviseIfDue reads and changes a service's register where proxies wait for that, or this server has something to change.
-func (s *Server) reviseIfDue(now float64, a *assignment) {
-	if a.busy || now < a.reviseAt {
+func (s *Server) updateIfDue(now float64, a *assignment) {
+	if a.busy || now < a.nextUpdateAt {
 		return
 	}
-	begins := s.begins(now, a.carrier)
-	due := len(a.waiting) > 0 || begins && a.table == nil && len(a.wanted) > 0
-	if a.table != nil && begins {
-		due = due || s.expired(now, a) || s.wantsEpoch(now, a, a.table)
+	coordinates := s.isAssignmentCoordinator(now, a.service)
+	due := len(a.waiting) > 0 || coordinates && a.table == nil && len(a.targetMembers) > 0
+	if a.table != nil && coordinates {
+		due = due || s.formerLeasesExpired(now, a) || s.needsEpoch(now, a, a.table)
 	}
 	if due {
-		s.revise(now, a)
+		s.updateAssignment(now, a)
 	}
 }
 
 // expired says that members have not released what they have lost, and that every lease of the epoch before has run out.
-func (s *Server) expired(now float64, a *assignment) bool {
-	return now > a.epochAt+s.o.LeaseTime && len(a.table.Waiting()) > 0
+func (s *Server) formerLeasesExpired(now float64, a *assignment) bool {
+	return now > a.epochAt+s.options.LeaseSeconds && len(a.table.Waiting()) > 0
 }
 
 // wantsEpoch says whether other members are to follow those of an assignment now.
-func (s *Server) wantsEpoch(now float64, a *assignment, held *sharding.Table) bool {
-	patience := assignSoon
+func (s *Server) needsEpoch(now float64, a *assignment, held *sharding.Table) bool {
+	delay := nextEpochDelay
 	if held.Epoch == 0 {
-		patience = assignFirst
+		delay = firstEpochDelay
 	}
-	return len(a.wanted) > 0 && now > a.wantedAt+patience && !slices.Equal(a.wanted, held.Members) && len(held.Waiting()) == 0
+	return len(a.targetMembers) > 0 && now > a.targetSince+delay && !slices.Equal(a.targetMembers, held.Members) && len(held.Waiting()) == 0
 }
 
 // revise reads a service's register and changes it where something is to change. Who asked before is told what it holds.
-func (s *Server) revise(now float64, a *assignment) {
-	a.busy, a.reviseAt = true, now+reviseEvery
-	a.asked, a.waiting = a.waiting, nil
-	begins := s.begins(now, a.carrier)
+func (s *Server) updateAssignment(now float64, a *assignment) {
+	a.busy, a.nextUpdateAt = true, now+updateInterval
+	a.inFlight, a.waiting = a.waiting, nil
+	coordinates := s.isAssignmentCoordinator(now, a.service)
 	edit := func(old []byte) []byte {
-		held := decodeAssignment(a.carrier, old)
-		next, changed := s.nextAssignment(now, a, held, begins)
+		held := decodeAssignment(a.service, old)
+		next, changed := s.nextAssignment(now, a, held, coordinates)
 		if !changed {
 			return nil
 		}
@@ -241,51 +241,51 @@
 		}
 		return body
 	}
-	s.registers.Update(now, assignmentKey(a.carrier), edit, func(version uint64, body []byte, ok bool) {
+	s.registers.Update(now, assignmentKey(a.service), edit, func(version uint64, body []byte, ok bool) {
 		a.busy = false
 		var known *meshpb.Assignment
 		if ok {
-			known = decodeAssignment(a.carrier, body)
+			known = decodeAssignment(a.service, body)
 			known.Version = version
 			s.adoptAssignment(now, known)
 		}
-		asked := a.asked
-		a.asked = nil
-		for _, q := range asked {
+		inFlight := a.inFlight
+		a.inFlight = nil
+		for _, q := range inFlight {
 			s.answerLease(q, known)
 		}
 	})
 }
 
-func decodeAssignment(carrier string, body []byte) *meshpb.Assignment {
+func decodeAssignment(service string, body []byte) *meshpb.Assignment {
 	held := &meshpb.Assignment{}
 	if proto.Unmarshal(body, held) != nil {
 		held = &meshpb.Assignment{}
 	}
-	held.Carrier = carrier
+	held.Carrier = service
 	return held
 }
 
 // nextAssignment is what follows an assignment: members that have released what they lost are cleared, all are once their leases have
 // run out, and the next epoch begins where nobody waits any more.
-func (s *Server) nextAssignment(now float64, a *assignment, held *meshpb.Assignment, begins bool) (next *meshpb.Assignment, changed bool) {
+func (s *Server) nextAssignment(now float64, a *assignment, held *meshpb.Assignment, coordinates bool) (next *meshpb.Assignment, changed bool) {
 	next = proto.Clone(held).(*meshpb.Assignment)
-	for _, q := range a.asked {
+	for _, q := range a.inFlight {
 		if clearReleased(next, q) {
 			changed = true
 		}
 	}
-	if !begins {
+	if !coordinates {
 		return next, changed
 	}
 	table := sharding.Compile(next)
-	if waiting := table.Waiting(); len(waiting) > 0 && a.epoch() == held.Epoch && now > a.epochAt+s.o.LeaseTime {
+	if waiting := table.Waiting(); len(waiting) > 0 && a.epoch() == held.Epoch && now > a.epochAt+s.options.LeaseSeconds {
 		next.Cleared, changed = append(next.Cleared, waiting...), true
 		table = sharding.Compile(next)
 	}
-	if s.wantsEpoch(now, a, table) {
-		s.o.Log("assignment", "carrier", a.carrier, "epoch", held.Epoch+1, "members", len(a.wanted), "before", len(held.Members))
-		return &meshpb.Assignment{Carrier: a.carrier, Epoch: held.Epoch + 1, Members: a.wanted, Previous: held.Members}, true
+	if s.needsEpoch(now, a, table) {
+		s.options.Log("assignment", "carrier", a.service, "epoch", held.Epoch+1, "members", len(a.targetMembers), "before", len(held.Members))
+		return &meshpb.Assignment{Carrier: a.service, Epoch: held.Epoch + 1, Members: a.targetMembers, Previous: held.Members}, true
 	}
 	return next, changed
 }
@@ -311,14 +311,14 @@
 		a.epochAt = now
 	}
 	a.table, a.changedAt = sharding.Compile(known), now
-	s.propagation.changed, s.propagation.digestAt = true, 0
-	s.wake(now)
+	s.propagation.changed, s.propagation.nextDigestAt = true, 0
+	s.answerHeldPulls(now)
 }
 
 // heardAssignments takes what another server knows to be chosen.
-func (s *Server) heardAssignments(now float64, all []*meshpb.Assignment) {
+func (s *Server) handleAssignments(now float64, all []*meshpb.Assignment) {
 	for _, known := range all {
-		if s.assignments.services[known.Carrier] != nil || len(s.assignments.services) < mostLists {
+		if s.assignments.services[known.Carrier] != nil || len(s.assignments.services) < maxServiceLists {
 			s.adoptAssignment(now, known)
 		}
 	}
@@ -333,9 +333,9 @@
 }
 
 // wire are the assignments that changed since a time, in order.
-func (a *assignments) wire(since float64) (all []*meshpb.Assignment) {
-	for _, carrier := range slices.Sorted(maps.Keys(a.services)) {
-		if known := a.services[carrier]; known.version() > 0 && known.changedAt >= since {
+func (a *assignments) changedSince(since float64) (all []*meshpb.Assignment) {
+	for _, service := range slices.Sorted(maps.Keys(a.services)) {
+		if known := a.services[service]; known.version() > 0 && known.changedAt >= since {
 			all = append(all, known.table.Assignment)
 		}
 	}
@@ -344,23 +344,23 @@
 
 // AssignmentState is what an operator sees of a sharded service.
 type AssignmentState struct {
-	Carrier string   `json:"carrier"`
-	Epoch   uint64   `json:"epoch"` // the fence of what is granted
-	Age     float64  `json:"epochSeconds"`
-	Members int      `json:"members"`
-	Wanted  int      `json:"wanted"`     // members that the hosts known here make
-	Waiting []string `json:"waitingFor"` // former members that have not released what they lost
+	Service         string   `json:"carrier"`
+	Epoch           uint64   `json:"epoch"` // the fence of what is granted
+	EpochAgeSeconds float64  `json:"epochSeconds"`
+	Members         int      `json:"members"`
+	Wanted          int      `json:"wanted"`     // members that the hosts known here make
+	Waiting         []string `json:"waitingFor"` // former members that have not released what they lost
 }
 
 // state is what is known of the sharded services, in order. It is not read anew.
 func (a *assignments) state(now float64) (all []AssignmentState) {
-	for _, carrier := range slices.Sorted(maps.Keys(a.services)) {
-		known := a.services[carrier]
+	for _, service := range slices.Sorted(maps.Keys(a.services)) {
+		known := a.services[service]
 		if known.table == nil {
 			continue
 		}
-		all = append(all, AssignmentState{Carrier: carrier, Epoch: known.epoch(), Age: now - known.epochAt, Members: len(known.table.Members),
-			Wanted: len(known.wanted), Waiting: known.table.Waiting()})
+		all = append(all, AssignmentState{Service: service, Epoch: known.epoch(), EpochAgeSeconds: now - known.epochAt, Members: len(known.table.Members),
+			Wanted: len(known.targetMembers), Waiting: known.table.Waiting()})
 	}
 	return all
 }
--- a/internal/mesh/control/catchup_test.go
+++ b/internal/mesh/control/catchup_test.go
@@ -22,16 +22,16 @@
 
 // onDisk is what a disk holds of a server's identity and view.
 func onDisk(m view.Member, v view.View) map[string][]byte {
-	return map[string][]byte{nameIdentity: word(m.Incarnation), nameView: v.Encode()}
+	return map[string][]byte{nameIdentity: encodeUint64(m.Incarnation), nameView: v.Encode()}
 }
 
 func startScripted(t *testing.T, m view.Member, values map[string][]byte) *Server {
 	t.Helper()
-	s, err := New(1, Options{Self: m.Address, Tolerance: 1, Window: 60, Life: 5, Random: 5}, values)
+	s, err := New(1, Options{Self: m.Address, Tolerance: 1, RetentionSeconds: 60, Life: 5, RandomSeed: 5}, values)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Take()
+	s.TakeEffects()
 	return s
 }
 
@@ -43,10 +43,10 @@
 func TestPageGoesOnceTheDiskHasTheView(t *testing.T) {
 	joint, joiner, members := joinerAndMembers()
 	s := startScripted(t, members[0], onDisk(members[0], view.Founding(9, members)))
-	s.Heard(1, "s1", &meshpb.Message{Incarnation: 1, View: joint.Wire()})
-	s.Heard(1, joiner.Address, &meshpb.Message{Id: 3, Incarnation: joiner.Incarnation, Epoch: joint.Epoch,
+	s.HandleMessage(1, "s1", &meshpb.Message{Incarnation: 1, View: joint.Wire()})
+	s.HandleMessage(1, joiner.Address, &meshpb.Message{Id: 3, Incarnation: joiner.Incarnation, Epoch: joint.Epoch,
 		SyncRequest: &meshpb.SyncRequest{}})
-	out := s.Take()
+	out := s.TakeEffects()
 	if hasPage(out.Sends) || !hasPage(out.After) {
 		t.Fatalf("a page at once: %v, behind the disk: %v", hasPage(out.Sends), hasPage(out.After))
 	}
@@ -59,7 +59,7 @@
 	s = startScripted(t, joiner, onDisk(joiner, joint))
 	s.Tick(1)
 	asked = map[string]uint64{}
-	for _, send := range s.Take().Sends {
+	for _, send := range s.TakeEffects().Sends {
 		if send.Message.SyncRequest != nil {
 			asked[send.To] = send.Message.Id
 		}
@@ -71,19 +71,19 @@
 func page(s *Server, from view.Member, id, epoch uint64) {
 	held := &meshpb.Entry{Key: register.Permanent("x"), Accepted: register.Ballot{Epoch: 1, Round: 1, Node: 1, Life: 1}.Wire(),
 		Value: &meshpb.Receipt{Token: 1}}
-	s.Heard(1, from.Address, &meshpb.Message{Id: id, Incarnation: from.Incarnation, Epoch: epoch, SyncPage: &meshpb.SyncPage{
+	s.HandleMessage(1, from.Address, &meshpb.Message{Id: id, Incarnation: from.Incarnation, Epoch: epoch, SyncPage: &meshpb.SyncPage{
 		SourceLife: 8, Position: 12, Last: true, Entries: []*meshpb.Entry{held}}})
 }
 
 // finishBatch has everything put so far on the disk, and gives the names.
 func finishBatch(s *Server) (names []string) {
-	out := s.Take()
+	out := s.TakeEffects()
 	for _, p := range out.Puts {
 		names = append(names, p.Name)
 	}
 	for _, send := range out.After {
-		if send.To == s.o.Self {
-			s.Heard(1, s.o.Self, send.Message)
+		if send.To == s.options.Self {
+			s.HandleMessage(1, s.options.Self, send.Message)
 		}
 	}
 	return names
@@ -131,12 +131,12 @@
 func TestLargeAnswersAreNotSentAgainAtOnce(t *testing.T) {
 	_, _, members := joinerAndMembers()
 	s := startScripted(t, members[0], onDisk(members[0], view.Founding(9, members)))
-	s.learn(1, &meshpb.Record{Source: "proxy", Version: 1}, false)
-	s.Take()
+	s.learnRecord(1, &meshpb.Record{Source: "proxy", Version: 1}, false)
+	s.TakeEffects()
 	digest := func(now float64, life uint32, sequence uint64) (wholes, requests int) {
-		s.Heard(now, "s1", &meshpb.Message{Incarnation: 1, Epoch: 1, Digest: &meshpb.Digest{Life: life, Sequence: sequence, WantWhole: true,
+		s.HandleMessage(now, "s1", &meshpb.Message{Incarnation: 1, Epoch: 1, Digest: &meshpb.Digest{Life: life, Sequence: sequence, WantWhole: true,
 			Config: &meshpb.ConfigState{ChosenVersion: 7, ChosenHash: []byte("x")}}})
-		for _, send := range s.Take().Sends {
+		for _, send := range s.TakeEffects().Sends {
 			if send.Message.Digest.GetWhole() {
 				wholes++
 			}
--- a/internal/mesh/control/configuration.go
+++ b/internal/mesh/control/configuration.go
@@ -20,16 +20,16 @@
 // order is answered by what was chosen, after contact with a quorum.
 
 const (
-	hashBytes      = 16
-	mostHistory    = 1024 // versions whose hashes are remembered; of older ones it is only known that they are older
-	resolveAfter   = 0.25 // seconds for which a value may stand that is not known to be chosen
-	fetchAgain     = 0.2  // seconds until a configuration that another says is in force is asked for again, twice as long after each time
-	fetchMost      = 4    // times that this grows: it is large, and sending it again delays what is on its way
-	mostOrdersOpen = 64
+	hashBytes                = 16
+	maxHistory               = 1024 // versions whose hashes are remembered; of older ones it is only known that they are older
+	resolveAfter             = 0.25 // seconds for which a value may stand that is not known to be chosen
+	fetchRetryAfter          = 0.2  // seconds until a configuration that another says is in force is asked for again, twice as long after each time
+	maxFetchBackoffDoublings = 4    // times that this grows: it is large, and sending it again delays what is on its way
+	maxOpenOrders            = 64
 )
 
 // eventNotTaken is the event of a log line that says why an order ends in "no contact".
-const eventNotTaken = "order not taken"
+const eventOrderNotTaken = "order not taken"
 
 var configKey = register.Permanent("configuration")
 
@@ -48,18 +48,18 @@
 }
 
 type configuration struct {
-	chosen     *meshpb.Config // the newest known to be chosen; nil: none is
-	chosenHash []byte         // of its text, for digests
-	confirmed  bool           // what is known here was the newest at some time in this life
-	known      uint64         // the newest version that a server said is chosen
-	heldBallot register.Ballot
-	held       uint64 // version on this server's disk
-	noted      register.Ballot
-	openSince  float64 // since when a value stands that is not known to be chosen
-	resolving  bool
-	open       int // orders under way
-	fetchAt    float64
-	fetches    int // since one came
+	chosen          *meshpb.Config // the newest known to be chosen; nil: none is
+	chosenHash      []byte         // of its text, for digests
+	confirmed       bool           // what is known here was the newest at some time in this life
+	newestKnown     uint64         // the newest version that a server said is chosen
+	heldBallot      register.Ballot
+	heldVersion     uint64 // version on this server's disk
+	notedBallot     register.Ballot
+	unresolvedSince float64 // since when a value stands that is not known to be chosen
+	resolving       bool
+	openOrders      int // orders under way
+	nextFetchAt     float64
+	fetchAttempts   int // since one came
 }
 
 // chosenVersion is the newest version known to be in force; 0: none.
@@ -77,13 +77,13 @@
 
 // judge says how an order stands to a configuration that was chosen. open says that its number stands for no text yet, so it has to
 // be taken first: it is newer, or it was passed over.
-func judge(chosen *meshpb.Config, version uint64, hash []byte) (result OrderResult, open bool) {
+func checkOrder(chosen *meshpb.Config, version uint64, hash []byte) (result OrderResult, open bool) {
 	history := chosen.GetHistory()
 	at, found := findVersion(history, version)
 	switch {
 	case found && !bytes.Equal(history[at].Hash, hash):
 		return OrderConflict, false
-	case found, at == 0 && len(history) >= mostHistory:
+	case found, at == 0 && len(history) >= maxHistory:
 		return OrderTaken, false
 	}
 	return OrderTaken, true
@@ -97,10 +97,10 @@
 
 // succeed is the value of the register after an order. One whose number was passed over changes the history only: a newer one stays
 // in force, and no other text is ever taken under that number.
-func succeed(old *meshpb.Config, version uint64, text, hash []byte) *meshpb.Config {
+func applyOrder(old *meshpb.Config, version uint64, text, hash []byte) *meshpb.Config {
 	at, _ := findVersion(old.GetHistory(), version)
 	history := slices.Insert(slices.Clone(old.GetHistory()), at, &meshpb.ConfigDigest{Version: version, Hash: hash})
-	if over := len(history) - mostHistory; over > 0 {
+	if over := len(history) - maxHistory; over > 0 {
 		history = history[over:]
 	}
 	if version < old.GetVersion() {
@@ -119,56 +119,56 @@
 
 // Order has a valid configuration taken. It is answered once.
 func (s *Server) Order(now float64, version uint64, text []byte, answer func(OrderResult)) {
-	told := func(r OrderResult) {
-		s.count.order(r)
+	reply := func(r OrderResult) {
+		s.counts.order(r)
 		answer(r)
 	}
 	c := &s.configuration
 	switch {
 	case !s.isMember():
-		told(OrderNotMember)
+		reply(OrderNotMember)
 		return
-	case !s.canPromise(now):
-		s.o.Log(eventNotTaken, "edition", version, "why", s.obstacle(now))
-		told(OrderNoContact)
+	case !s.canCommit(now):
+		s.options.Log(eventOrderNotTaken, "edition", version, "why", s.commitObstacle(now))
+		reply(OrderNoContact)
 		return
-	case c.open >= mostOrdersOpen:
-		s.o.Log(eventNotTaken, "edition", version, "why", "too many orders are under way")
-		told(OrderNoContact)
+	case c.openOrders >= maxOpenOrders:
+		s.options.Log(eventOrderNotTaken, "edition", version, "why", "too many orders are under way")
+		reply(OrderNoContact)
 		return
 	}
 	hash := hashOf(text)
 	if c.chosen != nil {
-		if result, open := judge(c.chosen, version, hash); !open {
-			told(result)
+		if result, open := checkOrder(c.chosen, version, hash); !open {
+			reply(result)
 			return
 		}
 	}
-	c.open++
+	c.openOrders++
 	kept := packed.Pack(text)
 	var result OrderResult
 	edit := func(old []byte) []byte {
 		held := decodeConfig(old)
 		var open bool
-		if result, open = judge(held, version, hash); !open {
+		if result, open = checkOrder(held, version, hash); !open {
 			return nil
 		}
-		body, err := proto.Marshal(succeed(held, version, kept, hash))
+		body, err := proto.Marshal(applyOrder(held, version, kept, hash))
 		if err != nil {
 			return nil
 		}
 		return body
 	}
 	s.registers.Update(now, configKey, edit, func(_ uint64, body []byte, ok bool) {
-		c.open--
+		c.openOrders--
 		if !ok {
-			s.o.Log(eventNotTaken, "edition", version, "why", "no quorum has answered in time")
-			told(OrderNoContact)
+			s.options.Log(eventOrderNotTaken, "edition", version, "why", "no quorum has answered in time")
+			reply(OrderNoContact)
 			return
 		}
 		s.learnConfig(now, decodeConfig(body))
 		s.checks.Check(invariant.ConfirmedIsChosen, result != OrderTaken || s.configuration.chosenVersion() >= version, "version", version)
-		told(result)
+		reply(result)
 	})
 }
 
@@ -178,7 +178,7 @@
 	case !s.isMember():
 		answer(nil, OrderNotMember)
 		return
-	case !s.canPromise(now):
+	case !s.canCommit(now):
 		answer(nil, OrderNoContact)
 		return
 	}
@@ -189,7 +189,7 @@
 		}
 		text, err := packed.Unpack(s.configuration.chosen.GetText())
 		if err != nil {
-			s.o.Log("configuration not understood", "edition", s.configuration.chosenVersion(), "error", err)
+			s.options.Log("configuration not understood", "edition", s.configuration.chosenVersion(), "error", err)
 			answer(nil, OrderNoContact)
 			return
 		}
@@ -215,17 +215,17 @@
 	}
 	s.checks.Check(invariant.ConfigurationMonotonic, chosen.GetVersion() > c.chosenVersion(), "from", c.chosenVersion(), "to", chosen.GetVersion())
 	c.setChosen(chosen)
-	c.fetches = 0
-	c.known = max(c.known, chosen.Version)
-	s.putChosen()
-	s.o.Log("in force", "edition", chosen.Version, "bytes", len(chosen.Text))
-	s.propagation.changed, s.propagation.digestAt = true, 0
-	s.wake(now)
+	c.fetchAttempts = 0
+	c.newestKnown = max(c.newestKnown, chosen.Version)
+	s.persistChosen()
+	s.options.Log("in force", "edition", chosen.Version, "bytes", len(chosen.Text))
+	s.propagation.changed, s.propagation.nextDigestAt = true, 0
+	s.answerHeldPulls(now)
 }
 
 // putChosen notes on the disk that the value there is chosen, for the next start: what was chosen once stays so. It has to be the
 // same value: another one under its version, or with another history, may stand on this disk alone.
-func (s *Server) putChosen() {
+func (s *Server) persistChosen() {
 	value, ballot := s.registers.LocalValue(configKey)
 	if !proto.Equal(decodeConfig(value.GetBody()), s.configuration.chosen) {
 		return
@@ -247,7 +247,7 @@
 }
 
 // confirm learns that what is known here is the newest: a quorum holds nothing newer, and a newer one would be on one of them.
-func (s *Server) confirm(now float64) {
+func (s *Server) checkConfirmed(now float64) {
 	c := &s.configuration
 	if c.confirmed || !s.Voting() || !s.inContact(now) {
 		return
@@ -264,52 +264,52 @@
 }
 
 // noteHeld looks what the disk has of the register; it is told to others once it is synced.
-func (s *Server) noteHeld() {
+func (s *Server) trackHeld() {
 	c := &s.configuration
 	value, ballot := s.registers.LocalValue(configKey)
-	if ballot == c.noted {
+	if ballot == c.notedBallot {
 		return
 	}
-	c.noted = ballot
+	c.notedBallot = ballot
 	version := decodeConfig(value.GetBody()).GetVersion()
 	s.whenSynced(func(float64) {
-		c.held, c.heldBallot = version, ballot
-		s.propagation.digestAt = 0
+		c.heldVersion, c.heldBallot = version, ballot
+		s.propagation.nextDigestAt = 0
 	})
 }
 
 // configState is what digests tell of the register.
 func (s *Server) configState() *meshpb.ConfigState {
 	c := &s.configuration
-	return &meshpb.ConfigState{ChosenVersion: c.chosenVersion(), ChosenHash: c.chosenHash, HeldVersion: c.held,
+	return &meshpb.ConfigState{ChosenVersion: c.chosenVersion(), ChosenHash: c.chosenHash, HeldVersion: c.heldVersion,
 		HeldBallot: c.heldBallot.Wire()}
 }
 
 // heardConfigState takes what another member says of the register.
-func (s *Server) heardConfigState(now float64, from view.Member, state *meshpb.ConfigState) {
+func (s *Server) handleConfigState(now float64, from view.Member, state *meshpb.ConfigState) {
 	c := &s.configuration
-	c.known = max(c.known, state.GetChosenVersion())
+	c.newestKnown = max(c.newestKnown, state.GetChosenVersion())
 	if state.GetChosenVersion() > c.chosenVersion() {
 		value, _ := s.registers.LocalValue(configKey)
 		held := decodeConfig(value.GetBody())
 		if held.GetVersion() == state.ChosenVersion && bytes.Equal(hashOf(held.Text), state.ChosenHash) {
 			s.learnConfig(now, held)
-		} else if now >= c.fetchAt {
-			c.fetchAt = now + fetchAgain*float64(uint(1)<<min(c.fetches, fetchMost))
-			c.fetches++
+		} else if now >= c.nextFetchAt {
+			c.nextFetchAt = now + fetchRetryAfter*float64(uint(1)<<min(c.fetchAttempts, maxFetchBackoffDoublings))
+			c.fetchAttempts++
 			s.send(from.Address, &meshpb.Message{ConfigRequest: &meshpb.ConfigRequest{After: c.chosenVersion()}})
 		}
 	}
-	s.countHolders(now)
-	s.confirm(now)
+	s.learnFromHolders(now)
+	s.checkConfirmed(now)
 }
 
 // countHolders learns that a value is chosen where a quorum says that it has it at one ballot of this epoch. This disk may have a
 // newer one by now, which nobody has told of.
-func (s *Server) countHolders(now float64) {
+func (s *Server) learnFromHolders(now float64) {
 	c := &s.configuration
 	value, ballot := s.registers.LocalValue(configKey)
-	if ballot != c.heldBallot || ballot.Epoch != s.view().Epoch || c.held <= c.chosenVersion() || !s.Voting() {
+	if ballot != c.heldBallot || ballot.Epoch != s.view().Epoch || c.heldVersion <= c.chosenVersion() || !s.Voting() {
 		return
 	}
 	if s.view().Quorum(func(m view.Member) bool {
@@ -323,7 +323,7 @@
 	}
 }
 
-func (s *Server) heardConfigRequest(from string, r *meshpb.ConfigRequest) {
+func (s *Server) handleConfigRequest(from string, r *meshpb.ConfigRequest) {
 	if chosen := s.configuration.chosen; chosen.GetVersion() > r.After {
 		s.send(from, &meshpb.Message{Config: chosen})
 	}
@@ -332,19 +332,19 @@
 // tickConfiguration makes sure of a value that stands for long without being known to be chosen: whoever proposed it may be gone.
 func (s *Server) tickConfiguration(now float64) {
 	c := &s.configuration
-	s.noteHeld()
-	s.confirm(now)
-	open := !c.confirmed || c.held > c.chosenVersion()
+	s.trackHeld()
+	s.checkConfirmed(now)
+	open := !c.confirmed || c.heldVersion > c.chosenVersion()
 	for _, p := range s.contact.peers {
 		open = open || p.config.GetHeldVersion() > c.chosenVersion()
 	}
 	switch {
-	case !open || !s.canPromise(now):
-		c.openSince = 0
-	case c.openSince == 0:
-		c.openSince = now
-	case now > c.openSince+resolveAfter && !c.resolving && s.coordinates(now):
-		c.resolving, c.openSince = true, 0
+	case !open || !s.canCommit(now):
+		c.unresolvedSince = 0
+	case c.unresolvedSince == 0:
+		c.unresolvedSince = now
+	case now > c.unresolvedSince+resolveAfter && !c.resolving && s.isCoordinator(now):
+		c.resolving, c.unresolvedSince = true, 0
 		s.readConfig(now, func(bool) { c.resolving = false })
 	}
 }
--- a/internal/mesh/control/configuration_test.go
+++ b/internal/mesh/control/configuration_test.go
@@ -14,9 +14,9 @@
 func TestNumberThatWasPassedOverStandsForOneText(t *testing.T) {
 	order := func(held *meshpb.Config, version uint64, text string) (*meshpb.Config, OrderResult) {
 		hash := hashOf([]byte(text))
-		result, open := judge(held, version, hash)
+		result, open := checkOrder(held, version, hash)
 		if open {
-			held = succeed(held, version, []byte(text), hash)
+			held = applyOrder(held, version, []byte(text), hash)
 		}
 		return held, result
 	}
@@ -39,18 +39,18 @@
 	s := startScripted(t, members[0], onDisk(members[0], view.Founding(9, members)))
 	ballot := register.Ballot{Epoch: 1, Round: 2, Node: 2, Life: 8}
 	accept := func(ballot register.Ballot, version uint64, text string) {
-		body, err := proto.Marshal(succeed(nil, version, []byte(text), hashOf([]byte(text))))
+		body, err := proto.Marshal(applyOrder(nil, version, []byte(text), hashOf([]byte(text))))
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Heard(1, "s1", &meshpb.Message{Id: 4, Incarnation: 1, Epoch: 1, Accept: &meshpb.Accept{Key: configKey,
+		s.HandleMessage(1, "s1", &meshpb.Message{Id: 4, Incarnation: 1, Epoch: 1, Accept: &meshpb.Accept{Key: configKey,
 			Ballot: ballot.Wire(), Value: &meshpb.Receipt{Token: version, State: register.Stored, Body: body}}})
 	}
 	accept(ballot, 1, "one")
 	s.Tick(1)
 	finishBatch(s)
 	accept(register.Ballot{Epoch: 1, Round: 5, Node: 2, Life: 8}, 2, "two")
-	s.Heard(1, "s1", &meshpb.Message{Incarnation: 1, Epoch: 1, Digest: &meshpb.Digest{Sequence: 1, Life: 8,
+	s.HandleMessage(1, "s1", &meshpb.Message{Incarnation: 1, Epoch: 1, Digest: &meshpb.Digest{Sequence: 1, Life: 8,
 		Config: &meshpb.ConfigState{HeldVersion: 1, HeldBallot: ballot.Wire()}}})
 	if version := s.configuration.chosenVersion(); version > 1 {
 		t.Fatalf("version %d counts as chosen, and one server has it", version)
--- a/internal/mesh/control/contact.go
+++ b/internal/mesh/control/contact.go
@@ -16,31 +16,31 @@
 const (
 	// contactFor is for how many seconds an acknowledged digest shows that a member is in reach. Larger: a server that is cut off refuses
 	// later, and proxies act by an old configuration for longer. Smaller: pauses of a busy processor count as a cut.
-	contactFor = 0.9
+	contactTimeout = 0.9
 	// sendsKept are the digests whose times are remembered: more than go out in contactFor.
-	sendsKept = 128
+	digestTimesKept = 128
 )
 
 // peer is what is known of another member from its digests.
 type peer struct {
-	member   view.Member
-	life     uint32
-	sequence uint64
-	heardAt  float64
-	seenAt   float64 // when this server, or another that told so, last heard something new of it
-	ackedAt  float64 // when the newest digest of this server that it acknowledged was sent
-	wholeAt  float64 // when everything was sent to it last, because it asked
-	leaving  bool
-	config   *meshpb.ConfigState
-	echoed   map[string]uint64 // the newest digests of others that it told of
+	member     view.Member
+	life       uint32
+	sequence   uint64
+	heardAt    float64
+	seenAt     float64 // when this server, or another that told so, last heard something new of it
+	ackedAt    float64 // when the newest digest of this server that it acknowledged was sent
+	fullSentAt float64 // when everything was sent to it last, because it asked
+	leaving    bool
+	config     *meshpb.ConfigState
+	echoed     map[string]uint64 // the newest digests of others that it told of
 }
 
 type contact struct {
-	peers      map[string]*peer // by address
-	sequence   uint64
-	sentAt     [sendsKept]float64
-	answeredAt map[string]float64 // when a server said which view it goes by
-	was        bool
+	peers        map[string]*peer // by address
+	sequence     uint64
+	sentAt       [digestTimesKept]float64
+	answeredAt   map[string]float64 // when a server said which view it goes by
+	wasInContact bool
 }
 
 func (c *contact) init() { c.peers, c.answeredAt = map[string]*peer{}, map[string]float64{} }
@@ -63,16 +63,16 @@
 
 // inContact says whether a quorum of the view is in reach.
 func (s *Server) inContact(now float64) bool {
-	return s.view().Known() && s.isMember() && s.view().Quorum(func(m view.Member) bool { return s.reaches(now, m) })
+	return s.view().Known() && s.isMember() && s.view().Quorum(func(m view.Member) bool { return s.isReachable(now, m) })
 }
 
 // reaches says whether a member acknowledged a digest lately.
-func (s *Server) reaches(now float64, m view.Member) bool {
+func (s *Server) isReachable(now float64, m view.Member) bool {
 	if m == s.self {
 		return true
 	}
 	p := s.contact.peers[m.Address]
-	return p != nil && p.member == m && p.ackedAt > 0 && now < p.ackedAt+contactFor
+	return p != nil && p.member == m && p.ackedAt > 0 && now < p.ackedAt+contactTimeout
 }
 
 // acknowledgedSince says whether a member acknowledged a digest that was sent at a time or later.
@@ -109,7 +109,7 @@
 }
 
 // heardPeer takes the part of a digest that shows who is in reach. Fresh is false for one that is late or doubled.
-func (s *Server) heardPeer(now float64, from view.Member, d *meshpb.Digest) (fresh bool) {
+func (s *Server) recordDigest(now float64, from view.Member, d *meshpb.Digest) (fresh bool) {
 	p := s.contact.peers[from.Address]
 	if p == nil || !s.view().Has(from) {
 		return false
@@ -122,8 +122,8 @@
 	p.sequence, p.heardAt, p.seenAt = d.Sequence, now, now
 	p.leaving, p.config = d.Leaving, d.Config
 	for _, e := range d.Echoes {
-		if e.Address == s.o.Self {
-			s.acknowledged(p, e)
+		if e.Address == s.options.Self {
+			s.recordAck(p, e)
 		} else if other := s.contact.peers[e.Address]; other != nil && p.echoed[e.Address] != e.Sequence {
 			p.echoed[e.Address], other.seenAt = e.Sequence, now
 		}
@@ -132,10 +132,10 @@
 }
 
 // acknowledged takes word that a member heard a digest of this life.
-func (s *Server) acknowledged(p *peer, e *meshpb.Echo) {
+func (s *Server) recordAck(p *peer, e *meshpb.Echo) {
 	c := &s.contact
-	if e.Life == s.o.Life && e.Sequence <= c.sequence && c.sequence-e.Sequence < sendsKept {
-		p.ackedAt = max(p.ackedAt, c.sentAt[e.Sequence%sendsKept])
+	if e.Life == s.options.Life && e.Sequence <= c.sequence && c.sequence-e.Sequence < digestTimesKept {
+		p.ackedAt = max(p.ackedAt, c.sentAt[e.Sequence%digestTimesKept])
 	}
 }
 
@@ -150,19 +150,19 @@
 }
 
 // nextDigest numbers a digest and notes when it is sent.
-func (s *Server) nextDigest(now float64) uint64 {
+func (s *Server) nextDigestSequence(now float64) uint64 {
 	c := &s.contact
 	c.sequence++
-	c.sentAt[c.sequence%sendsKept] = now
+	c.sentAt[c.sequence%digestTimesKept] = now
 	return c.sequence
 }
 
 // tickContact refuses everything under way once contact is lost: nobody is kept waiting for an answer that cannot come.
 func (s *Server) tickContact(now float64) {
 	is := s.inContact(now)
-	if is != s.contact.was {
-		s.contact.was = is
-		s.o.Log("contact", "quorum", is, "epoch", s.view().Epoch)
+	if is != s.contact.wasInContact {
+		s.contact.wasInContact = is
+		s.options.Log("contact", "quorum", is, "epoch", s.view().Epoch)
 		if !is {
 			s.registers.Abort(now)
 		}
--- a/internal/mesh/control/ejection.go
+++ b/internal/mesh/control/ejection.go
@@ -18,8 +18,8 @@
 // when the home is silent.
 
 const (
-	judgeEvery = 0.05 // seconds
-	mostLists  = 1024
+	decisionInterval = 0.05 // seconds
+	maxServiceLists  = 1024
 )
 
 // ejectionList is a service's hosts that are out, as this server knows them.
@@ -31,100 +31,100 @@
 }
 
 type ejections struct {
-	votes   ejection.Votes
-	lists   map[string]*ejectionList // by service
-	news    []*meshpb.Report         // for the others, since the last digest
-	asked   []string                 // the accused hosts that proxies were asked about last
-	judgeAt float64
+	votes          ejection.Votes
+	lists          map[string]*ejectionList // by service
+	newReports     []*meshpb.Report         // for the others, since the last digest
+	accused        []string                 // the accused hosts that proxies were asked about last
+	nextDecisionAt float64
 }
 
 func (e *ejections) init() { e.lists = map[string]*ejectionList{} }
 
 // listKey names the register of a service's list.
-func listKey(service string) string { return register.Permanent("ejections\x00" + service) }
+func ejectionsKey(service string) string { return register.Permanent("ejections\x00" + service) }
 
 // heardObservations takes what an observer says.
-func (s *Server) heardObservations(now float64, observer string, observations []*meshpb.Observation, tell bool) {
+func (s *Server) recordObservations(now float64, observer string, observations []*meshpb.Observation, tell bool) {
 	if len(observations) == 0 {
 		return
 	}
 	all := make([]ejection.Observation, 0, len(observations))
-	for _, w := range observations {
-		all = append(all, ejection.Observation{Host: w.Station, Good: int(w.Good), Bad: int(w.Bad)})
+	for _, message := range observations {
+		all = append(all, ejection.Observation{Host: message.Station, Good: int(message.Good), Bad: int(message.Bad)})
 	}
 	s.ejections.votes.Record(now, observer, all)
 	if tell {
-		s.ejections.news = append(s.ejections.news, &meshpb.Report{Witness: observer, Observations: observations})
-		s.propagation.digestAt = 0
+		s.ejections.newReports = append(s.ejections.newReports, &meshpb.Report{Witness: observer, Observations: observations})
+		s.propagation.nextDigestAt = 0
 	}
 }
 
 // hostsOf are the counted hosts of a service: listed and not leaving.
-func (s *Server) hostsOf(carrier string) (stations []string) {
+func (s *Server) hostsOf(service string) (hosts []string) {
 	for _, r := range s.propagation.records {
-		if r.Carrier == carrier && r.Station != "" && r.Condition == meshpb.AtDock {
-			stations = append(stations, r.Station)
+		if r.Carrier == service && r.Station != "" && r.Condition == meshpb.AtDock {
+			hosts = append(hosts, r.Station)
 		}
 	}
-	slices.Sort(stations)
-	return stations
+	slices.Sort(hosts)
+	return hosts
 }
 
 // judges says whether this server is the one to judge a service: the first in order that is not silent.
-func (s *Server) judges(now float64, carrier string) bool {
-	for _, m := range rendezvous.Order(listKey(carrier), s.view().Staying()) {
-		if m == s.o.Self {
+func (s *Server) isEjectionCoordinator(now float64, service string) bool {
+	for _, m := range rendezvous.Order(ejectionsKey(service), s.view().Staying()) {
+		if m == s.options.Self {
 			return true
 		}
-		if !s.silent(now, m, contactFor) {
+		if !s.silent(now, m, contactTimeout) {
 			return false
 		}
 	}
 	return false
 }
 
-func (s *Server) ejectionList(carrier string) *ejectionList {
-	b := s.ejections.lists[carrier]
-	if b == nil {
-		b = &ejectionList{}
-		if len(s.ejections.lists) < mostLists {
-			s.ejections.lists[carrier] = b
+func (s *Server) ejectionList(service string) *ejectionList {
+	list := s.ejections.lists[service]
+	if list == nil {
+		list = &ejectionList{}
+		if len(s.ejections.lists) < maxServiceLists {
+			s.ejections.lists[service] = list
 		}
 	}
-	return b
+	return list
 }
 
 // tickEjections judges what it is this server's to judge, and asks proxies about hosts that are newly accused.
 func (s *Server) tickEjections(now float64) {
-	if now < s.ejections.judgeAt || !s.canPromise(now) {
+	if now < s.ejections.nextDecisionAt || !s.canCommit(now) {
 		return
 	}
-	s.ejections.judgeAt = now + judgeEvery
+	s.ejections.nextDecisionAt = now + decisionInterval
 	accused := s.ejections.votes.Suspects(now)
-	if !slices.Equal(accused, s.ejections.asked) {
-		s.ejections.asked = accused
+	if !slices.Equal(accused, s.ejections.accused) {
+		s.ejections.accused = accused
 		s.propagation.changed = true
-		s.wake(now)
+		s.answerHeldPulls(now)
 	}
-	carriers := map[string]bool{}
+	services := map[string]bool{}
 	for _, r := range s.propagation.records {
-		carriers[r.Carrier] = true
+		services[r.Carrier] = true
 	}
-	delete(carriers, "") // a proxy that has not heard of its host
-	for _, carrier := range slices.Sorted(maps.Keys(carriers)) {
-		b := s.ejectionList(carrier)
-		idle := b.read && len(accused) == 0 && len(b.entries) == 0
-		if idle || !s.judges(now, carrier) {
+	delete(services, "") // a proxy that has not heard of its host
+	for _, service := range slices.Sorted(maps.Keys(services)) {
+		list := s.ejectionList(service)
+		idle := list.read && len(accused) == 0 && len(list.entries) == 0
+		if idle || !s.isEjectionCoordinator(now, service) {
 			continue
 		}
 		switch {
-		case b.busy:
-		case !b.read:
-			s.changeEjections(now, carrier, func(held []ejection.Ejection) ([]ejection.Ejection, bool) { return held, false }, nil)
-		case len(accused) > 0 || len(b.entries) > 0:
-			if _, changed := s.ejections.votes.Decide(now, s.hostsOf(carrier), b.entries); changed {
-				s.changeEjections(now, carrier, func(held []ejection.Ejection) ([]ejection.Ejection, bool) {
-					return s.ejections.votes.Decide(now, s.hostsOf(carrier), held)
+		case list.busy:
+		case !list.read:
+			s.updateEjections(now, service, func(held []ejection.Ejection) ([]ejection.Ejection, bool) { return held, false }, nil)
+		case len(accused) > 0 || len(list.entries) > 0:
+			if _, changed := s.ejections.votes.Decide(now, s.hostsOf(service), list.entries); changed {
+				s.updateEjections(now, service, func(held []ejection.Ejection) ([]ejection.Ejection, bool) {
+					return s.ejections.votes.Decide(now, s.hostsOf(service), held)
 				}, nil)
 			}
 		}
@@ -132,29 +132,29 @@
 }
 
 // changeEjections changes what is in force for a service.
-func (s *Server) changeEjections(now float64, carrier string, edit func(held []ejection.Ejection) (next []ejection.Ejection, write bool), done func(ok bool)) {
-	b := s.ejectionList(carrier)
-	b.busy = true
+func (s *Server) updateEjections(now float64, service string, edit func(held []ejection.Ejection) (next []ejection.Ejection, write bool), done func(ok bool)) {
+	list := s.ejectionList(service)
+	list.busy = true
 	var wrote []ejection.Ejection
-	s.registers.Update(now, listKey(carrier), func(old []byte) []byte {
-		next, write := edit(s.merge(now, b, old))
+	s.registers.Update(now, ejectionsKey(service), func(old []byte) []byte {
+		next, write := edit(s.decodeHeldEjections(now, list, old))
 		if wrote = nil; !write {
 			return nil
 		}
 		wrote = append([]ejection.Ejection{}, next...)
-		body, err := proto.Marshal(wire(now, carrier, 0, next))
+		body, err := proto.Marshal(ejectionListToWire(now, service, 0, next))
 		if err != nil {
 			return nil
 		}
 		return body
 	}, func(version uint64, body []byte, ok bool) {
-		b.busy = false
+		list.busy = false
 		if ok {
-			b.read = true
+			list.read = true
 			if wrote == nil {
-				wrote = s.merge(now, b, body)
+				wrote = s.decodeHeldEjections(now, list, body)
 			}
-			s.adoptEjections(now, carrier, version, wrote)
+			s.adoptEjections(now, service, version, wrote)
 		}
 		if done != nil {
 			done(ok)
@@ -164,16 +164,16 @@
 
 // merge reads what a register held. How long ago it was written is not known: of an ejection that this server knows its own time holds, of
 // another nothing is left of the term, so that nothing stays out because nobody knows since when.
-func (s *Server) merge(now float64, b *ejectionList, body []byte) (entries []ejection.Ejection) {
-	w := &meshpb.EjectionList{}
-	if proto.Unmarshal(body, w) != nil {
+func (s *Server) decodeHeldEjections(now float64, list *ejectionList, body []byte) (entries []ejection.Ejection) {
+	message := &meshpb.EjectionList{}
+	if proto.Unmarshal(body, message) != nil {
 		return nil
 	}
-	for _, r := range w.Ejections {
-		entry := unwire(now, r)
+	for _, r := range message.Ejections {
+		entry := ejectionFromWire(now, r)
 		entry.Until = min(entry.Until, now)
-		if at := slices.IndexFunc(b.entries, func(k ejection.Ejection) bool { return k.Host == r.Station }); at >= 0 {
-			entry.Until = b.entries[at].Until
+		if at := slices.IndexFunc(list.entries, func(k ejection.Ejection) bool { return k.Host == r.Station }); at >= 0 {
+			entry.Until = list.entries[at].Until
 		}
 		entries = append(entries, entry)
 	}
@@ -181,48 +181,48 @@
 }
 
 // adoptEjections takes a newer version of what is in force, and lets the proxies know.
-func (s *Server) adoptEjections(now float64, carrier string, version uint64, entries []ejection.Ejection) {
-	b := s.ejectionList(carrier)
-	if version <= b.version {
+func (s *Server) adoptEjections(now float64, service string, version uint64, entries []ejection.Ejection) {
+	list := s.ejectionList(service)
+	if version <= list.version {
 		return
 	}
-	b.version, b.entries = version, entries
-	s.propagation.changed, s.propagation.digestAt = true, 0
+	list.version, list.entries = version, entries
+	s.propagation.changed, s.propagation.nextDigestAt = true, 0
 	for _, r := range entries {
-		s.o.Log("ejection", "carrier", carrier, "station", r.Host, "out", r.InForce(now), "count", r.Count, "by", r.By, "why", r.Why,
+		s.options.Log("ejection", "carrier", service, "station", r.Host, "out", r.InForce(now), "count", r.Count, "by", r.By, "why", r.Why,
 			"against", r.Against, "observers", r.Observers)
 	}
-	s.wake(now)
+	s.answerHeldPulls(now)
 }
 
 // version grows with each list's.
 func (e *ejections) version() (sum uint64) {
-	for _, b := range e.lists {
-		sum += b.version
+	for _, list := range e.lists {
+		sum += list.version
 	}
 	return sum
 }
 
 func (s *Server) wireEjections(now float64) (all []*meshpb.EjectionList) {
-	for _, carrier := range slices.Sorted(maps.Keys(s.ejections.lists)) {
-		if b := s.ejections.lists[carrier]; b.version > 0 {
-			all = append(all, wire(now, carrier, b.version, b.entries))
+	for _, service := range slices.Sorted(maps.Keys(s.ejections.lists)) {
+		if list := s.ejections.lists[service]; list.version > 0 {
+			all = append(all, ejectionListToWire(now, service, list.version, list.entries))
 		}
 	}
 	return all
 }
 
-func wire(now float64, carrier string, version uint64, entries []ejection.Ejection) *meshpb.EjectionList {
-	w := &meshpb.EjectionList{Carrier: carrier, Version: version}
+func ejectionListToWire(now float64, service string, version uint64, entries []ejection.Ejection) *meshpb.EjectionList {
+	message := &meshpb.EjectionList{Carrier: service, Version: version}
 	for _, r := range entries {
-		w.Ejections = append(w.Ejections, &meshpb.Ejection{Station: r.Host, LeftMs: uint32(max(0, r.Until-now) * 1000),
+		message.Ejections = append(message.Ejections, &meshpb.Ejection{Station: r.Host, LeftMs: uint32(max(0, r.Until-now) * 1000),
 			EndedMs: uint32(min(1e6, max(0, now-r.Until)) * 1000), Count: uint32(r.Count), Hand: r.Manual, By: r.By, Why: r.Why,
 			Against: uint32(r.Against), Witnesses: uint32(r.Observers)})
 	}
-	return w
+	return message
 }
 
-func unwire(now float64, r *meshpb.Ejection) ejection.Ejection {
+func ejectionFromWire(now float64, r *meshpb.Ejection) ejection.Ejection {
 	until := ejection.Until(now, r.LeftMs)
 	if r.LeftMs == 0 {
 		until = now - float64(r.EndedMs)/1000
@@ -232,14 +232,14 @@
 }
 
 // heardEjections takes what another control process knows to be in force.
-func (s *Server) heardEjections(now float64, lists []*meshpb.EjectionList) {
-	for _, w := range lists {
-		if b := s.ejectionList(w.Carrier); w.Version > b.version {
+func (s *Server) handleEjections(now float64, lists []*meshpb.EjectionList) {
+	for _, message := range lists {
+		if list := s.ejectionList(message.Carrier); message.Version > list.version {
 			var entries []ejection.Ejection
-			for _, r := range w.Ejections {
-				entries = append(entries, unwire(now, r))
+			for _, r := range message.Ejections {
+				entries = append(entries, ejectionFromWire(now, r))
 			}
-			s.adoptEjections(now, w.Carrier, w.Version, entries)
+			s.adoptEjections(now, message.Carrier, message.Version, entries)
 		}
 	}
 }
@@ -251,27 +251,27 @@
 var ErrNoMajority = errors.New("no majority of the control processes can be reached from here now")
 
 // OrderEjection takes a host out by hand, or back, for all proxies and over restarts.
-func (s *Server) OrderEjection(now float64, station string, out, force bool, by, why string, answer func(error)) {
-	carrier := ""
+func (s *Server) OrderEjection(now float64, host string, out, force bool, by, reason string, answer func(error)) {
+	service := ""
 	for _, r := range s.propagation.records {
-		if r.Station == station {
-			carrier = r.Carrier
+		if r.Station == host {
+			service = r.Carrier
 		}
 	}
-	if carrier == "" {
-		for name, b := range s.ejections.lists { // one that is gone can be called back
-			if slices.ContainsFunc(b.entries, func(r ejection.Ejection) bool { return r.Host == station }) {
-				carrier = name
+	if service == "" {
+		for name, list := range s.ejections.lists { // one that is gone can be called back
+			if slices.ContainsFunc(list.entries, func(r ejection.Ejection) bool { return r.Host == host }) {
+				service = name
 			}
 		}
 	}
-	if carrier == "" {
+	if service == "" {
 		answer(ErrNoHost)
 		return
 	}
 	var refused error
-	s.changeEjections(now, carrier, func(held []ejection.Ejection) ([]ejection.Ejection, bool) {
-		next, err := ejection.ApplyOrder(now, s.hostsOf(carrier), held, station, out, force, by, why)
+	s.updateEjections(now, service, func(held []ejection.Ejection) ([]ejection.Ejection, bool) {
+		next, err := ejection.ApplyOrder(now, s.hostsOf(service), held, host, out, force, by, reason)
 		refused = err
 		return next, err == nil
 	}, func(ok bool) {
--- a/internal/mesh/control/homed.go
+++ b/internal/mesh/control/homed.go
@@ -13,90 +13,90 @@
 
 // homedAgain is how many seconds a member has to answer before it is asked again, and the next one beside it. Larger: after a loss claims
 // take two round trips for longer. Smaller: a busy member looks through its registers twice.
-const homedAgain = 0.4
+const homedRetryAfter = 0.4
 
 // homedSource is a member that is asked.
 type homedSource struct {
-	life     uint32
-	position uint64
-	askedAt  float64
-	id       uint64 // of the open question
-	done     bool
+	life        uint32
+	position    uint64
+	requestedAt float64
+	requestID   uint64 // of the open question
+	done        bool
 }
 
 // homedReading is what was read of the present epoch.
-type homedReading struct {
-	sources map[string]*homedSource // by address
-	began   float64
+type homedState struct {
+	sources   map[string]*homedSource // by address
+	startedAt float64
 }
 
 // viewChanged has everything asked anew.
-func (h *homedReading) viewChanged(now float64) {
-	*h = homedReading{sources: map[string]*homedSource{}, began: now}
+func (h *homedState) viewChanged(now float64) {
+	*h = homedState{sources: map[string]*homedSource{}, startedAt: now}
 }
 
 // tickHomed asks as many others as make a majority, and one more for each that has not answered in time.
 func (s *Server) tickHomed(now float64) {
-	if !s.Voting() || s.view().Joint() || s.membership.settled || s.registers.KnowsHomedKeys() {
+	if !s.Voting() || s.view().Joint() || s.membership.epochSettled || s.registers.KnowsHomedKeys() {
 		return
 	}
 	wanted := s.view().Majority() - 1
-	for _, address := range rendezvous.Order(s.o.Self, s.view().Addresses()) {
+	for _, address := range rendezvous.Order(s.options.Self, s.view().Addresses()) {
 		if wanted == 0 {
 			return
 		}
-		if address == s.o.Self {
+		if address == s.options.Self {
 			continue
 		}
 		from := s.homed.sources[address]
 		if from == nil {
 			from = &homedSource{}
 			s.homed.sources[address] = from
-			s.askHomed(now, address, from)
+			s.sendHomedRequest(now, address, from)
 		}
-		if from.done || now < from.askedAt+homedAgain {
+		if from.done || now < from.requestedAt+homedRetryAfter {
 			wanted--
 			continue
 		}
-		s.askHomed(now, address, from)
+		s.sendHomedRequest(now, address, from)
 	}
 }
 
-func (s *Server) askHomed(now float64, address string, from *homedSource) {
+func (s *Server) sendHomedRequest(now float64, address string, from *homedSource) {
 	s.lastID++
-	from.id, from.askedAt = s.lastID, now
-	s.send(address, &meshpb.Message{Id: from.id, HomedRequest: &meshpb.HomedRequest{SourceLife: from.life, Position: from.position}})
+	from.requestID, from.requestedAt = s.lastID, now
+	s.send(address, &meshpb.Message{Id: from.requestID, HomedRequest: &meshpb.HomedRequest{SourceLife: from.life, Position: from.position}})
 }
 
 // heardHomedRequest answers once the disk has the view: who asks counts on this server to take part in no older ballot any more, also
 // after a loss of power.
-func (s *Server) heardHomedRequest(from string, id uint64, r *meshpb.HomedRequest) {
+func (s *Server) handleHomedRequest(from string, id uint64, r *meshpb.HomedRequest) {
 	if !s.Voting() || s.view().Joint() {
 		return
 	}
 	read := r.Position
-	if r.SourceLife != s.o.Life {
+	if r.SourceLife != s.options.Life {
 		read = 0
 	}
-	answer := &meshpb.Homed{SourceLife: s.o.Life}
+	answer := &meshpb.Homed{SourceLife: s.options.Life}
 	answer.Hashes, answer.Position, answer.Last = s.registers.HomedKeyHashes(from, read)
-	s.out.After = append(s.out.After, after(from, &meshpb.Message{Id: id, Homed: answer}))
+	s.effects.After = append(s.effects.After, after(from, &meshpb.Message{Id: id, Homed: answer}))
 }
 
 // heardHomed takes the answer to the question that is open. A member that has started again tells all from the beginning.
-func (s *Server) heardHomed(now float64, member view.Member, id uint64, h *meshpb.Homed) {
+func (s *Server) handleHomed(now float64, member view.Member, id uint64, h *meshpb.Homed) {
 	from := s.homed.sources[member.Address]
-	if from == nil || from.id != id || from.done || !slices.Contains(s.view().Members, member) {
+	if from == nil || from.requestID != id || from.done || !slices.Contains(s.view().Members, member) {
 		return
 	}
 	from.life, from.position, from.done = h.SourceLife, h.Position, h.Last
 	knew := s.registers.KnowsHomedKeys()
 	s.registers.AddHomedKeys(member, h.Hashes, h.Last)
 	if !h.Last {
-		s.askHomed(now, member.Address, from)
+		s.sendHomedRequest(now, member.Address, from)
 		return
 	}
 	if !knew && s.registers.KnowsHomedKeys() {
-		s.o.Log("one round trip", "epoch", s.view().Epoch, "seconds", now-s.homed.began)
+		s.options.Log("one round trip", "epoch", s.view().Epoch, "seconds", now-s.homed.startedAt)
 	}
 }
--- a/internal/mesh/control/homed_test.go
+++ b/internal/mesh/control/homed_test.go
@@ -32,7 +32,7 @@
 // claim has the home of a key claim it.
 func claim(c *modelCluster, key string, token uint64) {
 	home := c.byName[register.HomeOrder(key, c.newest().Addresses())[0]]
-	home.server.Heard(c.now, "proxy", &meshpb.Message{Id: token, Claim: &meshpb.Claim{Key: key, Token: token, Attempt: 1}})
+	home.server.HandleMessage(c.now, "proxy", &meshpb.Message{Id: token, Claim: &meshpb.Claim{Key: key, Token: token, Attempt: 1}})
 	home.work()
 }
 
--- a/internal/mesh/control/membership.go
+++ b/internal/mesh/control/membership.go
@@ -21,27 +21,27 @@
 const (
 	// foundAfter is how long the founder waits for others to come, and foundQuiet for how long nobody may have come before it decides.
 	// Larger: the first start takes longer. Smaller: a seed that is slow to start is left out, and has to join by a change of view.
-	foundAfter = 1.2
-	foundQuiet = 0.6
+	bootstrapMinWait     = 1.2
+	bootstrapQuietPeriod = 0.6
 
 	// joinEvery is the pause between questions of a server that is no member. Larger: a joiner is taken in later, and counts as silent
 	// sooner (standbyFor, joinerGone). Smaller: more messages to every member.
-	joinEvery = 0.15
+	joinInterval = 0.15
 
 	// viewAskEvery is the pause between questions for a newer view. Larger: a member that missed a view votes later. Smaller: several
 	// answers, each with the view, while one is on its way.
-	viewAskEvery = 0.05
+	viewRequestInterval = 0.05
 
 	// seedAskEvery is the pause between questions to the seeds while no quorum is in reach. Larger: a member that was replaced while it
 	// was away finds the others later. Smaller: messages to machines that may be gone.
-	seedAskEvery = 0.5
+	seedRequestInterval = 0.5
 
 	// standbyFor is how long a server that asks to join counts without a word. Larger: a change may be proposed with a joiner that is gone,
 	// and takes joinerGone to abandon. Smaller: lost messages take a joiner out of the choice.
-	standbyFor = 1.0
+	standbyTimeout = 1.0
 
 	// mostStandbys bounds what is kept of servers that ask to join.
-	mostStandbys = 64
+	maxStandbys = 64
 )
 
 // standby is a server that asks to join.
@@ -53,24 +53,24 @@
 }
 
 type membership struct {
-	view      view.View
-	adoptedAt float64
-	standbys  map[string]*standby // by address
-	founders  map[string]view.Member
-	foundAt   float64 // when the last founder came
-	changing  bool    // a change of the view is being proposed
-	wantedAt  float64 // since when this server wants to begin a change; 0: it does not
-	leaving   bool    // this server is about to end
-	settled   bool    // the epoch is older than keys are kept
-	restoring bool    // the view is the one that this disk has
-	foreign   bool    // a disk of another mesh: it takes no part here
-	joinAt    float64
-	askAt     float64
-	seedAskAt float64
+	view                view.View
+	adoptedAt           float64
+	standbys            map[string]*standby // by address
+	bootstrapMembers    map[string]view.Member
+	lastBootstrapJoinAt float64 // when the last founder came
+	changeInProgress    bool    // a change of the view is being proposed
+	changeWantedSince   float64 // since when this server wants to begin a change; 0: it does not
+	leaving             bool    // this server is about to end
+	epochSettled        bool    // the epoch is older than keys are kept
+	restoring           bool    // the view is the one that this disk has
+	foreign             bool    // a disk of another mesh: it takes no part here
+	nextJoinAt          float64
+	nextViewRequestAt   float64
+	nextSeedRequestAt   float64
 }
 
 func (m *membership) init() {
-	m.standbys, m.founders = map[string]*standby{}, map[string]view.Member{}
+	m.standbys, m.bootstrapMembers = map[string]*standby{}, map[string]view.Member{}
 }
 
 func (s *Server) view() view.View { return s.membership.view }
@@ -90,61 +90,61 @@
 	if err != nil {
 		return err
 	}
-	s.catchup.syncedEpoch = number(values[nameSynced])
-	s.membership.settled = v.Epoch == 1 || number(values[nameSettled]) == v.Epoch
+	s.catchup.syncedEpoch = decodeUint64(values[nameSynced])
+	s.membership.epochSettled = v.Epoch == 1 || decodeUint64(values[nameSettled]) == v.Epoch
 	s.membership.restoring = true
-	s.takeView(now, v)
+	s.installView(now, v)
 	s.membership.restoring = false
 	return nil
 }
 
 // adopt goes by a newer view from here on. It is put before anything is said in its name.
-func (s *Server) adopt(now float64, v view.View) {
+func (s *Server) adoptView(now float64, v view.View) {
 	if s.view().Known() && v.Mesh != s.view().Mesh {
-		s.foreignView(v)
+		s.rejectForeignView(v)
 		return
 	}
 	if v.Epoch <= s.view().Epoch {
 		return
 	}
-	s.collect() // what was said so far was said in the epoch before
+	s.collectEffects() // what was said so far was said in the epoch before
 	wasMember := s.isMember()
 	s.put(nameView, v.Encode())
-	s.membership.settled = v.Epoch == 1
+	s.membership.epochSettled = v.Epoch == 1
 	if wasMember && !v.Has(s.self) {
-		s.fence(now)
+		s.resetMembership(now)
 	}
-	s.takeView(now, v)
-	s.count.ViewChanges++
-	s.o.Log("view", "epoch", v.Epoch, "members", v.Members, "next", v.Next, "member", s.isMember(), "voting", s.Voting())
+	s.installView(now, v)
+	s.counts.ViewChanges++
+	s.options.Log("view", "epoch", v.Epoch, "members", v.Members, "next", v.Next, "member", s.isMember(), "voting", s.Voting())
 }
 
 // fence ends this server's membership: it keeps nothing, and may ask to join anew as a server with another disk.
-func (s *Server) fence(now float64) {
+func (s *Server) resetMembership(now float64) {
 	s.drawIncarnation()
 	s.registers.Reset(now, s.self)
 	s.catchup.init()
 	s.put(nameSynced, nil)
-	s.o.Log("replaced", "incarnation", s.self.Incarnation)
+	s.options.Log("replaced", "incarnation", s.self.Incarnation)
 }
 
-func (s *Server) takeView(now float64, v view.View) {
+func (s *Server) installView(now float64, v view.View) {
 	m := &s.membership
 	m.view, m.adoptedAt = v, now
 	fastFrom := now
-	if !m.settled {
+	if !m.epochSettled {
 		fastFrom += s.registers.FastPathDelay()
 	}
 	s.registers.SetView(now, v, fastFrom)
 	s.contact.viewChanged(now, v)
 	s.catchup.viewChanged()
 	s.homed.viewChanged(now)
-	s.vote(now)
-	s.propagation.digestAt = 0
+	s.startVotingIfReady(now)
+	s.propagation.nextDigestAt = 0
 }
 
 // vote lets this server take part in ballots if it holds all that it has to.
-func (s *Server) vote(now float64) {
+func (s *Server) startVotingIfReady(now float64) {
 	if s.Voting() {
 		return
 	}
@@ -154,19 +154,19 @@
 		synced := s.membership.restoring || s.view().Epoch == 1 || s.catchup.syncedEpoch+1 >= s.view().Epoch
 		s.checks.Check(invariant.JoinerCaughtUp, synced, "epoch", s.view().Epoch, "synced", s.catchup.syncedEpoch)
 		s.registers.StartVoting()
-		s.o.Log("voting", "epoch", s.view().Epoch)
+		s.options.Log("voting", "epoch", s.view().Epoch)
 	}
 }
 
-func (s *Server) foreignView(v view.View) {
+func (s *Server) rejectForeignView(v view.View) {
 	if !s.membership.foreign {
 		s.membership.foreign = true
-		s.o.Log("another mesh", "mesh", v.Mesh, "mine", s.view().Mesh,
+		s.options.Log("another mesh", "mesh", v.Mesh, "mine", s.view().Mesh,
 			"remedy", "start this server with an empty folder")
 	}
 }
 
-func (s *Server) heardView(now float64, from string, v view.View) {
+func (s *Server) handleView(now float64, from string, v view.View) {
 	if known := s.membership.standbys[from]; known != nil && v.Epoch >= s.view().Epoch {
 		known.heardAt = now
 	}
@@ -174,45 +174,45 @@
 	switch {
 	case !v.Known():
 	case v.Check() != nil:
-		s.o.Log("view refused", "from", from, "why", v.Check())
+		s.options.Log("view refused", "from", from, "why", v.Check())
 	case v.Epoch < s.view().Epoch && v.Mesh == s.view().Mesh:
-		s.tellView(from)
+		s.sendView(from)
 	default:
-		s.adopt(now, v)
+		s.adoptView(now, v)
 	}
 }
 
 // tellView answers with the view. It goes after the disk has it.
-func (s *Server) tellView(to string) {
+func (s *Server) sendView(to string) {
 	if s.view().Known() {
-		s.out.After = append(s.out.After, after(to, &meshpb.Message{View: s.view().Wire()}))
+		s.effects.After = append(s.effects.After, after(to, &meshpb.Message{View: s.view().Wire()}))
 	}
 }
 
-func (s *Server) askView(now float64, from string) {
-	if now >= s.membership.askAt {
-		s.membership.askAt = now + viewAskEvery
+func (s *Server) requestView(now float64, from string) {
+	if now >= s.membership.nextViewRequestAt {
+		s.membership.nextViewRequestAt = now + viewRequestInterval
 		s.send(from, &meshpb.Message{ViewRequest: &meshpb.Ping{}})
 	}
 }
 
 // heardJoin takes word of a server that is no member.
-func (s *Server) heardJoin(now float64, from view.Member, epoch uint64, j *meshpb.Join) {
+func (s *Server) handleJoin(now float64, from view.Member, epoch uint64, j *meshpb.Join) {
 	m := &s.membership
 	if !s.view().Known() {
-		if _, known := m.founders[from.Address]; !known {
-			m.foundAt = now
+		if _, known := m.bootstrapMembers[from.Address]; !known {
+			m.lastBootstrapJoinAt = now
 		}
-		m.founders[from.Address] = from
+		m.bootstrapMembers[from.Address] = from
 		return
 	}
-	s.tellView(from.Address)
-	if !s.Voting() || epoch != s.view().Epoch || s.view().Has(from) && !s.joins(from) {
+	s.sendView(from.Address)
+	if !s.Voting() || epoch != s.view().Epoch || s.view().Has(from) && !s.isJoiner(from) {
 		return
 	}
 	waiting := m.standbys[from.Address]
 	if waiting == nil || waiting.member != from {
-		if waiting == nil && len(m.standbys) >= mostStandbys {
+		if waiting == nil && len(m.standbys) >= maxStandbys {
 			return
 		}
 		waiting = &standby{member: from}
@@ -222,7 +222,7 @@
 	waiting.syncedEpoch = max(waiting.syncedEpoch, j.SyncedEpoch) // words may overtake each other
 }
 
-func (s *Server) joins(m view.Member) bool {
+func (s *Server) isJoiner(m view.Member) bool {
 	joiner, found := s.view().Joiner()
 	return found && joiner == m
 }
@@ -230,107 +230,107 @@
 func (s *Server) tickMembership(now float64) {
 	m := &s.membership
 	switch {
-	case !s.view().Known() && s.o.First && slices.Min(s.o.Seeds) == s.o.Self:
-		s.found(now)
-	case (!s.Voting() || s.joins(s.self)) && !m.leaving && now >= m.joinAt: // a joiner until it is a member: its word may be lost
-		m.joinAt = now + joinEvery
-		s.askToJoin()
+	case !s.view().Known() && s.options.Bootstrap && slices.Min(s.options.Seeds) == s.options.Self:
+		s.bootstrap(now)
+	case (!s.Voting() || s.isJoiner(s.self)) && !m.leaving && now >= m.nextJoinAt: // a joiner until it is a member: its word may be lost
+		m.nextJoinAt = now + joinInterval
+		s.sendJoin()
 	}
-	if s.view().Known() && !s.inContact(now) && now >= m.seedAskAt {
-		m.seedAskAt = now + seedAskEvery
-		s.askSeeds()
+	if s.view().Known() && !s.inContact(now) && now >= m.nextSeedRequestAt {
+		m.nextSeedRequestAt = now + seedRequestInterval
+		s.requestViewFromSeeds()
 	}
-	s.settle(now)
-	s.coordinate(now)
+	s.markEpochSettled(now)
+	s.tickCoordinator(now)
 }
 
 // found makes the first view, as the first of the seeds by address: at the first start all servers have the same seeds, and they
 // are up.
-func (s *Server) found(now float64) {
+func (s *Server) bootstrap(now float64) {
 	m := &s.membership
-	if _, come := m.founders[s.o.Self]; !come { // others may have come before
-		m.founders[s.o.Self], m.foundAt = s.self, now
+	if _, come := m.bootstrapMembers[s.options.Self]; !come { // others may have come before
+		m.bootstrapMembers[s.options.Self], m.lastBootstrapJoinAt = s.self, now
 	}
-	for _, seed := range s.o.Seeds {
-		if _, come := m.founders[seed]; !come {
+	for _, seed := range s.options.Seeds {
+		if _, come := m.bootstrapMembers[seed]; !come {
 			return
 		}
 	}
-	if now < s.began+foundAfter || now < m.foundAt+foundQuiet {
+	if now < s.startedAt+bootstrapMinWait || now < m.lastBootstrapJoinAt+bootstrapQuietPeriod {
 		return
 	}
 	var members []view.Member
-	for _, founder := range m.founders {
+	for _, founder := range m.bootstrapMembers {
 		members = append(members, founder)
 	}
 	s.configuration.confirmed = true
-	s.adopt(now, view.Founding(s.random.Next()|1, members))
-	s.tellAll(s.view())
+	s.adoptView(now, view.Founding(s.random.Next()|1, members))
+	s.broadcastView(s.view())
 }
 
 // askToJoin goes to the members that are known, and to the seeds where none are. The disk has this server's identity by then.
-func (s *Server) askToJoin() {
+func (s *Server) sendJoin() {
 	j := &meshpb.Join{CaughtUp: s.catchup.caughtUp, SyncedEpoch: s.catchup.syncedEpoch}
 	to := slices.Clone(s.view().Addresses())
-	for _, seed := range s.o.Seeds {
-		if !slices.Contains(to, seed) && (len(to) == 0 || !s.answered(s.view().Addresses())) {
+	for _, seed := range s.options.Seeds {
+		if !slices.Contains(to, seed) && (len(to) == 0 || !s.anyAnswered(s.view().Addresses())) {
 			to = append(to, seed)
 		}
 	}
 	for _, address := range to {
-		if address != s.o.Self {
-			s.out.After = append(s.out.After, after(address, &meshpb.Message{Join: j}))
+		if address != s.options.Self {
+			s.effects.After = append(s.effects.After, after(address, &meshpb.Message{Join: j}))
 		}
 	}
 }
 
 // answered says whether any of these servers has said something.
-func (s *Server) answered(addresses []string) bool {
+func (s *Server) anyAnswered(addresses []string) bool {
 	return slices.ContainsFunc(addresses, func(a string) bool { return s.contact.answeredAt[a] > 0 })
 }
 
 // askSeeds asks for a newer view: all that this server knows may have been replaced while it was away.
-func (s *Server) askSeeds() {
-	for _, seed := range s.o.Seeds {
-		if seed != s.o.Self {
+func (s *Server) requestViewFromSeeds() {
+	for _, seed := range s.options.Seeds {
+		if seed != s.options.Self {
 			s.send(seed, &meshpb.Message{ViewRequest: &meshpb.Ping{}})
 		}
 	}
 }
 
 // tellAll announces a view to all whom it concerns.
-func (s *Server) tellAll(v view.View) {
+func (s *Server) broadcastView(v view.View) {
 	for _, address := range v.Addresses() {
-		if address != s.o.Self {
-			s.tellView(address)
+		if address != s.options.Self {
+			s.sendView(address)
 		}
 	}
 }
 
 // settle notes, also for the next start, that the epoch has lasted longer than keys are kept.
-func (s *Server) settle(now float64) {
+func (s *Server) markEpochSettled(now float64) {
 	m := &s.membership
-	if m.settled || !s.Voting() || s.view().Joint() || now < m.adoptedAt+s.registers.FastPathDelay() {
+	if m.epochSettled || !s.Voting() || s.view().Joint() || now < m.adoptedAt+s.registers.FastPathDelay() {
 		return
 	}
-	m.settled = true
-	s.put(nameSettled, word(s.view().Epoch))
+	m.epochSettled = true
+	s.put(nameSettled, encodeUint64(s.view().Epoch))
 }
 
 // Leave begins the planned end of this server: its place is given to a server that waits for one, if there is any.
 func (s *Server) Leave(now float64) {
 	s.membership.leaving = true
-	s.propagation.digestAt = 0
+	s.propagation.nextDigestAt = 0
 	s.tickPropagation(now)
 }
 
-// Left says whether the planned end may come: nobody waits for the place, or it has been given away.
-func (s *Server) Left(now float64) bool {
+// MayStop says whether the planned end may come: nobody waits for the place, or it has been given away.
+func (s *Server) MayStop(now float64) bool {
 	if !s.Voting() {
 		return true
 	}
 	for _, waiting := range s.membership.standbys {
-		if now <= waiting.heardAt+standbyFor && !s.view().Has(waiting.member) || s.joins(waiting.member) {
+		if now <= waiting.heardAt+standbyTimeout && !s.view().Has(waiting.member) || s.isJoiner(waiting.member) {
 			return false
 		}
 	}
--- a/internal/mesh/control/membership_test.go
+++ b/internal/mesh/control/membership_test.go
@@ -10,12 +10,12 @@
 // The founder hears another server before it first looks at the clock.
 func TestFounderIsOneOfTheFounders(t *testing.T) {
 	seeds := []string{"s0", "s1"}
-	s, err := New(1, Options{Self: "s0", Seeds: seeds, First: true, Tolerance: 1, Window: 60, Life: 1, Random: 1}, nil)
+	s, err := New(1, Options{Self: "s0", Seeds: seeds, Bootstrap: true, Tolerance: 1, RetentionSeconds: 60, Life: 1, RandomSeed: 1}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Heard(1, "s1", &meshpb.Message{Incarnation: 7, Join: &meshpb.Join{}})
-	for now := 1.0; now < 1+foundAfter+foundQuiet; now += 0.02 {
+	s.HandleMessage(1, "s1", &meshpb.Message{Incarnation: 7, Join: &meshpb.Join{}})
+	for now := 1.0; now < 1+bootstrapMinWait+bootstrapQuietPeriod; now += 0.02 {
 		s.Tick(now)
 	}
 	if got := s.view().Addresses(); !slices.Equal(got, seeds) {
--- a/internal/mesh/control/model_cases_test.go
+++ b/internal/mesh/control/model_cases_test.go
@@ -45,7 +45,7 @@
 		lost, leaver := c.machines[seed%3], c.machines[(seed+1)%3]
 		lost.powerOff()
 		lost.wipe()
-		c.run(contactFor + 0.1) // until it counts as out of reach, and before it counts as silent
+		c.run(contactTimeout + 0.1) // until it counts as out of reach, and before it counts as silent
 		leaver.server.Leave(c.now)
 		leaver.work()
 		joiner := c.byName["s3"]
@@ -143,7 +143,7 @@
 			waits := false
 			for _, m := range c.machines {
 				entering, joint := m.server.view().Joiner()
-				waits = waits || m.up && joint && entering == old && m.server.coordinates(c.now)
+				waits = waits || m.up && joint && entering == old && m.server.isCoordinator(c.now)
 			}
 			switch {
 			case !waits:
@@ -174,7 +174,7 @@
 		"without old members": {Mesh: before.Mesh, Epoch: 9, Next: before.Members},
 		"an address twice":    {Mesh: before.Mesh, Epoch: 9, Members: append(before.Members[:2:2], before.Members[0])},
 	} {
-		m.server.Heard(c.now, "s1", &meshpb.Message{View: v.Wire(), Epoch: 9, Incarnation: before.Members[1].Incarnation})
+		m.server.HandleMessage(c.now, "s1", &meshpb.Message{View: v.Wire(), Epoch: 9, Incarnation: before.Members[1].Incarnation})
 		m.work()
 		if got := m.server.view(); !got.Equal(before) {
 			t.Errorf("%s: goes by %v", name, got)
--- a/internal/mesh/control/model_cluster_test.go
+++ b/internal/mesh/control/model_cluster_test.go
@@ -162,8 +162,8 @@
 	for name, value := range m.disk {
 		values[name] = slices.Clone(value)
 	}
-	server, err := New(c.now, Options{Self: m.address, Seeds: c.seeds, First: m.first && len(values) == 0,
-		Tolerance: c.tolerance, Window: modelWindow, Life: m.random.Uint32() | 1, Random: m.random.Uint64(),
+	server, err := New(c.now, Options{Self: m.address, Seeds: c.seeds, Bootstrap: m.first && len(values) == 0,
+		Tolerance: c.tolerance, RetentionSeconds: modelWindow, Life: m.random.Uint32() | 1, RandomSeed: m.random.Uint64(),
 		Log: func(event string, args ...any) {
 			c.trace("%.3f %s: %s %v", c.now, m.address, event, args)
 			if event == EventViolation {
@@ -192,7 +192,7 @@
 // work does what the server wants done.
 func (m *modelMachine) work() {
 	for {
-		out := m.server.Take()
+		out := m.server.TakeEffects()
 		m.puts, m.after = append(m.puts, out.Puts...), append(m.after, out.After...)
 		m.sync()
 		if len(out.Sends) == 0 {
@@ -205,7 +205,7 @@
 func (m *modelMachine) send(all []transport.Send) {
 	for _, send := range all {
 		if send.To == m.address {
-			m.server.Heard(m.cluster.now, m.address, send.Message)
+			m.server.HandleMessage(m.cluster.now, m.address, send.Message)
 			continue
 		}
 		m.cluster.carry(m.address, send.To, send.Message)
@@ -271,7 +271,7 @@
 
 // holds says whether this machine's disk is the one of a member.
 func (m *modelMachine) holds(member view.Member) bool {
-	return number(m.disk[nameIdentity]) == member.Incarnation
+	return decodeUint64(m.disk[nameIdentity]) == member.Incarnation
 }
 
 // ---- network
@@ -304,7 +304,7 @@
 	if m == nil || !m.up || c.cuts[[2]string{from, to}] {
 		return
 	}
-	m.server.Heard(c.now, from, message)
+	m.server.HandleMessage(c.now, from, message)
 	m.work()
 }
 
@@ -380,5 +380,5 @@
 
 // viewMember is the member that a machine's disk makes it.
 func viewMember(m *modelMachine) view.Member {
-	return view.Member{Address: m.address, Incarnation: number(m.disk[nameIdentity])}
+	return view.Member{Address: m.address, Incarnation: decodeUint64(m.disk[nameIdentity])}
 }
--- a/internal/mesh/control/model_test.go
+++ b/internal/mesh/control/model_test.go
@@ -29,7 +29,7 @@
 	modelTrouble        = 40.0 // seconds of trouble in a run
 	modelCalm           = 12.0 // seconds without any, until everything has to work again
 	answerWithin        = 2.0  // seconds until an order is answered by a server that goes on
-	outOfContactAfter   = contactFor + 0.1
+	outOfContactAfter   = contactTimeout + 0.1
 )
 
 func modelSetting(name string, otherwise uint64) uint64 {
@@ -232,7 +232,7 @@
 func (r *modelRun) mayLose(m *modelMachine) bool {
 	for _, v := range r.inForce() {
 		joiner, _ := v.Joiner()
-		if v.Joint() && number(r.byName[joiner.Address].disk[nameSynced]) == v.Epoch && r.byName[joiner.Address].holds(joiner) {
+		if v.Joint() && decodeUint64(r.byName[joiner.Address].disk[nameSynced]) == v.Epoch && r.byName[joiner.Address].holds(joiner) {
 			r.counted = v.Epoch
 		}
 		if !r.bears(v.Members, m) || v.Joint() && r.counted == v.Epoch && !r.bears(v.Next, m) {
@@ -270,7 +270,7 @@
 	r.after(4, func() {
 		r.leaving = nil
 		if m.up && m.lives == life {
-			r.trace("%.3f %s has left: %v", r.now, m.address, m.server.Left(r.now))
+			r.trace("%.3f %s has left: %v", r.now, m.address, m.server.MayStop(r.now))
 			m.kill()
 			r.after(2, func() { r.start(m) })
 		}
--- a/internal/mesh/control/server.go
+++ b/internal/mesh/control/server.go
@@ -31,38 +31,38 @@
 
 // Options is what a server is told at its start.
 type Options struct {
-	Self      string   // its address for the others
-	Seeds     []string // control servers that may be up
-	First     bool     // the whole system starts for the first time
-	Tolerance int      // members that may be lost at once
-	Window    float64  // seconds for which a key's answer is kept
-	LeaseTime float64  // seconds after the question for it within which a lease of a host's keys has run out
-	Life      uint32   // drawn anew for each start, not 0
-	Random    uint64   // drawn anew for each start
-	Log       func(event string, args ...any)
+	Self             string   // its address for the others
+	Seeds            []string // control servers that may be up
+	Bootstrap        bool     // the whole system starts for the first time
+	Tolerance        int      // members that may be lost at once
+	RetentionSeconds float64  // seconds for which a key's answer is kept
+	LeaseSeconds     float64  // seconds after the question for it within which a lease of a host's keys has run out
+	Life             uint32   // drawn anew for each start, not 0
+	RandomSeed       uint64   // drawn anew for each start
+	Log              func(event string, args ...any)
 }
 
 // Server is one control server. It is single-threaded; every input carries the time in seconds on a clock that never jumps.
 type Server struct {
-	o         Options
-	began     float64
+	options   Options
+	startedAt float64
 	random    random.Source
 	self      view.Member
 	registers *register.Registers
-	out       register.Effects
-	synced    map[uint64]func(now float64) // by token: to be called when what was put so far is on the disk
+	effects   register.Effects
+	onSynced  map[uint64]func(now float64) // by token: to be called when what was put so far is on the disk
 	lastID    uint64
 
 	disk          diskState
 	membership    membership
 	contact       contact
 	catchup       catchup
-	homed         homedReading
+	homed         homedState
 	configuration configuration
 	propagation   propagation
 	ejections     ejections
 	assignments   assignments
-	count         Counts
+	counts        Counts
 	checks        invariant.Checks
 }
 
@@ -70,19 +70,19 @@
 const EventViolation = "invariant violated"
 
 // New makes a server from what its disk held.
-func New(now float64, o Options, values map[string][]byte) (*Server, error) {
-	if o.Log == nil {
-		o.Log = func(string, ...any) {}
+func New(now float64, options Options, values map[string][]byte) (*Server, error) {
+	if options.Log == nil {
+		options.Log = func(string, ...any) {}
 	}
-	s := &Server{o: o, began: now, random: random.Source(o.Random), lastID: uint64(o.Life) << 32, synced: map[uint64]func(float64){}}
-	s.self = view.Member{Address: o.Self, Incarnation: number(values[nameIdentity])}
+	s := &Server{options: options, startedAt: now, random: random.Source(options.RandomSeed), lastID: uint64(options.Life) << 32, onSynced: map[uint64]func(float64){}}
+	s.self = view.Member{Address: options.Self, Incarnation: decodeUint64(values[nameIdentity])}
 	if s.self.Incarnation == 0 {
 		s.drawIncarnation()
 	}
 	s.checks.OnViolation = func(name invariant.Name, args ...any) {
-		s.o.Log(EventViolation, append([]any{"invariant", string(name)}, args...)...)
+		s.options.Log(EventViolation, append([]any{"invariant", string(name)}, args...)...)
 	}
-	s.registers = register.New(s.self, o.Life, o.Window)
+	s.registers = register.New(s.self, options.Life, options.RetentionSeconds)
 	s.registers.Checks = &s.checks
 	s.contact.init()
 	s.catchup.init()
@@ -106,41 +106,41 @@
 // drawIncarnation makes this disk another one for the others.
 func (s *Server) drawIncarnation() {
 	s.self.Incarnation = s.random.Next()>>(64-incarnationBits) | 1
-	s.put(nameIdentity, word(s.self.Incarnation))
+	s.put(nameIdentity, encodeUint64(s.self.Incarnation))
 }
 
-func number(text []byte) uint64 {
+func decodeUint64(text []byte) uint64 {
 	if len(text) != 8 {
 		return 0
 	}
 	return binary.BigEndian.Uint64(text)
 }
 
-func word(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// Take gives what is to be done since the last call.
-func (s *Server) Take() register.Effects {
-	s.collect()
-	out := s.out
-	s.out = register.Effects{}
+// TakeEffects gives what is to be done since the last call.
+func (s *Server) TakeEffects() register.Effects {
+	s.collectEffects()
+	out := s.effects
+	s.effects = register.Effects{}
 	return out
 }
 
 // collect takes over what the registers want done, and marks all that goes to other servers with the epoch and the disk in whose name
 // it was said.
-func (s *Server) collect() {
+func (s *Server) collectEffects() {
 	out := s.registers.TakeEffects()
-	s.out.Sends = append(s.out.Sends, out.Sends...)
-	s.out.Puts = append(s.out.Puts, out.Puts...)
-	s.out.After = append(s.out.After, out.After...)
-	for _, sends := range [][]transport.Send{s.out.Sends, s.out.After} {
+	s.effects.Sends = append(s.effects.Sends, out.Sends...)
+	s.effects.Puts = append(s.effects.Puts, out.Puts...)
+	s.effects.After = append(s.effects.After, out.After...)
+	for _, sends := range [][]transport.Send{s.effects.Sends, s.effects.After} {
 		for _, send := range sends {
-			s.mark(send.Message)
+			s.stampSender(send.Message)
 		}
 	}
 }
 
-func (s *Server) mark(m *meshpb.Message) {
+func (s *Server) stampSender(m *meshpb.Message) {
 	if m.Incarnation != 0 || m.Update != nil || m.Claimed != nil || m.Pong != nil || m.Lease != nil {
 		return
 	}
@@ -148,80 +148,80 @@
 }
 
 func (s *Server) send(to string, m *meshpb.Message) {
-	s.out.Sends = append(s.out.Sends, transport.Send{To: to, Message: m})
+	s.effects.Sends = append(s.effects.Sends, transport.Send{To: to, Message: m})
 }
 
 func (s *Server) sendOthers(m *meshpb.Message) {
 	for _, address := range s.view().Addresses() {
-		if address != s.o.Self {
+		if address != s.options.Self {
 			s.send(address, m)
 		}
 	}
 }
 
 func (s *Server) put(name string, value []byte) {
-	s.out.Puts = append(s.out.Puts, store.Put{Name: name, Value: value})
+	s.effects.Puts = append(s.effects.Puts, store.Put{Name: name, Value: value})
 }
 
 // whenSynced calls f once everything put so far is on the disk.
 func (s *Server) whenSynced(f func(now float64)) {
 	s.lastID++
-	s.synced[s.lastID] = f
-	s.out.After = append(s.out.After, transport.Send{To: s.o.Self,
+	s.onSynced[s.lastID] = f
+	s.effects.After = append(s.effects.After, transport.Send{To: s.options.Self,
 		Message: &meshpb.Message{Id: s.lastID, Ping: &meshpb.Ping{}}})
 }
 
-// Heard takes a message.
-func (s *Server) Heard(now float64, from string, m *meshpb.Message) {
+// HandleMessage takes a message.
+func (s *Server) HandleMessage(now float64, from string, m *meshpb.Message) {
 	switch {
-	case from == s.o.Self && m.Ping != nil:
-		f := s.synced[m.Id]
-		delete(s.synced, m.Id)
+	case from == s.options.Self && m.Ping != nil:
+		f := s.onSynced[m.Id]
+		delete(s.onSynced, m.Id)
 		if f != nil {
 			f(now)
 		}
 	case m.Ping != nil:
 		s.send(from, &meshpb.Message{Id: m.Id, Life: m.Life, Pong: m.Ping})
 	case m.Pull != nil:
-		s.heardPull(now, from, m)
+		s.handlePull(now, from, m)
 	case m.LeaseRequest != nil:
-		s.heardLeaseRequest(now, from, m)
+		s.handleLeaseRequest(now, from, m)
 	case m.Claim != nil:
-		s.heardClaim(now, from, m)
+		s.handleClaim(now, from, m)
 	case m.Settle != nil:
-		s.heardSettle(now, from, m)
+		s.handleSettle(now, from, m)
 	default:
-		s.heardServer(now, from, m)
+		s.handleServerMessage(now, from, m)
 	}
 }
 
 // heardServer takes what another control server says, or this one.
-func (s *Server) heardServer(now float64, from string, m *meshpb.Message) {
+func (s *Server) handleServerMessage(now float64, from string, m *meshpb.Message) {
 	member := view.Member{Address: from, Incarnation: m.Incarnation}
 	switch {
 	case m.View != nil:
-		s.heardView(now, from, view.FromWire(m.View))
+		s.handleView(now, from, view.FromWire(m.View))
 	case m.ViewRequest != nil:
-		s.tellView(from)
-		s.catchup.memberBehind(from)
+		s.sendView(from)
+		s.catchup.retrySyncRequest(from)
 	case m.Join != nil:
-		s.heardJoin(now, member, m.Epoch, m.Join)
+		s.handleJoin(now, member, m.Epoch, m.Join)
 	case m.Epoch < s.view().Epoch: // fenced: what it says belongs to a view that is no longer in force
-		s.tellView(from)
+		s.sendView(from)
 	case m.Epoch > s.view().Epoch:
-		s.askView(now, from)
+		s.requestView(now, from)
 	case m.Digest != nil:
-		s.heardDigest(now, member, m.Digest)
+		s.handleDigest(now, member, m.Digest)
 	case m.SyncRequest != nil:
-		s.heardSyncRequest(from, m.Id, m.SyncRequest)
+		s.handleSyncRequest(from, m.Id, m.SyncRequest)
 	case m.SyncPage != nil:
-		s.heardSyncPage(now, member, m.Id, m.SyncPage)
+		s.handleSyncPage(now, member, m.Id, m.SyncPage)
 	case m.HomedRequest != nil:
-		s.heardHomedRequest(from, m.Id, m.HomedRequest)
+		s.handleHomedRequest(from, m.Id, m.HomedRequest)
 	case m.Homed != nil:
-		s.heardHomed(now, member, m.Id, m.Homed)
+		s.handleHomed(now, member, m.Id, m.Homed)
 	case m.ConfigRequest != nil:
-		s.heardConfigRequest(from, m.ConfigRequest)
+		s.handleConfigRequest(from, m.ConfigRequest)
 	case m.Config != nil:
 		s.learnConfig(now, m.Config)
 	default:
@@ -229,19 +229,19 @@
 	}
 }
 
-func (s *Server) heardClaim(now float64, from string, m *meshpb.Message) {
+func (s *Server) handleClaim(now float64, from string, m *meshpb.Message) {
 	answer := s.claimAnswer(from, m, m.Claim.Token, true)
-	if !s.canPromise(now) { // nothing can be bound from here: the asker goes elsewhere at once
+	if !s.canCommit(now) { // nothing can be bound from here: the asker goes elsewhere at once
 		answer(register.Unavailable, nil)
 		return
 	}
-	s.count.Claims++
+	s.counts.Claims++
 	s.registers.Claim(now, m.Claim, answer)
 }
 
 // heardSettle takes the end of a run. Who settles has the receipt and needs none.
-func (s *Server) heardSettle(now float64, from string, m *meshpb.Message) {
-	s.count.Settles++
+func (s *Server) handleSettle(now float64, from string, m *meshpb.Message) {
+	s.counts.Settles++
 	receipt := m.Settle.Receipt
 	s.registers.Settle(now, m.Settle.Key, receipt, m.Settle.IfFree, s.claimAnswer(from, m, receipt.GetToken(), false))
 }
@@ -254,11 +254,11 @@
 		switch {
 		case state == register.Unavailable, state == register.Overloaded:
 			c.State, c.Untouched, c.Overloaded = register.Unsure, true, state == register.Overloaded
-			s.count.Untouched++
+			s.counts.Untouched++
 		case state == register.Unsure:
-			s.count.Unsure++
+			s.counts.Unsure++
 		case withReceipt && state == register.Claimed:
-			s.count.Granted++
+			s.counts.Granted++
 		}
 		if withReceipt && state == register.Done {
 			c.Receipt = held
@@ -280,8 +280,8 @@
 	s.tickPropagation(now)
 }
 
-// Seeds takes over other seeds: the settings file has changed.
-func (s *Server) Seeds(seeds []string) { s.o.Seeds = slices.Clone(seeds) }
+// SetSeeds takes over other seeds: the settings file has changed.
+func (s *Server) SetSeeds(seeds []string) { s.options.Seeds = slices.Clone(seeds) }
 
 // Voting says whether this server takes part in ballots.
 func (s *Server) Voting() bool { return s.registers.Voting() }
--- a/internal/mesh/simulation/control_test.go
+++ b/internal/mesh/simulation/control_test.go
@@ -468,7 +468,7 @@
 		}
 		w.Configure(int(seed), 1000, nil)
 		w.Run(0.5)
-		if got := h.server.State(w.Now).InForce; got != 1000 {
+		if got := h.server.State(w.Now).InForceVersion; got != 1000 {
 			t.Errorf("%s: it has %d, 1000 was confirmed", name, got)
 		}
 		survives(t, w, name)
--- a/internal/mesh/simulation/fuzz_test.go
+++ b/internal/mesh/simulation/fuzz_test.go
@@ -153,26 +153,26 @@
 	for seed := range fuzzRounds() {
 		d := &drawn{rng: rand.New(rand.NewPCG(seed, 3))}
 		seeds := []string{"a:1", "b:1", "c:1"}
-		s, err := control.New(1, control.Options{Self: "a:1", Seeds: seeds, First: true, Tolerance: 1, Window: window, Life: 1}, nil)
+		s, err := control.New(1, control.Options{Self: "a:1", Seeds: seeds, Bootstrap: true, Tolerance: 1, RetentionSeconds: window, Life: 1}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := 1.0
 		take := func() {
 			for range 4 {
-				out := s.Take()
+				out := s.TakeEffects()
 				d.note(out.Sends)
 				d.note(out.After)
 				for _, send := range append(out.Sends, out.After...) {
 					if send.To == "a:1" {
-						survive(t, fmt.Sprintf("seed %d, its own", seed), send.Message, func() { s.Heard(now, "a:1", send.Message) })
+						survive(t, fmt.Sprintf("seed %d, its own", seed), send.Message, func() { s.HandleMessage(now, "a:1", send.Message) })
 					}
 				}
 			}
 		}
 		if seed%3 > 0 { // else it is alone, and knows no view
 			for _, other := range seeds[1:] {
-				s.Heard(now, other, &meshpb.Message{Incarnation: 1, Join: &meshpb.Join{}})
+				s.HandleMessage(now, other, &meshpb.Message{Incarnation: 1, Join: &meshpb.Join{}})
 			}
 		}
 		for range 200 {
@@ -193,7 +193,7 @@
 				}
 			}
 			name := fmt.Sprintf("seed %d, message %d from %s", seed, i, from)
-			survive(t, name, m, func() { s.Heard(now, from, m); take() })
+			survive(t, name, m, func() { s.HandleMessage(now, from, m); take() })
 			now += tickEvery * d.rng.Float64()
 			survive(t, name+", then a tick", m, func() { s.Tick(now); take() })
 		}
--- a/internal/mesh/simulation/servers.go
+++ b/internal/mesh/simulation/servers.go
@@ -73,8 +73,8 @@
 		values[name] = slices.Clone(v)
 	}
 	var err error
-	h.server, err = control.New(h.w.Now, control.Options{LeaseTime: cmp.Or(h.w.LeaseTime, sharding.LeaseTime(holdMost)), Self: h.addr, Seeds: h.seeds, First: h.w.first && len(values) == 0,
-		Tolerance: h.w.tolerance, Window: window, Life: h.w.Rand.Uint32() | 1, Random: h.w.Rand.Uint64(),
+	h.server, err = control.New(h.w.Now, control.Options{LeaseSeconds: cmp.Or(h.w.LeaseTime, sharding.LeaseTime(holdMost)), Self: h.addr, Seeds: h.seeds, Bootstrap: h.w.first && len(values) == 0,
+		Tolerance: h.w.tolerance, RetentionSeconds: window, Life: h.w.Rand.Uint32() | 1, RandomSeed: h.w.Rand.Uint64(),
 		Log: func(event string, args ...any) {
 			trace("%.3f %s %s %v", h.w.Now, h.addr, event, args)
 			if event == "contact" && args[1] == false {
@@ -121,7 +121,7 @@
 	look = func() {
 		switch {
 		case !h.up || h.lives != life:
-		case h.server.Left(h.w.Now), h.w.Now > late:
+		case h.server.MayStop(h.w.Now), h.w.Now > late:
 			h.Kill()
 			h.gone = true
 		default:
@@ -151,7 +151,7 @@
 func (h *ControlServer) Voting() bool { return h.up && h.server.Voting() }
 
 func (h *ControlServer) heard(from string, p *meshpb.Message) {
-	f := func() { h.server.Heard(h.w.Now, from, p) }
+	f := func() { h.server.HandleMessage(h.w.Now, from, p) }
 	if meshpb.IsHeartbeat(p) {
 		h.inputFirst(f)
 		return
@@ -185,7 +185,7 @@
 	h.spend(h.w.Processor.Message)
 	f()
 	for {
-		out := h.server.Take()
+		out := h.server.TakeEffects()
 		h.puts, h.after = append(h.puts, out.Puts...), append(h.after, out.After...)
 		h.sync()
 		if len(out.Sends) == 0 {
@@ -198,7 +198,7 @@
 func (h *ControlServer) send(all []transport.Send) {
 	for _, s := range all {
 		if s.To == h.addr {
-			h.server.Heard(h.w.Now, h.addr, s.Message)
+			h.server.HandleMessage(h.w.Now, h.addr, s.Message)
 			continue
 		}
 		h.spend(h.w.Processor.Message)
