--- a/cmd/beechwing-control/run.go
+++ b/cmd/beechwing-control/run.go
@@ -71,7 +71,7 @@
 	log.Info("disk read", "found", found, "values", len(values), "first", d.FirstStart)
 	p.server, err = control.New(p.clock.Now(), control.Options{Self: d.Inner(), Seeds: d.Seeds(), Bootstrap: d.FirstStart,
 		Tolerance: d.Tolerance.Machines, RetentionSeconds: d.Bound("passWindowS", 60),
-		LeaseSeconds: sharding.LeaseTime(d.Span("holdMaxMs", 0).Seconds()), Life: rand.Uint32() | 1, RandomSeed: rand.Uint64(),
+		LeaseSeconds: sharding.LeaseSeconds(d.Span("holdMaxMs", 0).Seconds()), Life: rand.Uint32() | 1, RandomSeed: rand.Uint64(),
 		Log: func(e string, args ...any) { log.Info(e, args...) }}, values)
 	if err != nil {
 		return err
--- a/internal/mesh/control/assignment.go
+++ b/internal/mesh/control/assignment.go
@@ -184,7 +184,7 @@
 
 // begins says whether this server is the one to begin the epochs of a service.
 func (s *Server) isAssignmentCoordinator(now float64, service string) bool {
-	for _, m := range rendezvous.Order(sharding.RegisterName(service), s.view().Staying()) {
+	for _, m := range rendezvous.Order(sharding.RegisterName(service), s.view().RetainedAddresses()) {
 		if m == s.options.Self {
 			return true
 		}
@@ -212,7 +212,7 @@
 
 // expired says that members have not released what they have lost, and that every lease of the epoch before has run out.
 func (s *Server) formerLeasesExpired(now float64, a *assignment) bool {
-	return now > a.epochAt+s.options.LeaseSeconds && len(a.table.Waiting()) > 0
+	return now > a.epochAt+s.options.LeaseSeconds && len(a.table.AwaitedMembers()) > 0
 }
 
 // wantsEpoch says whether other members are to follow those of an assignment now.
@@ -221,7 +221,7 @@
 	if held.Epoch == 0 {
 		delay = firstEpochDelay
 	}
-	return len(a.targetMembers) > 0 && now > a.targetSince+delay && !slices.Equal(a.targetMembers, held.Members) && len(held.Waiting()) == 0
+	return len(a.targetMembers) > 0 && now > a.targetSince+delay && !slices.Equal(a.targetMembers, held.Members) && len(held.AwaitedMembers()) == 0
 }
 
 // revise reads a service's register and changes it where something is to change. Who asked before is told what it holds.
@@ -278,10 +278,10 @@
 	if !coordinates {
 		return next, changed
 	}
-	table := sharding.Compile(next)
-	if waiting := table.Waiting(); len(waiting) > 0 && a.epoch() == held.Epoch && now > a.epochAt+s.options.LeaseSeconds {
+	table := sharding.NewTable(next)
+	if waiting := table.AwaitedMembers(); len(waiting) > 0 && a.epoch() == held.Epoch && now > a.epochAt+s.options.LeaseSeconds {
 		next.Cleared, changed = append(next.Cleared, waiting...), true
-		table = sharding.Compile(next)
+		table = sharding.NewTable(next)
 	}
 	if s.needsEpoch(now, a, table) {
 		s.options.Log("assignment", "carrier", a.service, "epoch", held.Epoch+1, "members", len(a.targetMembers), "before", len(held.Members))
@@ -310,7 +310,7 @@
 	if known.Epoch > a.epoch() || a.table == nil {
 		a.epochAt = now
 	}
-	a.table, a.changedAt = sharding.Compile(known), now
+	a.table, a.changedAt = sharding.NewTable(known), now
 	s.propagation.changed, s.propagation.nextDigestAt = true, 0
 	s.answerHeldPulls(now)
 }
@@ -360,7 +360,7 @@
 			continue
 		}
 		all = append(all, AssignmentState{Service: service, Epoch: known.epoch(), EpochAgeSeconds: now - known.epochAt, Members: len(known.table.Members),
-			Wanted: len(known.targetMembers), Waiting: known.table.Waiting()})
+			Wanted: len(known.targetMembers), Waiting: known.table.AwaitedMembers()})
 	}
 	return all
 }
--- a/internal/mesh/control/catchup_test.go
+++ b/internal/mesh/control/catchup_test.go
@@ -17,15 +17,15 @@
 		members = append(members, view.Member{Address: address, Incarnation: 1})
 	}
 	joiner = view.Member{Address: "s3", Incarnation: 1}
-	return view.Founding(9, members).Join(joiner, members[2]), joiner, members
+	return view.Initial(9, members).Join(joiner, members[2]), joiner, members
 }
 
 // onDisk is what a disk holds of a server's identity and view.
-func onDisk(m view.Member, v view.View) map[string][]byte {
+func diskContents(m view.Member, v view.View) map[string][]byte {
 	return map[string][]byte{nameIdentity: encodeUint64(m.Incarnation), nameView: v.Encode()}
 }
 
-func startScripted(t *testing.T, m view.Member, values map[string][]byte) *Server {
+func startServer(t *testing.T, m view.Member, values map[string][]byte) *Server {
 	t.Helper()
 	s, err := New(1, Options{Self: m.Address, Tolerance: 1, RetentionSeconds: 60, Life: 5, RandomSeed: 5}, values)
 	if err != nil {
@@ -42,7 +42,7 @@
 // A page says that its server takes part in no older ballot. It goes when the disk has that view, and not before.
 func TestPageGoesOnceTheDiskHasTheView(t *testing.T) {
 	joint, joiner, members := joinerAndMembers()
-	s := startScripted(t, members[0], onDisk(members[0], view.Founding(9, members)))
+	s := startServer(t, members[0], diskContents(members[0], view.Initial(9, members)))
 	s.HandleMessage(1, "s1", &meshpb.Message{Incarnation: 1, View: joint.Wire()})
 	s.HandleMessage(1, joiner.Address, &meshpb.Message{Id: 3, Incarnation: joiner.Incarnation, Epoch: joint.Epoch,
 		SyncRequest: &meshpb.SyncRequest{}})
@@ -56,7 +56,7 @@
 func scriptedJoiner(t *testing.T) (s *Server, joint view.View, members []view.Member, asked map[string]uint64) {
 	t.Helper()
 	joint, joiner, members := joinerAndMembers()
-	s = startScripted(t, joiner, onDisk(joiner, joint))
+	s = startServer(t, joiner, diskContents(joiner, joint))
 	s.Tick(1)
 	asked = map[string]uint64{}
 	for _, send := range s.TakeEffects().Sends {
@@ -68,7 +68,7 @@
 }
 
 // page has a member answer with all that it has: one register.
-func page(s *Server, from view.Member, id, epoch uint64) {
+func sendPage(s *Server, from view.Member, id, epoch uint64) {
 	held := &meshpb.Entry{Key: register.Permanent("x"), Accepted: register.Ballot{Epoch: 1, Round: 1, Node: 1, Life: 1}.Wire(),
 		Value: &meshpb.Receipt{Token: 1}}
 	s.HandleMessage(1, from.Address, &meshpb.Message{Id: id, Incarnation: from.Incarnation, Epoch: epoch, SyncPage: &meshpb.SyncPage{
@@ -76,7 +76,7 @@
 }
 
 // finishBatch has everything put so far on the disk, and gives the names.
-func finishBatch(s *Server) (names []string) {
+func completeWrites(s *Server) (names []string) {
 	out := s.TakeEffects()
 	for _, p := range out.Puts {
 		names = append(names, p.Name)
@@ -93,14 +93,14 @@
 func TestJoinerIsSyncedBehindWhatItRead(t *testing.T) {
 	s, joint, members, asked := scriptedJoiner(t)
 	for _, m := range members {
-		page(s, m, asked[m.Address], joint.Epoch)
+		sendPage(s, m, asked[m.Address], joint.Epoch)
 	}
-	first := finishBatch(s)
+	first := completeWrites(s)
 	read := slices.ContainsFunc(first, func(name string) bool { return strings.HasPrefix(name, "k.") })
 	if !read || slices.Contains(first, nameSynced) || s.Voting() {
 		t.Fatalf("first batch %v, voting %v", first, s.Voting())
 	}
-	if second := finishBatch(s); !slices.Contains(second, nameSynced) || !s.Voting() {
+	if second := completeWrites(s); !slices.Contains(second, nameSynced) || !s.Voting() {
 		t.Fatalf("second batch %v, voting %v", second, s.Voting())
 	}
 }
@@ -109,18 +109,18 @@
 func TestPageForAnEarlierLifeDoesNotCount(t *testing.T) {
 	s, joint, members, asked := scriptedJoiner(t)
 	for _, m := range members {
-		page(s, m, 77, joint.Epoch)
+		sendPage(s, m, 77, joint.Epoch)
 	}
-	finishBatch(s)
-	finishBatch(s)
+	completeWrites(s)
+	completeWrites(s)
 	if s.Voting() {
 		t.Fatal("votes by pages that it never asked for")
 	}
 	for _, m := range members {
-		page(s, m, asked[m.Address], joint.Epoch)
+		sendPage(s, m, asked[m.Address], joint.Epoch)
 	}
-	finishBatch(s)
-	finishBatch(s)
+	completeWrites(s)
+	completeWrites(s)
 	if !s.Voting() {
 		t.Fatal("does not vote by pages that it asked for")
 	}
@@ -130,7 +130,7 @@
 // sent again and again while it is on its way; one that has started again gets it at once.
 func TestLargeAnswersAreNotSentAgainAtOnce(t *testing.T) {
 	_, _, members := joinerAndMembers()
-	s := startScripted(t, members[0], onDisk(members[0], view.Founding(9, members)))
+	s := startServer(t, members[0], diskContents(members[0], view.Initial(9, members)))
 	s.learnRecord(1, &meshpb.Record{Source: "proxy", Version: 1}, false)
 	s.TakeEffects()
 	digest := func(now float64, life uint32, sequence uint64) (wholes, requests int) {
--- a/internal/mesh/control/configuration_test.go
+++ b/internal/mesh/control/configuration_test.go
@@ -36,7 +36,7 @@
 // A server learns from the others' digests that one value is chosen, while its disk has taken a newer one in between.
 func TestDigestsTellOfTheValueThatTheyName(t *testing.T) {
 	_, _, members := joinerAndMembers()
-	s := startScripted(t, members[0], onDisk(members[0], view.Founding(9, members)))
+	s := startServer(t, members[0], diskContents(members[0], view.Initial(9, members)))
 	ballot := register.Ballot{Epoch: 1, Round: 2, Node: 2, Life: 8}
 	accept := func(ballot register.Ballot, version uint64, text string) {
 		body, err := proto.Marshal(applyOrder(nil, version, []byte(text), hashOf([]byte(text))))
@@ -48,7 +48,7 @@
 	}
 	accept(ballot, 1, "one")
 	s.Tick(1)
-	finishBatch(s)
+	completeWrites(s)
 	accept(register.Ballot{Epoch: 1, Round: 5, Node: 2, Life: 8}, 2, "two")
 	s.HandleMessage(1, "s1", &meshpb.Message{Incarnation: 1, Epoch: 1, Digest: &meshpb.Digest{Sequence: 1, Life: 8,
 		Config: &meshpb.ConfigState{HeldVersion: 1, HeldBallot: ballot.Wire()}}})
--- a/internal/mesh/control/coordinator.go
+++ b/internal/mesh/control/coordinator.go
@@ -31,7 +31,7 @@
 // coordinates says whether this server is the one to change the view: the first in order that is neither silent nor leaving, and still
 // has the disk with which it is a member.
 func (s *Server) isCoordinator(now float64) bool {
-	for _, address := range rendezvous.Order(coordinatorKey, s.view().Staying()) {
+	for _, address := range rendezvous.Order(coordinatorKey, s.view().RetainedAddresses()) {
 		if address == s.options.Self {
 			return true
 		}
@@ -182,7 +182,7 @@
 	s.registers.Update(now, register.ViewKey, edit, func(_ uint64, body []byte, ok bool) {
 		m.changeInProgress = false
 		chosen, err := view.Decode(body)
-		if !ok || err != nil || chosen.Epoch != s.view().Epoch+1 || chosen.Check() != nil {
+		if !ok || err != nil || chosen.Epoch != s.view().Epoch+1 || chosen.Validate() != nil {
 			return
 		}
 		before := s.view()
--- a/internal/mesh/control/ejection.go
+++ b/internal/mesh/control/ejection.go
@@ -72,7 +72,7 @@
 
 // judges says whether this server is the one to judge a service: the first in order that is not silent.
 func (s *Server) isEjectionCoordinator(now float64, service string) bool {
-	for _, m := range rendezvous.Order(ejectionsKey(service), s.view().Staying()) {
+	for _, m := range rendezvous.Order(ejectionsKey(service), s.view().RetainedAddresses()) {
 		if m == s.options.Self {
 			return true
 		}
--- a/internal/mesh/control/homed_test.go
+++ b/internal/mesh/control/homed_test.go
@@ -15,9 +15,9 @@
 }
 
 // countClaims looks at all messages of a cluster.
-func countClaims(c *modelCluster) *claimCounter {
+func observeClaims(c *modelCluster) *claimCounter {
 	n := &claimCounter{prepared: map[string]bool{}, states: map[uint64]register.State{}}
-	c.lose = func(_, to string, m *meshpb.Message) bool {
+	c.dropMessage = func(_, to string, m *meshpb.Message) bool {
 		if m.Prepare != nil {
 			n.prepared[m.Prepare.Key] = true
 		}
@@ -53,7 +53,7 @@
 				}
 				c.run(catchUp)
 			}
-			n := countClaims(c)
+			n := observeClaims(c)
 			for i := range keys {
 				key := fmt.Sprintf("key %d of change %d", i, change)
 				token++
@@ -70,7 +70,7 @@
 				}
 			}
 		}
-		n := countClaims(c)
+		n := observeClaims(c)
 		for i, key := range before {
 			claim(c, key, uint64(10_000+i))
 		}
@@ -98,7 +98,7 @@
 		m.work()
 	}
 	bytes, messages := 0, 0
-	c.lose = func(_, _ string, m *meshpb.Message) bool {
+	c.dropMessage = func(_, _ string, m *meshpb.Message) bool {
 		if m.Homed != nil {
 			bytes += len(m.Homed.Hashes) * 8
 			messages++
--- a/internal/mesh/control/membership.go
+++ b/internal/mesh/control/membership.go
@@ -85,7 +85,7 @@
 	}
 	v, err := view.Decode(values[nameView])
 	if err == nil {
-		err = v.Check()
+		err = v.Validate()
 	}
 	if err != nil {
 		return err
@@ -173,8 +173,8 @@
 	s.contact.answeredAt[from] = now
 	switch {
 	case !v.Known():
-	case v.Check() != nil:
-		s.options.Log("view refused", "from", from, "why", v.Check())
+	case v.Validate() != nil:
+		s.options.Log("view refused", "from", from, "why", v.Validate())
 	case v.Epoch < s.view().Epoch && v.Mesh == s.view().Mesh:
 		s.sendView(from)
 	default:
@@ -264,7 +264,7 @@
 		members = append(members, founder)
 	}
 	s.configuration.confirmed = true
-	s.adoptView(now, view.Founding(s.random.Next()|1, members))
+	s.adoptView(now, view.Initial(s.random.Next()|1, members))
 	s.broadcastView(s.view())
 }
 
--- a/internal/mesh/control/model_cases_test.go
+++ b/internal/mesh/control/model_cases_test.go
@@ -57,8 +57,8 @@
 		c.run(4)
 		lost.start()
 		c.run(10)
-		if v := c.newest(); v.Joint() || c.lost(v.Members) > 0 {
-			t.Fatalf("seed %d: %v, %d members lost", seed, v, c.lost(v.Members))
+		if v := c.newest(); v.Joint() || c.countLost(v.Members) > 0 {
+			t.Fatalf("seed %d: %v, %d members lost", seed, v, c.countLost(v.Members))
 		}
 	}
 }
@@ -84,7 +84,7 @@
 			}
 			joiner.powerOff()
 			joiner.wipe()
-			c.lose = func(string, string, *meshpb.Message) bool { return false }
+			c.dropMessage = func(string, string, *meshpb.Message) bool { return false }
 			c.run(2)
 			for _, m := range c.machines {
 				if !m.up {
@@ -92,8 +92,8 @@
 				}
 			}
 			c.run(10)
-			if v := c.newest(); v.Joint() || c.lost(v.Members) > 0 {
-				t.Fatalf("seed %d, chosen %v: %v, %d members lost", seed, chosen, v, c.lost(v.Members))
+			if v := c.newest(); v.Joint() || c.countLost(v.Members) > 0 {
+				t.Fatalf("seed %d, chosen %v: %v, %d members lost", seed, chosen, v, c.countLost(v.Members))
 			}
 		}
 	}
@@ -102,7 +102,7 @@
 // proposeExchange has a member fall silent and waits until its exchange is proposed: who proposed it, and who is to join. Where the joint view is
 // not to be chosen, nobody hears the proposal.
 func proposeExchange(c *modelCluster, silent *modelMachine, chosen bool) (coordinator, joiner *modelMachine) {
-	c.lose = func(from, _ string, m *meshpb.Message) bool {
+	c.dropMessage = func(from, _ string, m *meshpb.Message) bool {
 		if m.Accept.GetKey() != register.ViewKey {
 			return false
 		}
@@ -136,7 +136,7 @@
 		joiner.wipe()
 		silent.start()
 		joiner.start()
-		c.lose = func(string, string, *meshpb.Message) bool { return false }
+		c.dropMessage = func(string, string, *meshpb.Message) bool { return false }
 		var since float64
 		for until := c.now + 8; c.now < until; {
 			c.run(modelTick)
@@ -155,7 +155,7 @@
 				t.Fatalf("seed %d: %v is waited for, and its disk is gone", seed, old)
 			}
 		}
-		if v := c.newest(); v.Joint() || c.lost(v.Members) > 0 {
+		if v := c.newest(); v.Joint() || c.countLost(v.Members) > 0 {
 			t.Fatalf("seed %d: %v", seed, v)
 		}
 	}
--- a/internal/mesh/control/model_cluster_test.go
+++ b/internal/mesh/control/model_cluster_test.go
@@ -18,27 +18,27 @@
 // The model: whole control servers on a simulated clock, network and disks. Every choice comes from the seed.
 
 const (
-	modelTick      = 0.02  // seconds
-	modelWindow    = 60.0  // seconds for which keys are kept
-	modelFounded   = 3.0   // seconds after which the first view is there
-	modelMostDelay = 0.010 // seconds that a message usually takes at most
-	modelLateDelay = 0.500 // and one that is late
-	modelMostSync  = 0.010 // seconds that a batch usually takes to the disk at most
-	modelLateSync  = 0.200 // and a late one
+	modelTick             = 0.02  // seconds
+	modelRetentionSeconds = 60.0  // seconds for which keys are kept
+	modelBootstrapSeconds = 3.0   // seconds after which the first view is there
+	modelMaxDelay         = 0.010 // seconds that a message usually takes at most
+	modelMaxLateDelay     = 0.500 // and one that is late
+	modelMaxSync          = 0.010 // seconds that a batch usually takes to the disk at most
+	modelMaxLateSync      = 0.200 // and a late one
 )
 
 // modelEvent is something that happens at a time.
 type modelEvent struct {
-	at     float64
-	number uint64 // the order of those at one time
-	do     func()
+	at       float64
+	sequence uint64 // the order of those at one time
+	do       func()
 }
 
 type modelEvents []modelEvent
 
 func (h modelEvents) Len() int { return len(h) }
 func (h modelEvents) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].number, h[j].number)) < 0
+	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].sequence, h[j].sequence)) < 0
 }
 func (h modelEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *modelEvents) Push(x any)   { *h = append(*h, x.(modelEvent)) }
@@ -52,21 +52,21 @@
 
 // modelCluster is all servers and what is between them.
 type modelCluster struct {
-	seed      uint64
-	links     map[[2]string]*rand.Rand // from, to: one link's luck does not hang on another's messages
-	now       float64
-	events    modelEvents
-	number    uint64
-	tolerance int
-	seeds     []string
-	machines  []*modelMachine
-	byName    map[string]*modelMachine
-	cuts      map[[2]string]bool // from, to
-	lossy     bool               // messages are lost, doubled and late, and disks are slow
-	lose      func(from, to string, m *meshpb.Message) bool
-	wrote     func(name string, value []byte)
-	trace     func(format string, args ...any)
-	orders    *orderHistory
+	seed         uint64
+	links        map[[2]string]*rand.Rand // from, to: one link's luck does not hang on another's messages
+	now          float64
+	events       modelEvents
+	lastSequence uint64
+	tolerance    int
+	seeds        []string
+	machines     []*modelMachine
+	byName       map[string]*modelMachine
+	cuts         map[[2]string]bool // from, to
+	lossy        bool               // messages are lost, doubled and late, and disks are slow
+	dropMessage  func(from, to string, m *meshpb.Message) bool
+	onWrite      func(name string, value []byte)
+	trace        func(format string, args ...any)
+	orders       *orderHistory
 }
 
 // modelMachine is one machine: a disk, and a server while it is up.
@@ -77,7 +77,7 @@
 	disk    map[string][]byte
 	server  *Server
 	up      bool
-	lives   uint32
+	starts  uint32
 	first   bool // the whole system starts for the first time
 	cutAt   float64
 
@@ -95,10 +95,10 @@
 func newModelClusterOf(seed uint64, members, tolerance, spares int) *modelCluster {
 	c := &modelCluster{seed: seed, links: map[[2]string]*rand.Rand{}, now: 1, tolerance: tolerance,
 		byName: map[string]*modelMachine{}, cuts: map[[2]string]bool{}, trace: func(string, ...any) {},
-		lose: func(string, string, *meshpb.Message) bool { return false }, wrote: func(string, []byte) {}, orders: newOrderHistory()}
+		dropMessage: func(string, string, *meshpb.Message) bool { return false }, onWrite: func(string, []byte) {}, orders: newOrderHistory()}
 	for i := range members + spares {
 		address := fmt.Sprintf("s%d", i)
-		m := &modelMachine{cluster: c, random: luck(seed, address), address: address, disk: map[string][]byte{}, first: i < members}
+		m := &modelMachine{cluster: c, random: newRandom(seed, address), address: address, disk: map[string][]byte{}, first: i < members}
 		c.machines, c.byName[m.address] = append(c.machines, m), m
 		if m.first {
 			c.seeds = append(c.seeds, m.address)
@@ -107,7 +107,7 @@
 	for _, m := range c.machines[:members] {
 		m.start()
 	}
-	c.run(modelFounded)
+	c.run(modelBootstrapSeconds)
 	for _, m := range c.machines {
 		m.first = false
 		if !m.up {
@@ -119,31 +119,31 @@
 
 // luck is a source of randomness of its own for each thing that has a name: what one draws more or less after a change of the code
 // leaves the others' draws as they were, so that a recorded run stays much the same run.
-func luck(seed uint64, name string) *rand.Rand {
+func newRandom(seed uint64, name string) *rand.Rand {
 	h := fnv.New64a()
 	io.WriteString(h, name)
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
 // link is the luck of messages from one machine to another.
-func (c *modelCluster) link(from, to string) *rand.Rand {
+func (c *modelCluster) linkRandom(from, to string) *rand.Rand {
 	key := [2]string{from, to}
 	if c.links[key] == nil {
-		c.links[key] = luck(c.seed, from+" to "+to)
+		c.links[key] = newRandom(c.seed, from+" to "+to)
 	}
 	return c.links[key]
 }
 
 // after does something so many seconds from now.
 func (c *modelCluster) after(seconds float64, do func()) {
-	c.number++
-	heap.Push(&c.events, modelEvent{c.now + seconds, c.number, do})
+	c.lastSequence++
+	heap.Push(&c.events, modelEvent{c.now + seconds, c.lastSequence, do})
 }
 
 // run lets so many seconds pass.
 func (c *modelCluster) run(seconds float64) {
 	until := c.now + seconds
-	for len(c.events) > 0 && c.events[0].at <= until && c.orders.broken == nil {
+	for len(c.events) > 0 && c.events[0].at <= until && c.orders.violation == nil {
 		e := heap.Pop(&c.events).(modelEvent)
 		c.now = e.at
 		e.do()
@@ -156,14 +156,14 @@
 // start starts the server on what the disk holds.
 func (m *modelMachine) start() {
 	c := m.cluster
-	m.lives++
+	m.starts++
 	m.up, m.syncing, m.writing, m.puts, m.after = true, false, nil, nil, nil
 	values := map[string][]byte{}
 	for name, value := range m.disk {
 		values[name] = slices.Clone(value)
 	}
 	server, err := New(c.now, Options{Self: m.address, Seeds: c.seeds, Bootstrap: m.first && len(values) == 0,
-		Tolerance: c.tolerance, RetentionSeconds: modelWindow, Life: m.random.Uint32() | 1, RandomSeed: m.random.Uint64(),
+		Tolerance: c.tolerance, RetentionSeconds: modelRetentionSeconds, Life: m.random.Uint32() | 1, RandomSeed: m.random.Uint64(),
 		Log: func(event string, args ...any) {
 			c.trace("%.3f %s: %s %v", c.now, m.address, event, args)
 			if event == EventViolation {
@@ -176,12 +176,12 @@
 	m.server = server
 	c.trace("%.3f %s starts, incarnation %d, epoch %d", c.now, m.address, server.self.Incarnation, server.view().Epoch)
 	m.work()
-	m.tick(m.lives)
+	m.tick(m.starts)
 }
 
 func (m *modelMachine) tick(life uint32) {
 	m.cluster.after(modelTick*(0.5+m.random.Float64()), func() {
-		if m.up && m.lives == life {
+		if m.up && m.starts == life {
 			m.server.Tick(m.cluster.now)
 			m.work()
 			m.tick(life)
@@ -208,7 +208,7 @@
 			m.server.HandleMessage(m.cluster.now, m.address, send.Message)
 			continue
 		}
-		m.cluster.carry(m.address, send.To, send.Message)
+		m.cluster.transmit(m.address, send.To, send.Message)
 	}
 }
 
@@ -218,15 +218,15 @@
 		return
 	}
 	c := m.cluster
-	takes := modelMostSync * m.random.Float64()
+	takes := modelMaxSync * m.random.Float64()
 	if c.lossy && m.random.IntN(10) == 0 {
-		takes = modelLateSync * m.random.Float64()
+		takes = modelMaxLateSync * m.random.Float64()
 	}
 	m.syncing, m.writing = true, m.puts
-	after, life := m.after, m.lives
+	after, life := m.after, m.starts
 	m.puts, m.after = nil, nil
 	c.after(takes, func() {
-		if !m.up || m.lives != life {
+		if !m.up || m.starts != life {
 			return
 		}
 		m.apply(m.writing)
@@ -238,7 +238,7 @@
 
 func (m *modelMachine) apply(puts []store.Put) {
 	for _, p := range puts {
-		m.cluster.wrote(p.Name, p.Value)
+		m.cluster.onWrite(p.Name, p.Value)
 		if len(p.Value) == 0 {
 			delete(m.disk, p.Name)
 		} else {
@@ -270,18 +270,18 @@
 }
 
 // holds says whether this machine's disk is the one of a member.
-func (m *modelMachine) holds(member view.Member) bool {
+func (m *modelMachine) hasDiskOf(member view.Member) bool {
 	return decodeUint64(m.disk[nameIdentity]) == member.Incarnation
 }
 
 // ---- network
 
 // carry takes a message to another machine.
-func (c *modelCluster) carry(from, to string, message *meshpb.Message) {
-	if c.lose(from, to, message) {
+func (c *modelCluster) transmit(from, to string, message *meshpb.Message) {
+	if c.dropMessage(from, to, message) {
 		return
 	}
-	random, copies := c.link(from, to), 1
+	random, copies := c.linkRandom(from, to), 1
 	if c.lossy {
 		switch random.IntN(30) {
 		case 0:
@@ -291,9 +291,9 @@
 		}
 	}
 	for range copies {
-		takes := 0.0002 + modelMostDelay*random.Float64()
+		takes := 0.0002 + modelMaxDelay*random.Float64()
 		if c.lossy && random.IntN(20) == 0 {
-			takes = modelLateDelay * random.Float64()
+			takes = modelMaxLateDelay * random.Float64()
 		}
 		c.after(takes, func() { c.deliver(from, to, message) })
 	}
@@ -309,7 +309,7 @@
 }
 
 // cutOff lets nothing pass between a machine and the others; oneWay: nothing from it to them.
-func (c *modelCluster) cutOff(m *modelMachine, oneWay bool) {
+func (c *modelCluster) cutLinks(m *modelMachine, oneWay bool) {
 	c.trace("%.3f %s is cut off, one way %v", c.now, m.address, oneWay)
 	m.cutAt = c.now
 	for _, other := range c.machines {
@@ -322,7 +322,7 @@
 	}
 }
 
-func (c *modelCluster) joinAll() {
+func (c *modelCluster) healCuts() {
 	c.trace("%.3f all cuts end", c.now)
 	clear(c.cuts)
 	for _, m := range c.machines {
@@ -369,9 +369,9 @@
 }
 
 // lost counts those of some members whose disks are lost.
-func (c *modelCluster) lost(members []view.Member) (n int) {
+func (c *modelCluster) countLost(members []view.Member) (n int) {
 	for _, member := range members {
-		if !c.byName[member.Address].holds(member) {
+		if !c.byName[member.Address].hasDiskOf(member) {
 			n++
 		}
 	}
--- a/internal/mesh/control/model_history_test.go
+++ b/internal/mesh/control/model_history_test.go
@@ -27,11 +27,11 @@
 	stepRead     stepKind = "read"
 	stepLossy    stepKind = "lossy" // messages begin to be lost, or that ends
 	stepCut      stepKind = "cut"
-	stepJoin     stepKind = "join" // all cuts end
+	stepHeal     stepKind = "join" // all cuts end
 	stepKill     stepKind = "kill"
 	stepPowerOff stepKind = "power off"
 	stepStart    stepKind = "start"
-	stepLose     stepKind = "lose disk"
+	stepLoseDisk stepKind = "lose disk"
 	stepLeave    stepKind = "leave"
 )
 
@@ -44,13 +44,13 @@
 }
 
 // step takes a step now, and notes it.
-func (r *modelRun) step(step modelStep) {
+func (r *modelRun) recordAndExecute(step modelStep) {
 	step.At = r.now
 	r.steps = append(r.steps, step)
-	r.take(step)
+	r.execute(step)
 }
 
-func (r *modelRun) take(step modelStep) {
+func (r *modelRun) execute(step modelStep) {
 	m := r.byName[step.Machine]
 	switch step.Kind {
 	case stepOrder:
@@ -60,9 +60,9 @@
 	case stepLossy:
 		r.lossy = !r.lossy
 	case stepCut:
-		r.cutOff(m, step.Variant == 0)
-	case stepJoin:
-		r.joinAll()
+		r.cutLinks(m, step.Variant == 0)
+	case stepHeal:
+		r.healCuts()
 	case stepKill:
 		if m.up {
 			m.kill()
@@ -73,7 +73,7 @@
 		}
 	case stepStart:
 		r.start(m)
-	case stepLose:
+	case stepLoseDisk:
 		r.loseDisk(m)
 	case stepLeave:
 		r.leave(m)
@@ -86,7 +86,7 @@
 	if dir == "" {
 		return
 	}
-	text, err := json.MarshalIndent(modelHistory{About: r.orders.broken.Error(), Seed: r.seed, Tolerance: r.tolerance, Steps: r.steps}, "", " ")
+	text, err := json.MarshalIndent(modelHistory{About: r.orders.violation.Error(), Seed: r.seed, Tolerance: r.tolerance, Steps: r.steps}, "", " ")
 	if err == nil {
 		err = os.WriteFile(filepath.Join(dir, fmt.Sprintf("seed-%d.json", r.seed)), text, 0o644)
 	}
@@ -114,8 +114,8 @@
 		if os.Getenv(modelTraceVariable) != "" {
 			trace = t.Logf
 		}
-		if broken := newModelRunFor(h.Seed, h.Tolerance, trace).replay(h.Steps); broken != nil {
-			t.Errorf("%s (%s): %v", file, h.About, broken)
+		if violation := newModelRunFor(h.Seed, h.Tolerance, trace).replay(h.Steps); violation != nil {
+			t.Errorf("%s (%s): %v", file, h.About, violation)
 		}
 	}
 }
--- a/internal/mesh/control/model_orders_test.go
+++ b/internal/mesh/control/model_orders_test.go
@@ -8,25 +8,25 @@
 
 // The kinds of violations that the checker of orders tells apart.
 const (
-	twoTextsOneNumber   = "two texts under one number were confirmed or read"
-	refusedAfterwards   = "a text was refused after it was confirmed"
-	orderLost           = "a confirmed order is lost"
-	confirmedOutOfReach = "a server out of contact confirmed"
-	invariantViolated   = "an invariant is violated"
-	answeredTwice       = "an order was answered twice"
-	neverAnswered       = "an order was never answered"
+	conflictingTexts        = "two texts under one number were confirmed or read"
+	refusedAfterConfirmed   = "a text was refused after it was confirmed"
+	orderLost               = "a confirmed order is lost"
+	confirmedWithoutContact = "a server out of contact confirmed"
+	invariantViolated       = "an invariant is violated"
+	answeredTwice           = "an order was answered twice"
+	neverAnswered           = "an order was never answered"
 )
 
 // orderHistory is what operators were told, and the first violation.
 type orderHistory struct {
-	texts     map[uint64]string // by number: the text that was confirmed or read
-	confirmed map[uint64]string // by number: the text that was confirmed
-	newest    uint64            // the newest number that was confirmed or read
-	broken    error
-	taken     int
-	conflicts int
-	unknown   int
-	read      int
+	texts      map[uint64]string // by number: the text that was confirmed or read
+	confirmed  map[uint64]string // by number: the text that was confirmed
+	newest     uint64            // the newest number that was confirmed or read
+	violation  error
+	taken      int
+	conflicts  int
+	unanswered int
+	reads      int
 }
 
 func newOrderHistory() *orderHistory {
@@ -34,15 +34,15 @@
 }
 
 func (h *orderHistory) fail(kind, format string, args ...any) {
-	if h.broken == nil {
-		h.broken = fmt.Errorf("%s: %s", kind, fmt.Sprintf(format, args...))
+	if h.violation == nil {
+		h.violation = fmt.Errorf("%s: %s", kind, fmt.Sprintf(format, args...))
 	}
 }
 
 // hold notes the text that a number stands for.
-func (h *orderHistory) hold(number uint64, text string) {
+func (h *orderHistory) recordText(number uint64, text string) {
 	if known, told := h.texts[number]; told && known != text {
-		h.fail(twoTextsOneNumber, "number %d: %q and %q", number, known, text)
+		h.fail(conflictingTexts, "number %d: %q and %q", number, known, text)
 		return
 	}
 	h.texts[number] = text
@@ -53,29 +53,29 @@
 	switch result {
 	case OrderTaken:
 		h.taken++
-		h.hold(number, text)
+		h.recordText(number, text)
 		h.confirmed[number] = text
 		h.newest = max(h.newest, number)
 	case OrderConflict:
 		h.conflicts++
 		if h.confirmed[number] == text {
-			h.fail(refusedAfterwards, "number %d: %q", number, text)
+			h.fail(refusedAfterConfirmed, "number %d: %q", number, text)
 		}
 	default:
-		h.unknown++
+		h.unanswered++
 	}
 }
 
 // readBack takes a configuration that was read. least is the newest number that was known when it was asked for.
 func (h *orderHistory) readBack(least uint64, text string) {
-	h.read++
+	h.reads++
 	var number uint64
 	if text != "" {
 		if _, err := fmt.Sscanf(text, "order %d", &number); err != nil {
-			h.fail(twoTextsOneNumber, "%q is no order's text", text)
+			h.fail(conflictingTexts, "%q is no order's text", text)
 			return
 		}
-		h.hold(number, text)
+		h.recordText(number, text)
 	}
 	if number < least {
 		h.fail(orderLost, "read number %d, and %d was confirmed", number, least)
@@ -94,15 +94,15 @@
 			h.answered(1, "order 1, text 1", OrderConflict)
 			h.readBack(1, "order 1, text 0")
 		}},
-		{twoTextsOneNumber, func(h *orderHistory) {
+		{conflictingTexts, func(h *orderHistory) {
 			h.answered(1, "order 1, text 0", OrderTaken)
 			h.answered(1, "order 1, text 1", OrderTaken)
 		}},
-		{twoTextsOneNumber, func(h *orderHistory) {
+		{conflictingTexts, func(h *orderHistory) {
 			h.answered(1, "order 1, text 0", OrderTaken)
 			h.readBack(1, "order 1, text 1")
 		}},
-		{refusedAfterwards, func(h *orderHistory) {
+		{refusedAfterConfirmed, func(h *orderHistory) {
 			h.answered(1, "order 1, text 0", OrderTaken)
 			h.answered(1, "order 1, text 0", OrderConflict)
 		}},
@@ -117,8 +117,8 @@
 	} {
 		h := newOrderHistory()
 		c.tell(h)
-		if found := h.broken != nil; found != (c.kind != "") || found && !strings.HasPrefix(h.broken.Error(), c.kind) {
-			t.Errorf("found %v, want %q", h.broken, c.kind)
+		if found := h.violation != nil; found != (c.kind != "") || found && !strings.HasPrefix(h.violation.Error(), c.kind) {
+			t.Errorf("found %v, want %q", h.violation, c.kind)
 		}
 	}
 }
--- a/internal/mesh/control/model_test.go
+++ b/internal/mesh/control/model_test.go
@@ -23,13 +23,13 @@
 	modelFromVariable  = "MODEL_FROM"
 	modelTraceVariable = "MODEL_TRACE"
 	// modelRecordVariable names a folder in which the steps of a run that fails are kept, for testdata/histories.
-	modelRecordVariable = "MODEL_RECORD"
-	modelSeeds          = 40
-	modelSeedsRace      = 6    // under the race detector, which has nothing to find in one goroutine
-	modelTrouble        = 40.0 // seconds of trouble in a run
-	modelCalm           = 12.0 // seconds without any, until everything has to work again
-	answerWithin        = 2.0  // seconds until an order is answered by a server that goes on
-	outOfContactAfter   = contactTimeout + 0.1
+	modelRecordVariable  = "MODEL_RECORD"
+	modelSeeds           = 40
+	modelSeedsRace       = 6    // under the race detector, which has nothing to find in one goroutine
+	modelFaultSeconds    = 40.0 // seconds of trouble in a run
+	modelRecoverySeconds = 12.0 // seconds without any, until everything has to work again
+	answerTimeout        = 2.0  // seconds until an order is answered by a server that goes on
+	outOfContactAfter    = contactTimeout + 0.1
 )
 
 func modelSetting(name string, otherwise uint64) uint64 {
@@ -49,12 +49,12 @@
 // modelRun is one run: operators, and what goes wrong. Its steps are drawn, or those of a run that was recorded.
 type modelRun struct {
 	*modelCluster
-	random    *rand.Rand
-	steps     []modelStep // that were taken
-	last      uint64      // number of the newest order
-	exchanged uint64      // epochs
-	leaving   *modelMachine
-	counted   uint64 // the newest epoch in which a joiner counts as a member
+	random             *rand.Rand
+	steps              []modelStep // that were taken
+	lastOrder          uint64      // number of the newest order
+	finalEpoch         uint64      // epochs
+	leaving            *modelMachine
+	joinerCountedEpoch uint64 // the newest epoch in which a joiner counts as a member
 }
 
 func newModelRun(seed uint64, trace func(string, ...any)) *modelRun {
@@ -62,7 +62,7 @@
 }
 
 func newModelRunFor(seed uint64, tolerance int, trace func(string, ...any)) *modelRun {
-	r := &modelRun{modelCluster: newModelCluster(seed, tolerance, 2), random: luck(seed, "run")}
+	r := &modelRun{modelCluster: newModelCluster(seed, tolerance, 2), random: newRandom(seed, "run")}
 	if trace != nil {
 		r.trace = trace
 	}
@@ -71,27 +71,27 @@
 
 // play has trouble for a while, and looks then whether everything confirmed is there.
 func (r *modelRun) play() error {
-	until := r.now + modelTrouble
-	r.nextOrder(until)
-	r.nextTrouble(until)
+	until := r.now + modelFaultSeconds
+	r.scheduleOrder(until)
+	r.scheduleFault(until)
 	return r.finish()
 }
 
 // replay takes the steps of a run that was recorded.
 func (r *modelRun) replay(steps []modelStep) error {
 	for _, step := range steps {
-		r.after(step.At-r.now, func() { r.take(step) })
+		r.after(step.At-r.now, func() { r.execute(step) })
 	}
 	return r.finish()
 }
 
 func (r *modelRun) finish() error {
-	r.run(modelTrouble)
+	r.run(modelFaultSeconds)
 	r.heal()
-	r.run(modelCalm)
+	r.run(modelRecoverySeconds)
 	r.readAll()
-	r.loseTolerance()
-	return r.orders.broken
+	r.loseToleratedDisks()
+	return r.orders.violation
 }
 
 func (r *modelRun) anyMachine() *modelMachine { return r.machines[r.random.IntN(len(r.machines))] }
@@ -99,33 +99,33 @@
 // ---- operators
 
 // nextOrder has operators give orders until a time.
-func (r *modelRun) nextOrder(until float64) {
+func (r *modelRun) scheduleOrder(until float64) {
 	r.after(0.6*r.random.Float64(), func() {
 		if r.now > until {
 			return
 		}
 		switch r.random.IntN(8) {
 		case 0:
-			r.step(modelStep{Kind: stepRead, Machine: r.anyMachine().address})
+			r.recordAndExecute(modelStep{Kind: stepRead, Machine: r.anyMachine().address})
 		case 1:
 			for range 8 { // at once, to any servers, with two texts
-				r.stepOrder(r.last+1, r.random.IntN(2))
+				r.stepOrder(r.lastOrder+1, r.random.IntN(2))
 			}
-			r.last++
+			r.lastOrder++
 		case 2, 3: // again, or the other text
-			if r.last > 0 {
-				r.stepOrder(r.last-min(r.last-1, r.random.Uint64N(4)), r.random.IntN(2))
+			if r.lastOrder > 0 {
+				r.stepOrder(r.lastOrder-min(r.lastOrder-1, r.random.Uint64N(4)), r.random.IntN(2))
 			}
 		default:
-			r.last++
-			r.stepOrder(r.last, 0)
+			r.lastOrder++
+			r.stepOrder(r.lastOrder, 0)
 		}
-		r.nextOrder(until)
+		r.scheduleOrder(until)
 	})
 }
 
 func (r *modelRun) stepOrder(number uint64, variant int) {
-	r.step(modelStep{Kind: stepOrder, Machine: r.anyMachine().address, Number: number, Variant: variant})
+	r.recordAndExecute(modelStep{Kind: stepOrder, Machine: r.anyMachine().address, Number: number, Variant: variant})
 }
 
 // order gives an order to a server. Its answer may be lost on the way back.
@@ -134,7 +134,7 @@
 		return
 	}
 	text := fmt.Sprintf("order %d, text %d", number, variant)
-	life, answers := m.lives, 0
+	life, answers := m.starts, 0
 	r.trace("%.3f %s is ordered %q", r.now, m.address, text)
 	m.server.Order(r.now, number, []byte(text), func(result OrderResult) {
 		r.trace("%.3f %s answers %q: %v", r.now, m.address, text, result)
@@ -142,15 +142,15 @@
 			r.orders.fail(answeredTwice, "%q by %s", text, m.address)
 		}
 		if result == OrderTaken && m.cutAt > 0 && r.now > m.cutAt+outOfContactAfter {
-			r.orders.fail(confirmedOutOfReach, "%q by %s", text, m.address)
+			r.orders.fail(confirmedWithoutContact, "%q by %s", text, m.address)
 		}
 		if m.random.IntN(6) > 0 {
 			r.orders.answered(number, text, result)
 		}
 	})
 	m.work()
-	r.after(answerWithin, func() {
-		if m.up && m.lives == life && answers == 0 {
+	r.after(answerTimeout, func() {
+		if m.up && m.starts == life && answers == 0 {
 			r.orders.fail(neverAnswered, "%q by %s", text, m.address)
 		}
 	})
@@ -174,38 +174,38 @@
 // ---- trouble
 
 // nextTrouble has things go wrong until a time.
-func (r *modelRun) nextTrouble(until float64) {
+func (r *modelRun) scheduleFault(until float64) {
 	r.after(1.5*r.random.Float64(), func() {
 		if r.now > until {
 			return
 		}
-		r.trouble()
-		r.nextTrouble(until)
+		r.injectFault()
+		r.scheduleFault(until)
 	})
 }
 
-func (r *modelRun) trouble() {
+func (r *modelRun) injectFault() {
 	m := r.anyMachine()
 	switch n := r.random.IntN(20); {
 	case n < 2:
-		r.step(modelStep{Kind: stepLossy})
+		r.recordAndExecute(modelStep{Kind: stepLossy})
 	case n < 4 && len(r.cuts) == 0:
-		r.step(modelStep{Kind: stepCut, Machine: m.address, Variant: r.random.IntN(2)})
+		r.recordAndExecute(modelStep{Kind: stepCut, Machine: m.address, Variant: r.random.IntN(2)})
 	case n < 8:
 		if len(r.cuts) > 0 {
-			r.step(modelStep{Kind: stepJoin})
+			r.recordAndExecute(modelStep{Kind: stepHeal})
 		}
 	case n < 12 && m.up:
 		r.stop(m)
 	case n < 15:
-		r.step(modelStep{Kind: stepStart, Machine: m.address})
+		r.recordAndExecute(modelStep{Kind: stepStart, Machine: m.address})
 	case n < 17:
-		if r.mayLose(m) {
-			r.step(modelStep{Kind: stepLose, Machine: m.address})
+		if r.canLoseDisk(m) {
+			r.recordAndExecute(modelStep{Kind: stepLoseDisk, Machine: m.address})
 			r.startAfter(m, 2*r.random.Float64())
 		}
 	case n == 17 && m.up && m.server.isMember() && r.leaving == nil:
-		r.step(modelStep{Kind: stepLeave, Machine: m.address})
+		r.recordAndExecute(modelStep{Kind: stepLeave, Machine: m.address})
 	}
 }
 
@@ -215,40 +215,40 @@
 	if r.random.IntN(2) == 0 {
 		kind = stepKill
 	}
-	r.step(modelStep{Kind: kind, Machine: m.address})
+	r.recordAndExecute(modelStep{Kind: kind, Machine: m.address})
 	if r.random.IntN(3) > 0 {
 		r.startAfter(m, 3*r.random.Float64())
 	}
 }
 
 func (r *modelRun) startAfter(m *modelMachine, seconds float64) {
-	r.after(seconds, func() { r.step(modelStep{Kind: stepStart, Machine: m.address}) })
+	r.after(seconds, func() { r.recordAndExecute(modelStep{Kind: stepStart, Machine: m.address}) })
 }
 
 // mayLose says whether the mesh bears the loss of one more disk: of the members, and of the members to be once a joiner counts as one
 // of them. A change is complete, and who it leaves out no longer counts, once a majority of its members has the view on disk: until then
 // the loss has to be borne by the view before it too. Disks of servers that wait, and of a joiner that has not read everything yet, may
 // be lost at any time.
-func (r *modelRun) mayLose(m *modelMachine) bool {
+func (r *modelRun) canLoseDisk(m *modelMachine) bool {
 	for _, v := range r.inForce() {
 		joiner, _ := v.Joiner()
-		if v.Joint() && decodeUint64(r.byName[joiner.Address].disk[nameSynced]) == v.Epoch && r.byName[joiner.Address].holds(joiner) {
-			r.counted = v.Epoch
+		if v.Joint() && decodeUint64(r.byName[joiner.Address].disk[nameSynced]) == v.Epoch && r.byName[joiner.Address].hasDiskOf(joiner) {
+			r.joinerCountedEpoch = v.Epoch
 		}
-		if !r.bears(v.Members, m) || v.Joint() && r.counted == v.Epoch && !r.bears(v.Next, m) {
+		if !r.toleratesLoss(v.Members, m) || v.Joint() && r.joinerCountedEpoch == v.Epoch && !r.toleratesLoss(v.Next, m) {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *modelRun) bears(members []view.Member, m *modelMachine) bool {
-	return !slices.Contains(members, viewMember(m)) || r.lost(members) < r.tolerance
+func (r *modelRun) toleratesLoss(members []view.Member, m *modelMachine) bool {
+	return !slices.Contains(members, viewMember(m)) || r.countLost(members) < r.tolerance
 }
 
 // loseDisk takes a disk, where the mesh bears that.
 func (r *modelRun) loseDisk(m *modelMachine) {
-	if !r.mayLose(m) {
+	if !r.canLoseDisk(m) {
 		return
 	}
 	if m.up {
@@ -266,10 +266,10 @@
 	r.leaving = m
 	m.server.Leave(r.now)
 	m.work()
-	life := m.lives
+	life := m.starts
 	r.after(4, func() {
 		r.leaving = nil
-		if m.up && m.lives == life {
+		if m.up && m.starts == life {
 			r.trace("%.3f %s has left: %v", r.now, m.address, m.server.MayStop(r.now))
 			m.kill()
 			r.after(2, func() { r.start(m) })
@@ -288,7 +288,7 @@
 // heal ends all trouble.
 func (r *modelRun) heal() {
 	r.lossy = false
-	r.joinAll()
+	r.healCuts()
 	for _, m := range r.machines {
 		if !m.up {
 			m.start()
@@ -298,21 +298,21 @@
 
 // readAll has every server read. At least one has to be in reach of a quorum by now.
 func (r *modelRun) readAll() {
-	before := r.orders.read
+	before := r.orders.reads
 	for _, m := range r.machines {
 		r.read(m)
 	}
-	r.run(answerWithin)
-	if r.orders.read == before && r.orders.broken == nil {
+	r.run(answerTimeout)
+	if r.orders.reads == before && r.orders.violation == nil {
 		r.orders.fail(orderLost, "no server reads a configuration any more: %v", r.newest())
 	}
-	r.exchanged = r.newest().Epoch
+	r.finalEpoch = r.newest().Epoch
 }
 
 // loseTolerance takes as many disks as the mesh tolerates, and reads from the others.
-func (r *modelRun) loseTolerance() {
+func (r *modelRun) loseToleratedDisks() {
 	v := r.newest()
-	if r.orders.broken != nil || v.Joint() || r.lost(v.Members) > 0 {
+	if r.orders.violation != nil || v.Joint() || r.countLost(v.Members) > 0 {
 		return
 	}
 	for _, i := range r.random.Perm(len(v.Members))[:r.tolerance] {
@@ -335,19 +335,19 @@
 	if os.Getenv(modelTraceVariable) != "" {
 		trace = t.Logf
 	}
-	taken, conflicts, unknown, epochs := 0, 0, 0, uint64(0)
+	taken, conflicts, unanswered, epochs := 0, 0, 0, uint64(0)
 	for seed := from; seed < from+seeds; seed++ {
 		r := newModelRun(seed, trace)
-		if broken := r.play(); broken != nil {
+		if violation := r.play(); violation != nil {
 			r.record(t)
-			t.Fatalf("seed %d: %v", seed, broken)
+			t.Fatalf("seed %d: %v", seed, violation)
 		}
 		taken += r.orders.taken
 		conflicts += r.orders.conflicts
-		unknown += r.orders.unknown
-		epochs += r.exchanged
+		unanswered += r.orders.unanswered
+		epochs += r.finalEpoch
 	}
-	t.Logf("%d seeds: %d orders taken, %d refused, %d without an answer, %d views", seeds, taken, conflicts, unknown, epochs)
+	t.Logf("%d seeds: %d orders taken, %d refused, %d without an answer, %d views", seeds, taken, conflicts, unanswered, epochs)
 	if taken < int(seeds) {
 		t.Fatalf("%d orders taken in %d runs: this shows nothing", taken, seeds)
 	}
--- a/internal/mesh/control/order_cost_test.go
+++ b/internal/mesh/control/order_cost_test.go
@@ -12,7 +12,7 @@
 )
 
 // routesText is a configuration of so many routes, with names as those of operators.
-func routesText(routes int, version uint64) []byte {
+func configText(routes int, version uint64) []byte {
 	random := rand.New(rand.NewPCG(7, 7))
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"edition":"r%d","itineraries":[`, version)
@@ -32,7 +32,7 @@
 	c := newModelClusterOf(1, members, (members-1)/2, 0)
 	c.run(2)
 	give := func(version int) []byte {
-		text, taken := routesText(routes, uint64(version)), false
+		text, taken := configText(routes, uint64(version)), false
 		m := c.machines[version%members]
 		m.server.Order(c.now, uint64(version), text, func(result OrderResult) { taken = result == OrderTaken })
 		m.work()
@@ -44,13 +44,13 @@
 	}
 	give(1)
 	cost := orderCost{}
-	c.lose = func(_, _ string, m *meshpb.Message) bool {
+	c.dropMessage = func(_, _ string, m *meshpb.Message) bool {
 		if m.Prepare != nil || m.Promise != nil || m.Accept != nil || m.Accepted != nil {
 			cost.wire += proto.Size(m)
 		}
 		return false
 	}
-	c.wrote = func(name string, value []byte) {
+	c.onWrite = func(name string, value []byte) {
 		if strings.HasSuffix(name, "\x00configuration") {
 			cost.disk += len(value)
 			cost.writes++
--- a/internal/mesh/control/propagation.go
+++ b/internal/mesh/control/propagation.go
@@ -95,7 +95,7 @@
 // answerPull tells a proxy what it lacks. Where that is nothing it is told so only if it must be. A server that is behind tells
 // nothing but whom to ask.
 func (s *Server) answerPull(now float64, held heldPull, force bool) bool {
-	update := &meshpb.Update{Servers: s.view().Staying(), FromServer: true, Epoch: s.view().Epoch}
+	update := &meshpb.Update{Servers: s.view().RetainedAddresses(), FromServer: true, Epoch: s.view().Epoch}
 	if update.Alone = s.mayBeStale(now); !update.Alone {
 		s.fillUpdate(now, update, held.pull)
 		nothing := len(update.Records) == 0 && update.Edition == 0 && update.EjectionsVersion == 0 &&
--- a/internal/mesh/control/state.go
+++ b/internal/mesh/control/state.go
@@ -105,7 +105,7 @@
 
 // Redirect is the server to ask in place of one that is no member: a member that answered lately; empty: none did.
 func (s *Server) Redirect(now float64) string {
-	for _, address := range s.view().Staying() {
+	for _, address := range s.view().RetainedAddresses() {
 		if at := s.contact.answeredAt[address]; address != s.options.Self && at > 0 && now < at+standbyTimeout {
 			return address
 		}
--- a/internal/mesh/register/model_cluster_test.go
+++ b/internal/mesh/register/model_cluster_test.go
@@ -121,7 +121,7 @@
 			founders = append(founders, member)
 		}
 	}
-	founding := view.Founding(1, founders)
+	founding := view.Initial(1, founders)
 	for _, s := range c.servers {
 		s.disk[modelViewName] = founding.Encode()
 		s.start()
--- a/internal/mesh/register/model_exhaustive_test.go
+++ b/internal/mesh/register/model_exhaustive_test.go
@@ -87,7 +87,7 @@
 	for _, address := range []string{"s0", "s1", "s2", "s3"} {
 		members = append(members, view.Member{Address: address, Incarnation: 1})
 	}
-	first := view.Founding(1, members[:3])
+	first := view.Initial(1, members[:3])
 	joint := first.Join(members[3], members[2])
 	x := &stateSearch{views: []view.View{first, joint, joint.Complete()}, members: members, explored: map[uint64]int8{},
 		seed: maphash.MakeSeed(), keys: []string{searchKey}, checkLeaf: func(*searchState) string { return "" }}
--- a/internal/mesh/register/register_test.go
+++ b/internal/mesh/register/register_test.go
@@ -42,7 +42,7 @@
 	for _, name := range b.names {
 		members = append(members, b.member(name))
 	}
-	b.view = view.Founding(1, members)
+	b.view = view.Initial(1, members)
 	for _, name := range b.names {
 		b.disks[name] = map[string][]byte{}
 		b.start(name)
--- a/internal/mesh/register/slow_test.go
+++ b/internal/mesh/register/slow_test.go
@@ -37,7 +37,7 @@
 	}
 	for i, name := range c.names {
 		rs := New(members[i], uint32(i+1), 60)
-		rs.SetView(c.now, view.Founding(1, members), c.now)
+		rs.SetView(c.now, view.Initial(1, members), c.now)
 		rs.StartVoting()
 		c.servers[name] = rs
 	}
--- a/internal/mesh/sharding/sharding.go
+++ b/internal/mesh/sharding/sharding.go
@@ -28,7 +28,7 @@
 
 	// loadSlack is by how much a member may hold more ranges than the mean. Larger: fewer ranges move when members change. Smaller: the
 	// members are loaded more evenly.
-	loadSlack = 1.25
+	maxLoadFactor = 1.25
 )
 
 // RegisterName is the name under which a service's assignment is kept, and by which its coordinator is chosen.
@@ -53,18 +53,18 @@
 }
 
 // nobody is the place in a list of members of the holder of a range that has none.
-const nobody = -1
+const noMember = -1
 
 // Table is the assignment of an epoch with the holders that follow from it. It is immutable.
 type Table struct {
 	*meshpb.Assignment
-	holders, before []int // by range: places in Members and in Previous
-	handovers       map[Range]string
+	holders, previousHolders []int // by range: places in Members and in Previous
+	handovers                map[Range]string
 }
 
-// Compile works out the holders of an assignment.
-func Compile(a *meshpb.Assignment) *Table {
-	t := &Table{Assignment: a, holders: place(a.GetMembers()), before: place(a.GetPrevious()), handovers: map[Range]string{}}
+// NewTable works out the holders of an assignment.
+func NewTable(a *meshpb.Assignment) *Table {
+	t := &Table{Assignment: a, holders: assignRanges(a.GetMembers()), previousHolders: assignRanges(a.GetPrevious()), handovers: map[Range]string{}}
 	for _, h := range a.GetHandovers() {
 		t.handovers[Range(h.Range)] = h.Token
 	}
@@ -72,27 +72,27 @@
 }
 
 // place gives each range the member that scores highest for it among those that are not full.
-func place(members []string) []int {
+func assignRanges(members []string) []int {
 	holders := make([]int, Ranges)
 	if len(members) == 0 {
 		for r := range holders {
-			holders[r] = nobody
+			holders[r] = noMember
 		}
 		return holders
 	}
-	most := int(math.Ceil(loadSlack * Ranges / float64(len(members))))
+	maxRanges := int(math.Ceil(maxLoadFactor * Ranges / float64(len(members))))
 	seeds := make([]uint64, len(members))
 	for i, member := range members {
 		seeds[i] = rendezvous.Hash(member)
 	}
 	loads := make([]int, len(members))
 	for r := range holders {
-		best, highest := nobody, uint64(0)
+		best, highest := noMember, uint64(0)
 		for i := range members {
-			if loads[i] >= most {
+			if loads[i] >= maxRanges {
 				continue
 			}
-			if score := random.Mix(seeds[i] ^ random.Mix(uint64(r)+1)); best == nobody || score > highest {
+			if score := random.Mix(seeds[i] ^ random.Mix(uint64(r)+1)); best == noMember || score > highest {
 				best, highest = i, score
 			}
 		}
@@ -103,29 +103,29 @@
 }
 
 // Holder is the member that holds a range in this epoch; empty: there is none.
-func (t *Table) Holder(r Range) string { return nameAt(t.Members, t.holders[r]) }
+func (t *Table) Holder(r Range) string { return memberAt(t.Members, t.holders[r]) }
 
-// Before is the member that held a range in the epoch before.
-func (t *Table) Before(r Range) string { return nameAt(t.Previous, t.before[r]) }
+// PreviousHolder is the member that held a range in the epoch before.
+func (t *Table) PreviousHolder(r Range) string { return memberAt(t.Previous, t.previousHolders[r]) }
 
-func nameAt(members []string, at int) string {
-	if at == nobody {
+func memberAt(members []string, at int) string {
+	if at == noMember {
 		return ""
 	}
 	return members[at]
 }
 
-// Free says whether the holder of a range may have it: nobody else held it, or whoever did has no lease of it any more.
-func (t *Table) Free(r Range) bool {
-	before := t.Before(r)
-	return before == "" || before == t.Holder(r) || slices.Contains(t.Cleared, before)
+// Available says whether the holder of a range may have it: nobody else held it, or whoever did has no lease of it any more.
+func (t *Table) Available(r Range) bool {
+	previous := t.PreviousHolder(r)
+	return previous == "" || previous == t.Holder(r) || slices.Contains(t.Cleared, previous)
 }
 
 // Handover is what the former holder of a range told when it released it; empty: nothing.
 func (t *Table) Handover(r Range) string { return t.handovers[r] }
 
-// Held are the ranges of a member in this epoch.
-func (t *Table) Held(member string) (ranges []Range) {
+// HeldBy are the ranges of a member in this epoch.
+func (t *Table) HeldBy(member string) (ranges []Range) {
 	for r := range Range(Ranges) {
 		if t.Holder(r) == member {
 			ranges = append(ranges, r)
@@ -134,21 +134,21 @@
 	return ranges
 }
 
-// Lost are the ranges that a member has to release: it held them in the epoch before, and another one holds them now.
-func (t *Table) Lost(member string) (ranges []Range) {
+// LostBy are the ranges that a member has to release: it held them in the epoch before, and another one holds them now.
+func (t *Table) LostBy(member string) (ranges []Range) {
 	for r := range Range(Ranges) {
-		if t.Before(r) == member && t.Holder(r) != member {
+		if t.PreviousHolder(r) == member && t.Holder(r) != member {
 			ranges = append(ranges, r)
 		}
 	}
 	return ranges
 }
 
-// Waiting are the former members of which somebody else's range waits, in order.
-func (t *Table) Waiting() (members []string) {
+// AwaitedMembers are the former members of which somebody else's range waits, in order.
+func (t *Table) AwaitedMembers() (members []string) {
 	for r := range Range(Ranges) {
-		if before := t.Before(r); !t.Free(r) && !slices.Contains(members, before) {
-			members = append(members, before)
+		if previous := t.PreviousHolder(r); !t.Available(r) && !slices.Contains(members, previous) {
+			members = append(members, previous)
 		}
 	}
 	slices.Sort(members)
--- a/internal/mesh/sharding/sharding_test.go
+++ b/internal/mesh/sharding/sharding_test.go
@@ -18,10 +18,10 @@
 // No member holds much more than the mean, and ranges that are neighbours are spread.
 func TestLoadsAreBounded(t *testing.T) {
 	for _, n := range []int{1, 2, 7, 30, 73, 300} {
-		table := Compile(&meshpb.Assignment{Members: members(n)})
+		table := NewTable(&meshpb.Assignment{Members: members(n)})
 		mean, spread := float64(Ranges)/float64(n), 0
 		for _, m := range table.Members {
-			if held := float64(len(table.Held(m))); held > loadSlack*mean+1 {
+			if held := float64(len(table.HeldBy(m))); held > maxLoadFactor*mean+1 {
 				t.Errorf("%d members: %s holds %.0f ranges, the mean is %.1f", n, m, held, mean)
 			}
 		}
@@ -40,21 +40,21 @@
 func TestFewRangesMove(t *testing.T) {
 	for _, n := range []int{4, 30, 73} {
 		all := members(n)
-		most := 0
+		maxMoved := 0
 		for i := range all {
-			table := Compile(&meshpb.Assignment{Previous: all, Members: slices.Delete(slices.Clone(all), i, i+1)})
+			table := NewTable(&meshpb.Assignment{Previous: all, Members: slices.Delete(slices.Clone(all), i, i+1)})
 			moved := 0
 			for r := range Range(Ranges) {
-				if table.Before(r) != table.Holder(r) {
+				if table.PreviousHolder(r) != table.Holder(r) {
 					moved++
 				}
 			}
-			most = max(most, moved)
+			maxMoved = max(maxMoved, moved)
 		}
-		share := float64(most) * float64(n) / Ranges
+		share := float64(maxMoved) * float64(n) / Ranges
 		t.Logf("%d members: %.2f / n of the ranges move at most", n, share)
 		if share > 2 {
-			t.Errorf("%d members: %d ranges move, %.2f times a member's", n, most, share)
+			t.Errorf("%d members: %d ranges move, %.2f times a member's", n, maxMoved, share)
 		}
 	}
 }
@@ -63,20 +63,20 @@
 func TestRangesWaitForTheirFormerHolder(t *testing.T) {
 	all := members(5)
 	a := &meshpb.Assignment{Epoch: 2, Previous: all[:4], Members: all[1:]}
-	table := Compile(a)
-	if waiting := table.Waiting(); !slices.Contains(waiting, all[0]) {
+	table := NewTable(a)
+	if waiting := table.AwaitedMembers(); !slices.Contains(waiting, all[0]) {
 		t.Fatalf("waits for %v, the one that left is %s", waiting, all[0])
 	}
-	if held, lost := Compile(&meshpb.Assignment{Members: all[:4]}).Held(all[0]), table.Lost(all[0]); !slices.Equal(held, lost) {
+	if held, lost := NewTable(&meshpb.Assignment{Members: all[:4]}).HeldBy(all[0]), table.LostBy(all[0]); !slices.Equal(held, lost) {
 		t.Errorf("the one that left held %d ranges and loses %d", len(held), len(lost))
 	}
 	for r := range Range(Ranges) {
-		if want := table.Before(r) == table.Holder(r); table.Free(r) != want {
-			t.Fatalf("range %d of %s, before of %s: free %v", r, table.Holder(r), table.Before(r), table.Free(r))
+		if want := table.PreviousHolder(r) == table.Holder(r); table.Available(r) != want {
+			t.Fatalf("range %d of %s, before of %s: free %v", r, table.Holder(r), table.PreviousHolder(r), table.Available(r))
 		}
 	}
-	a.Cleared = table.Waiting()
-	if waiting := Compile(a).Waiting(); len(waiting) > 0 {
+	a.Cleared = table.AwaitedMembers()
+	if waiting := NewTable(a).AwaitedMembers(); len(waiting) > 0 {
 		t.Errorf("all are cleared, and it waits for %v", waiting)
 	}
 }
--- a/internal/mesh/sidecar/keylease.go
+++ b/internal/mesh/sidecar/keylease.go
@@ -132,8 +132,8 @@
 		return
 	}
 	lease.releaseEpoch = table.Epoch
-	lease.toRelease, lease.handovers = table.Lost(p.opts.Self), nil
-	lease.releaseAll = len(table.Held(p.opts.Self)) == 0
+	lease.toRelease, lease.handovers = table.LostBy(p.opts.Self), nil
+	lease.releaseAll = len(table.HeldBy(p.opts.Self)) == 0
 	clear(lease.pendingReleases)
 	for _, r := range lease.toRelease {
 		delete(lease.heldUntil, r)
@@ -188,7 +188,7 @@
 	for _, service := range slices.Sorted(maps.Keys(p.shards.tables)) {
 		table := p.shards.tables[service]
 		held := service != own.Carrier && slices.Contains(table.Previous, p.opts.Self)
-		if held && slices.Contains(table.Waiting(), p.opts.Self) {
+		if held && slices.Contains(table.AwaitedMembers(), p.opts.Self) {
 			lease.replacedHost = p.sendLeaseRequest(&meshpb.LeaseRequest{Carrier: service, Released: table.Epoch}, 0)
 			return
 		}
@@ -221,7 +221,7 @@
 		lease.requestNotBefore = p.now + leaseRetryDelay
 		return
 	}
-	lease.nextRequestAt = rpc.sentAt + sharding.RenewEvery
+	lease.nextRequestAt = rpc.sentAt + sharding.RenewIntervalSeconds
 	if slices.Contains(a.Cleared, p.opts.Self) {
 		lease.reportedEpoch = max(lease.reportedEpoch, a.Epoch)
 	}
@@ -238,7 +238,7 @@
 		return
 	}
 	if lease.table != table {
-		lease.table, lease.ownRanges = table, table.Held(p.opts.Self)
+		lease.table, lease.ownRanges = table, table.HeldBy(p.opts.Self)
 	}
 	lease.tableAskedAt = at
 }
@@ -268,19 +268,19 @@
 // grantRanges grants the host its ranges by the newest answer, and renews those that it holds.
 func (p *Sidecar) grantRanges() {
 	lease, own := &p.lease, p.discovery.own
-	before := lease.tableAskedAt + sharding.GrantWithin
+	before := lease.tableAskedAt + sharding.GrantMaxAgeSeconds
 	if lease.table == nil || len(lease.pendingGrants) > 0 || p.now >= before || own.Condition != Serving || own.Station == "" ||
 		lease.table.Epoch < lease.releaseEpoch {
 		return
 	}
 	var calls []KeyCall
 	for _, r := range lease.ownRanges {
-		if at, known := lease.grantedAt[r]; known && at >= lease.tableAskedAt || !lease.table.Free(r) {
+		if at, known := lease.grantedAt[r]; known && at >= lease.tableAskedAt || !lease.table.Available(r) {
 			continue
 		}
 		call := KeyCall{ID: p.nextID(), FirstKey: r.First(), LastKey: r.Last(), Fence: lease.table.Epoch,
-			HoldMs: int(sharding.Hold(p.opts.MaxKeyHold) * msPerSecond)}
-		if lease.table.Before(r) != p.opts.Self {
+			HoldMs: int(sharding.HoldSeconds(p.opts.MaxKeyHold) * msPerSecond)}
+		if lease.table.PreviousHolder(r) != p.opts.Self {
 			call.Handover = lease.table.Handover(r)
 		}
 		lease.pendingGrants[call.ID] = r
@@ -323,7 +323,7 @@
 		}
 		return
 	}
-	lease.heldUntil[r] = lease.grantsAskedAt + sharding.HeldFor(p.opts.MaxKeyHold)
+	lease.heldUntil[r] = lease.grantsAskedAt + sharding.UsableSeconds(p.opts.MaxKeyHold)
 }
 
 // markHostLost records that no process listens at the host's address. The host's keys have to go to other hosts, which
--- a/internal/mesh/sidecar/shards.go
+++ b/internal/mesh/sidecar/shards.go
@@ -31,7 +31,7 @@
 		if known := s.tables[a.Carrier]; known != nil && known.Version >= a.Version {
 			continue
 		}
-		s.tables[a.Carrier] = sharding.Compile(a)
+		s.tables[a.Carrier] = sharding.NewTable(a)
 		newer = true
 	}
 	return newer
--- a/internal/mesh/simulation/keys_test.go
+++ b/internal/mesh/simulation/keys_test.go
@@ -118,7 +118,7 @@
 	t.Parallel()
 	for seed := range uint64(daysOr(36) / 3) { // each takes as long as three others
 		w := playKeys(t, seed, func(*World) {})
-		w.Run(sharding.LeaseTime(holdMost) + silentSoon)
+		w.Run(sharding.LeaseSeconds(holdMost) + silentSoon)
 		served := w.Checker.Served
 		askStock(w, 4)
 		w.Run(6)
@@ -189,7 +189,7 @@
 	for _, h := range w.Servers {
 		w.CutOff(cut.addr, h.addr)
 	}
-	w.Run(sharding.LeaseTime(holdMost) + silentSoon)
+	w.Run(sharding.LeaseSeconds(holdMost) + silentSoon)
 	runs, served := w.Checker.RunsAt(cut), w.Checker.Served
 	askStock(w, 4)
 	w.Run(5)
--- a/internal/mesh/simulation/servers.go
+++ b/internal/mesh/simulation/servers.go
@@ -73,7 +73,7 @@
 		values[name] = slices.Clone(v)
 	}
 	var err error
-	h.server, err = control.New(h.w.Now, control.Options{LeaseSeconds: cmp.Or(h.w.LeaseTime, sharding.LeaseTime(holdMost)), Self: h.addr, Seeds: h.seeds, Bootstrap: h.w.first && len(values) == 0,
+	h.server, err = control.New(h.w.Now, control.Options{LeaseSeconds: cmp.Or(h.w.LeaseTime, sharding.LeaseSeconds(holdMost)), Self: h.addr, Seeds: h.seeds, Bootstrap: h.w.first && len(values) == 0,
 		Tolerance: h.w.tolerance, RetentionSeconds: window, Life: h.w.Rand.Uint32() | 1, RandomSeed: h.w.Rand.Uint64(),
 		Log: func(event string, args ...any) {
 			trace("%.3f %s %s %v", h.w.Now, h.addr, event, args)
--- a/internal/mesh/view/view.go
+++ b/internal/mesh/view/view.go
@@ -30,12 +30,12 @@
 	Next    []Member // of a joint view: the members of the stable view to come
 }
 
-// Founding is the first view of a mesh.
-func Founding(mesh uint64, members []Member) View {
-	return View{Mesh: mesh, Epoch: 1, Members: ordered(members)}
+// Initial is the first view of a mesh.
+func Initial(mesh uint64, members []Member) View {
+	return View{Mesh: mesh, Epoch: 1, Members: sortedByAddress(members)}
 }
 
-func ordered(members []Member) []Member {
+func sortedByAddress(members []Member) []Member {
 	all := slices.Clone(members)
 	slices.SortFunc(all, func(a, b Member) int {
 		switch {
@@ -58,7 +58,7 @@
 // Join begins a change: the joint view in which joiner enters, and leaver, if its address is not empty, goes.
 func (v View) Join(joiner, leaver Member) View {
 	next := slices.DeleteFunc(slices.Clone(v.Members), func(m Member) bool { return m == leaver })
-	return View{Mesh: v.Mesh, Epoch: v.Epoch + 1, Members: v.Members, Next: ordered(append(next, joiner))}
+	return View{Mesh: v.Mesh, Epoch: v.Epoch + 1, Members: v.Members, Next: sortedByAddress(append(next, joiner))}
 }
 
 // Complete ends a change: the stable view of the new members.
@@ -68,17 +68,17 @@
 func (v View) Abandon() View { return View{Mesh: v.Mesh, Epoch: v.Epoch + 1, Members: v.Members} }
 
 // Joiner is the member that a joint view adds.
-func (v View) Joiner() (joiner Member, found bool) { return missing(v.Next, v.Members) }
+func (v View) Joiner() (joiner Member, found bool) { return firstMissing(v.Next, v.Members) }
 
 // Leaver is the member that a joint view removes.
 func (v View) Leaver() (leaver Member, found bool) {
 	if !v.Joint() {
 		return Member{}, false
 	}
-	return missing(v.Members, v.Next)
+	return firstMissing(v.Members, v.Next)
 }
 
-func missing(from, others []Member) (Member, bool) {
+func firstMissing(from, others []Member) (Member, bool) {
 	for _, m := range from {
 		if !slices.Contains(others, m) {
 			return m, true
@@ -101,8 +101,8 @@
 // OldAddresses are those of the members before the change.
 func (v View) OldAddresses() []string { return addresses(v.Members) }
 
-// Staying are the addresses of the members that belong to every set: who coordinates, and whom proxies ask.
-func (v View) Staying() []string {
+// RetainedAddresses are the addresses of the members that belong to every set: who coordinates, and whom proxies ask.
+func (v View) RetainedAddresses() []string {
 	if !v.Joint() {
 		return addresses(v.Members)
 	}
@@ -156,10 +156,10 @@
 
 // Wire is the view as it is sent.
 func (v View) Wire() *meshpb.View {
-	return &meshpb.View{Mesh: v.Mesh, Epoch: v.Epoch, Members: wire(v.Members), Next: wire(v.Next)}
+	return &meshpb.View{Mesh: v.Mesh, Epoch: v.Epoch, Members: membersToWire(v.Members), Next: membersToWire(v.Next)}
 }
 
-func wire(members []Member) (all []*meshpb.Member) {
+func membersToWire(members []Member) (all []*meshpb.Member) {
 	for _, m := range members {
 		all = append(all, &meshpb.Member{Address: m.Address, Incarnation: m.Incarnation})
 	}
@@ -168,19 +168,19 @@
 
 // FromWire reads a view that was sent.
 func FromWire(w *meshpb.View) View {
-	return View{Mesh: w.GetMesh(), Epoch: w.GetEpoch(), Members: unwire(w.GetMembers()), Next: unwire(w.GetNext())}
+	return View{Mesh: w.GetMesh(), Epoch: w.GetEpoch(), Members: membersFromWire(w.GetMembers()), Next: membersFromWire(w.GetNext())}
 }
 
-func unwire(members []*meshpb.Member) (all []Member) {
+func membersFromWire(members []*meshpb.Member) (all []Member) {
 	for _, m := range members {
 		all = append(all, Member{m.Address, m.Incarnation})
 	}
 	return all
 }
 
-// Check says what is wrong with a view that came from elsewhere: it has members, each address once in a set, and a joint view's sets
+// Validate says what is wrong with a view that came from elsewhere: it has members, each address once in a set, and a joint view's sets
 // differ by one member at most that comes and one that goes.
-func (v View) Check() error {
+func (v View) Validate() error {
 	if len(v.Members) == 0 {
 		return errors.New("view without members")
 	}
@@ -189,14 +189,14 @@
 			return errors.Newf("view with an address twice: %v", set)
 		}
 	}
-	if v.Joint() && (differences(v.Next, v.Members) > 1 || differences(v.Members, v.Next) > 1) {
+	if v.Joint() && (countMissing(v.Next, v.Members) > 1 || countMissing(v.Members, v.Next) > 1) {
 		return errors.Newf("joint view that exchanges more than one member: %v to %v", v.Members, v.Next)
 	}
 	return nil
 }
 
 // differences counts members of one set that the other has not.
-func differences(set, other []Member) (n int) {
+func countMissing(set, other []Member) (n int) {
 	for _, m := range set {
 		if !slices.Contains(other, m) {
 			n++
--- a/internal/mesh/view/view_test.go
+++ b/internal/mesh/view/view_test.go
@@ -11,7 +11,7 @@
 
 // What no agreement can have made is refused.
 func TestCheck(t *testing.T) {
-	founding := Founding(1, members("a", "b", "c"))
+	founding := Initial(1, members("a", "b", "c"))
 	other := Member{Address: "c", Incarnation: 2}
 	for name, c := range map[string]struct {
 		view  View
@@ -29,7 +29,7 @@
 		"two members less":         {View{Mesh: 1, Epoch: 2, Members: members("a", "b", "c"), Next: members("a")}, false},
 		"an address twice in next": {View{Mesh: 1, Epoch: 2, Members: members("a", "b"), Next: append(members("a", "b"), Member{Address: "b", Incarnation: 3})}, false},
 	} {
-		if err := c.view.Check(); (err == nil) != c.right {
+		if err := c.view.Validate(); (err == nil) != c.right {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
