--- a/internal/mesh/control/catchup.go
+++ b/internal/mesh/control/catchup.go
@@ -11,50 +11,51 @@
 	"beechwing/internal/mesh/view"
 )
 
-// A server that is no member reads all registers of a majority of the members while it waits, and then follows what changes. In the
-// joint view that adds it, it reads the rest from a majority of the old members that go by that view too: they take part in no
-// older ballot any more, so whatever was chosen before is among what they told. Only then it votes.
+// A server that is not a member reads all registers from a majority of the members while it waits, and then follows their
+// changes. In the joint view that adds it, it reads the remaining values from a majority of the old members that have adopted the
+// joint view. Those members take part in no older ballot any more, so their answers include every value chosen before. Only then
+// does the joiner vote.
 
 const (
-	pageRetryAfter          = 0.4 // seconds without an answer until a member is asked again, twice as long after each time
-	maxPageBackoffDoublings = 1   // times that this grows
-	pageTimeout             = 1.0 // and until another one is asked in its place
-	maxKeysPerRequest       = 256 // that a member is asked for by key
-	syncTimeout             = 1.5 // and until what was put is put again, as a disk that fails may have dropped the word on it
-	followInterval          = 0.3 // seconds between questions for what has changed, once all has been read
+	pageRetryAfter          = 0.4 // seconds without an answer after which a request is sent again; doubles with each retry
+	maxPageBackoffDoublings = 1   // number of times that the delay doubles
+	pageTimeout             = 1.0 // seconds without an answer after which another member is asked as well
+	maxKeysPerRequest       = 256 // keys requested by name at once
+	syncTimeout             = 1.5 // seconds after which the marker of a complete read is put again: a failing disk may drop it
+	followInterval          = 0.3 // seconds between requests for changes once everything has been read
 )
 
-// source is a member from which this server reads.
+// syncSource is a member from which this server reads registers.
 type syncSource struct {
 	life          uint32
 	position      uint64
 	requestedAt   float64
 	heardAt       float64
 	requestOpen   bool
-	retries       int    // how often the open question was put again
-	requestID     uint64 // of the question that is open; it is the same where that is asked again
-	fullyRead     bool   // all was read once in this life of the member
-	completeEpoch uint64 // the member's when all that it had was read last
+	retries       int    // how often the open request was sent again
+	requestID     uint64 // of the open request; retries keep it
+	fullyRead     bool   // all registers were read once since the member started
+	completeEpoch uint64 // epoch of the last complete read; 0: none
 	member        view.Member
 
-	part          register.Part              // of which it sends the values
-	lastPageEpoch uint64                     // its epoch when its last page came; 0: nothing told up to there is lacking
-	missing       map[string]register.Ballot // what it told without its value, and was newer than here
-	fetchingKeys  []string                   // keys that the open question asks for; nil: it asks for a page
+	part          register.Part              // the part of the registers whose values the member sends
+	lastPageEpoch uint64                     // epoch of its last page while values named there are missing; 0: none are
+	missing       map[string]register.Ballot // by key: ballots of newer values that the member named without sending them
+	fetchingKeys  []string                   // keys of the open request; nil: it asks for a page
 }
 
 type catchup struct {
 	sources     map[string]*syncSource // by address
-	caughtUp    bool                   // a majority of the members has been read once
-	syncedEpoch uint64                 // the joint epoch for which everything was read
-	syncRetryAt float64                // the disk is about to have the last of it; after this time it is asked again
+	caughtUp    bool                   // a majority of the members has been read completely
+	syncedEpoch uint64                 // joint epoch for which everything was read
+	syncRetryAt float64                // while the marker of a complete read is being synced: when to put it again
 	startedAt   float64
 }
 
 func (c *catchup) init() { *c = catchup{sources: map[string]*syncSource{}} }
 
-// viewChanged has everything that is read count for the new view only. A question that is open bears the epoch before, and is not
-// answered by a member that goes by the new view: it is asked again at once.
+// viewChanged closes all open requests. They carry the previous epoch, and a member that has adopted the new view does not answer
+// them; they are sent again at once.
 func (c *catchup) viewChanged() {
 	c.syncRetryAt = 0
 	for _, from := range c.sources {
@@ -62,15 +63,16 @@
 	}
 }
 
-// memberBehind takes word that a member asks for this server's view: it has not answered a question that bears a newer epoch than its
-// own, which is asked again once it has the view.
+// retrySyncRequest allows the open request to a member to be sent again. The member asked for this server's view, so it did not
+// answer a request of a newer epoch than its own; it can answer once it has the view.
 func (c *catchup) retrySyncRequest(address string) {
 	if from := c.sources[address]; from != nil {
 		from.requestOpen = false
 	}
 }
 
-// tickCatchup asks as many members as make a majority, in an order of this server's own; who does not answer is passed over.
+// tickCatchup reads from as many members as make a majority, in a rendezvous order specific to this server. A member that does
+// not answer is passed over.
 func (s *Server) tickCatchup(now float64) {
 	c := &s.catchup
 	if !s.view().Known() || s.Voting() || s.membership.foreign || s.membership.leaving {
@@ -80,7 +82,8 @@
 		c.startedAt = now
 	}
 	wanted := s.view().Majority()
-	others := slices.DeleteFunc(rendezvous.Order(s.options.Self, s.view().OldAddresses()), func(a string) bool { return a == s.options.Self })
+	others := slices.DeleteFunc(rendezvous.Order(s.options.Self, s.view().OldAddresses()),
+		func(a string) bool { return a == s.options.Self })
 	for i, address := range others {
 		if wanted == 0 {
 			break
@@ -99,12 +102,12 @@
 	s.fetchMissing(now)
 }
 
-// askAgainAt is when a member is to be asked next: at once where there is more to read in this epoch.
+// nextRequestAt returns when to send the next request to a member: at once if there is more to read in this epoch.
 func (s *Server) nextRequestAt(from *syncSource) float64 {
 	switch {
 	case from.requestOpen:
 		return from.requestedAt + pageRetryAfter*float64(uint(1)<<min(from.retries, maxPageBackoffDoublings))
-	case from.lastPageEpoch != 0: // what it lacks is asked for by key, once the others had time to send it
+	case from.lastPageEpoch != 0: // missing values are requested by key, after the other members had time to send them
 		return math.Inf(1)
 	case from.fullyRead && from.completeEpoch == s.view().Epoch:
 		return from.requestedAt + followInterval
@@ -112,14 +115,14 @@
 	return 0
 }
 
-// follow asks a member for the next page.
+// requestIfDue asks a member for the next page when its time has come.
 func (s *Server) requestIfDue(now float64, address string, from *syncSource) {
 	if now >= s.nextRequestAt(from) {
 		s.sendSyncRequest(now, address, from)
 	}
 }
 
-// ask puts the next question to a member, or the one that is open again.
+// sendSyncRequest sends the next request to a member, or sends the open one again.
 func (s *Server) sendSyncRequest(now float64, address string, from *syncSource) {
 	if from.requestID == 0 {
 		s.lastID++
@@ -128,12 +131,12 @@
 		from.retries++
 	}
 	from.requestedAt, from.requestOpen = now, true
-	s.send(address, &meshpb.Message{Id: from.requestID, SyncRequest: &meshpb.SyncRequest{SourceLife: from.life, Position: from.position,
-		Part: from.part.Index, Parts: from.part.Of, Keys: from.fetchingKeys}})
+	s.send(address, &meshpb.Message{Id: from.requestID, SyncRequest: &meshpb.SyncRequest{SourceLife: from.life,
+		Position: from.position, Part: from.part.Index, Parts: from.part.Of, Keys: from.fetchingKeys}})
 }
 
-// heardSyncRequest gives a page, unless this server lacks something itself. It goes once the disk has the view: who reads it counts on
-// this server to take part in no older ballot any more, also after a loss of power.
+// handleSyncRequest answers with a page of registers if this server votes. The page is sent once the view is on disk: the reader
+// relies on this server never again taking part in an older ballot, even after a power loss.
 func (s *Server) handleSyncRequest(from string, id uint64, r *meshpb.SyncRequest) {
 	if !s.Voting() {
 		return
@@ -151,8 +154,8 @@
 	s.effects.After = append(s.effects.After, after(from, &meshpb.Message{Id: id, SyncPage: answer}))
 }
 
-// heardSyncPage takes the answer to the question that is open. Any other may be one to an earlier life, which had read what came
-// before the page.
+// handleSyncPage processes the answer to the open request. Any other page may answer a request of an earlier run of this process,
+// which had already read the preceding pages.
 func (s *Server) handleSyncPage(now float64, member view.Member, id uint64, p *meshpb.SyncPage) {
 	from := s.catchup.sources[member.Address]
 	if from == nil || id != from.requestID || s.Voting() || !slices.Contains(s.view().Members, member) {
@@ -171,7 +174,7 @@
 	s.fetchMissing(now)
 }
 
-// readPage goes on behind a page.
+// recordPage records a page and requests the next one.
 func (s *Server) recordPage(now float64, from *syncSource, p *meshpb.SyncPage, missing map[string]register.Ballot) {
 	from.position = p.Position
 	if from.missing == nil {
@@ -185,7 +188,7 @@
 	from.lastPageEpoch, from.requestedAt = s.view().Epoch, now
 }
 
-// fetched notes that a member has answered for some keys. One that it no longer holds has grown old.
+// recordFetched records the answer to a request by key. A key that the member no longer holds has expired there.
 func (from *syncSource) recordFetched(entries []*meshpb.Entry) {
 	from.fetchingKeys = nil
 	for _, e := range entries {
@@ -193,8 +196,8 @@
 	}
 }
 
-// fetchLacking asks members by key for what they told without a value and nobody else has sent. It waits for those that are still sending
-// pages: most of it comes from them.
+// fetchMissing requests by key the values that members named but no member has sent. It first waits for members that are still
+// sending pages, which contain most of these values.
 func (s *Server) fetchMissing(now float64) {
 	for _, from := range s.catchup.sources {
 		if from.requestOpen && from.fetchingKeys == nil && now < from.heardAt+pageTimeout {
@@ -216,7 +219,7 @@
 	}
 }
 
-// stillLacking gives keys that a member has told of and that are newer there than here, as many as are asked for at once.
+// stillMissing returns keys for which the member has a newer value than this server, at most maxKeysPerRequest.
 func (s *Server) stillMissing(from *syncSource) (keys []string) {
 	for _, key := range sorted(from.missing) {
 		if !s.registers.Lacks(key, from.missing[key]) {
@@ -230,7 +233,7 @@
 	return keys
 }
 
-// reviewCatchup looks whether enough has been read to join, or to vote.
+// checkCatchup determines whether enough has been read to ask for admission or to vote.
 func (s *Server) checkCatchup(now float64) {
 	c := &s.catchup
 	read := func(needed func(*syncSource) bool) bool {
@@ -246,12 +249,13 @@
 		s.membership.nextJoinAt = 0
 	}
 	joiner, _ := s.view().Joiner()
-	if joiner != s.self || now < c.syncRetryAt || !read(func(from *syncSource) bool { return from.completeEpoch == s.view().Epoch }) {
+	if joiner != s.self || now < c.syncRetryAt ||
+		!read(func(from *syncSource) bool { return from.completeEpoch == s.view().Epoch }) {
 		return
 	}
 	c.syncRetryAt = now + syncTimeout
 	epoch := s.view().Epoch
-	s.whenSynced(func(float64) { // not in one batch: of one that is cut off any part may be there
+	s.whenSynced(func(float64) { // in a later batch: after a power loss any part of a batch may be on disk
 		if s.view().Epoch != epoch {
 			return
 		}
@@ -260,7 +264,7 @@
 	})
 }
 
-// joinSynced has this joiner vote: its disk holds everything, and says so.
+// finishJoin starts voting: the disk holds everything that was read and the marker that says so.
 func (s *Server) finishJoin(now float64, epoch uint64) {
 	if s.view().Epoch != epoch {
 		return
--- a/internal/mesh/control/configuration.go
+++ b/internal/mesh/control/configuration.go
@@ -15,32 +15,32 @@
 	"beechwing/internal/mesh/view"
 )
 
-// The configuration is a register of its own. Its value is the newest configuration with the hashes of the versions before it, so
-// an order that is sent again, to any server and after any number of changes, is told from another one under the same number. An
-// order is answered by what was chosen, after contact with a quorum.
+// The configuration is stored in a register. Its value is the newest configuration with the hashes of earlier versions, so an
+// order that is sent again, to any server and after any number of changes, can be distinguished from a different order of the
+// same version. An order is answered according to the chosen value, after contact with a quorum.
 
 const (
 	hashBytes                = 16
-	maxHistory               = 1024 // versions whose hashes are remembered; of older ones it is only known that they are older
-	resolveAfter             = 0.25 // seconds for which a value may stand that is not known to be chosen
-	fetchRetryAfter          = 0.2  // seconds until a configuration that another says is in force is asked for again, twice as long after each time
-	maxFetchBackoffDoublings = 4    // times that this grows: it is large, and sending it again delays what is on its way
+	maxHistory               = 1024 // versions whose hashes are kept; an older version counts as taken
+	resolveAfter             = 0.25 // seconds for which a value may stay without being known to be chosen
+	fetchRetryAfter          = 0.2  // seconds between requests for a newer configuration; doubles with each retry
+	maxFetchBackoffDoublings = 4    // number of times that the delay doubles: a resend of this large message delays others
 	maxOpenOrders            = 64
 )
 
-// eventNotTaken is the event of a log line that says why an order ends in "no contact".
+// eventOrderNotTaken is the log event that explains why an order ended in "no contact".
 const eventOrderNotTaken = "order not taken"
 
 var configKey = register.Permanent("configuration")
 
-// OrderResult is the end of an operator's order.
+// OrderResult is the outcome of an order.
 type OrderResult int
 
 const (
-	OrderTaken     OrderResult = iota // it is in force, was in force before, or a newer one is
-	OrderConflict                     // another configuration was taken under its number: this one never takes effect
-	OrderNoContact                    // no quorum is in reach from here: it may or may not take effect
-	OrderNotMember                    // this server takes no orders
+	OrderTaken     OrderResult = iota // this version or a newer one is in force, or this one was
+	OrderConflict                     // another configuration was taken under this version: this one never takes effect
+	OrderNoContact                    // no quorum is reachable from here: the order may or may not take effect
+	OrderNotMember                    // this server is not a member and takes no orders
 )
 
 func (r OrderResult) String() string {
@@ -49,23 +49,23 @@
 
 type configuration struct {
 	chosen          *meshpb.Config // the newest known to be chosen; nil: none is
-	chosenHash      []byte         // of its text, for digests
-	confirmed       bool           // what is known here was the newest at some time in this life
-	newestKnown     uint64         // the newest version that a server said is chosen
+	chosenHash      []byte         // hash of its text, for digests
+	confirmed       bool           // the known configuration was the newest one at some time in this run of the process
+	newestKnown     uint64         // newest version that any server reported as chosen
 	heldBallot      register.Ballot
-	heldVersion     uint64 // version on this server's disk
+	heldVersion     uint64 // version synced to this server's disk
 	notedBallot     register.Ballot
-	unresolvedSince float64 // since when a value stands that is not known to be chosen
+	unresolvedSince float64 // since when a value has not been known to be chosen; 0: all are
 	resolving       bool
-	openOrders      int // orders under way
+	openOrders      int // orders in progress
 	nextFetchAt     float64
-	fetchAttempts   int // since one came
+	fetchAttempts   int // since the last configuration arrived
 }
 
-// chosenVersion is the newest version known to be in force; 0: none.
+// chosenVersion returns the newest version known to be in force; 0: none.
 func (c *configuration) chosenVersion() uint64 { return c.chosen.GetVersion() }
 
-// setChosen takes the newest configuration known to be chosen.
+// setChosen sets the newest configuration known to be chosen.
 func (c *configuration) setChosen(chosen *meshpb.Config) {
 	c.chosen, c.chosenHash = chosen, hashOf(chosen.GetText())
 }
@@ -75,8 +75,8 @@
 	return sum[:hashBytes]
 }
 
-// judge says how an order stands to a configuration that was chosen. open says that its number stands for no text yet, so it has to
-// be taken first: it is newer, or it was passed over.
+// checkOrder compares an order with the chosen configuration. open is true if no text has been taken under its version yet, so
+// that the order has to be written first: its version is either newer, or older but skipped.
 func checkOrder(chosen *meshpb.Config, version uint64, hash []byte) (result OrderResult, open bool) {
 	history := chosen.GetHistory()
 	at, found := findVersion(history, version)
@@ -95,8 +95,8 @@
 	})
 }
 
-// succeed is the value of the register after an order. One whose number was passed over changes the history only: a newer one stays
-// in force, and no other text is ever taken under that number.
+// applyOrder returns the register's value after an order. An order with a skipped version changes the history only: the newer
+// configuration stays in force, and no other text can be taken under the skipped version.
 func applyOrder(old *meshpb.Config, version uint64, text, hash []byte) *meshpb.Config {
 	at, _ := findVersion(old.GetHistory(), version)
 	history := slices.Insert(slices.Clone(old.GetHistory()), at, &meshpb.ConfigDigest{Version: version, Hash: hash})
@@ -117,7 +117,7 @@
 	return c
 }
 
-// Order has a valid configuration taken. It is answered once.
+// Order submits a valid configuration. answer is called exactly once.
 func (s *Server) Order(now float64, version uint64, text []byte, answer func(OrderResult)) {
 	reply := func(r OrderResult) {
 		s.counts.order(r)
@@ -133,7 +133,7 @@
 		reply(OrderNoContact)
 		return
 	case c.openOrders >= maxOpenOrders:
-		s.options.Log(eventOrderNotTaken, "edition", version, "why", "too many orders are under way")
+		s.options.Log(eventOrderNotTaken, "edition", version, "why", "too many orders are in progress")
 		reply(OrderNoContact)
 		return
 	}
@@ -167,12 +167,13 @@
 			return
 		}
 		s.learnConfig(now, decodeConfig(body))
-		s.checks.Check(invariant.ConfirmedIsChosen, result != OrderTaken || s.configuration.chosenVersion() >= version, "version", version)
+		s.checks.Check(invariant.ConfirmedIsChosen, result != OrderTaken || s.configuration.chosenVersion() >= version,
+			"version", version)
 		reply(result)
 	})
 }
 
-// Configuration reads the newest configuration from a quorum. text is nil where none was ever taken.
+// Configuration reads the newest configuration from a quorum. text is nil if no configuration was ever taken.
 func (s *Server) Configuration(now float64, answer func(text []byte, result OrderResult)) {
 	switch {
 	case !s.isMember():
@@ -197,7 +198,7 @@
 	})
 }
 
-// readConfig learns what a quorum holds.
+// readConfig reads the configuration register from a quorum.
 func (s *Server) readConfig(now float64, done func(ok bool)) {
 	s.registers.Update(now, configKey, func([]byte) []byte { return nil }, func(_ uint64, body []byte, ok bool) {
 		if ok {
@@ -207,13 +208,14 @@
 	})
 }
 
-// learnConfig takes a configuration that was chosen, and lets the proxies and the other servers know.
+// learnConfig adopts a chosen configuration and distributes it to proxies and other servers.
 func (s *Server) learnConfig(now float64, chosen *meshpb.Config) {
 	c := &s.configuration
 	if chosen.GetVersion() <= c.chosenVersion() {
 		return
 	}
-	s.checks.Check(invariant.ConfigurationMonotonic, chosen.GetVersion() > c.chosenVersion(), "from", c.chosenVersion(), "to", chosen.GetVersion())
+	s.checks.Check(invariant.ConfigurationMonotonic, chosen.GetVersion() > c.chosenVersion(),
+		"from", c.chosenVersion(), "to", chosen.GetVersion())
 	c.setChosen(chosen)
 	c.fetchAttempts = 0
 	c.newestKnown = max(c.newestKnown, chosen.Version)
@@ -223,8 +225,8 @@
 	s.answerHeldPulls(now)
 }
 
-// putChosen notes on the disk that the value there is chosen, for the next start: what was chosen once stays so. It has to be the
-// same value: another one under its version, or with another history, may stand on this disk alone.
+// persistChosen records on disk that the value there is chosen, for the next start; a chosen value stays chosen. The value on
+// disk has to be the chosen one: a value of the same version, or with another history, may exist on this disk only.
 func (s *Server) persistChosen() {
 	value, ballot := s.registers.LocalValue(configKey)
 	if !proto.Equal(decodeConfig(value.GetBody()), s.configuration.chosen) {
@@ -235,7 +237,7 @@
 	}
 }
 
-// restoreChosen takes what the disk says of the configuration. It was in force once, and need not be the newest.
+// restoreChosen restores the chosen configuration from disk. It was in force once, but may not be the newest.
 func (s *Server) restoreChosen(values map[string][]byte) {
 	noted := &meshpb.Ballot{}
 	if len(values[nameChosen]) == 0 || proto.Unmarshal(values[nameChosen], noted) != nil {
@@ -246,7 +248,8 @@
 	}
 }
 
-// confirm learns that what is known here is the newest: a quorum holds nothing newer, and a newer one would be on one of them.
+// checkConfirmed determines whether the known configuration is the newest. It is if no member of a quorum holds a newer one,
+// because a newer chosen configuration would be held by at least one of them.
 func (s *Server) checkConfirmed(now float64) {
 	c := &s.configuration
 	if c.confirmed || !s.Voting() || !s.inContact(now) {
@@ -263,7 +266,7 @@
 	})
 }
 
-// noteHeld looks what the disk has of the register; it is told to others once it is synced.
+// trackHeld notices a new value of the register on this server. Other servers are told about it once it is synced to disk.
 func (s *Server) trackHeld() {
 	c := &s.configuration
 	value, ballot := s.registers.LocalValue(configKey)
@@ -278,14 +281,14 @@
 	})
 }
 
-// configState is what digests tell of the register.
+// configState returns the state of the configuration register for digests.
 func (s *Server) configState() *meshpb.ConfigState {
 	c := &s.configuration
 	return &meshpb.ConfigState{ChosenVersion: c.chosenVersion(), ChosenHash: c.chosenHash, HeldVersion: c.heldVersion,
 		HeldBallot: c.heldBallot.Wire()}
 }
 
-// heardConfigState takes what another member says of the register.
+// handleConfigState processes the state of the configuration register in another member's digest.
 func (s *Server) handleConfigState(now float64, from view.Member, state *meshpb.ConfigState) {
 	c := &s.configuration
 	c.newestKnown = max(c.newestKnown, state.GetChosenVersion())
@@ -304,8 +307,8 @@
 	s.checkConfirmed(now)
 }
 
-// countHolders learns that a value is chosen where a quorum says that it has it at one ballot of this epoch. This disk may have a
-// newer one by now, which nobody has told of.
+// learnFromHolders concludes that a value is chosen when a quorum reports holding it at the same ballot of this epoch. The value
+// is skipped if this disk already has a newer one, which no digest has reported yet.
 func (s *Server) learnFromHolders(now float64) {
 	c := &s.configuration
 	value, ballot := s.registers.LocalValue(configKey)
@@ -329,7 +332,7 @@
 	}
 }
 
-// tickConfiguration makes sure of a value that stands for long without being known to be chosen: whoever proposed it may be gone.
+// tickConfiguration reads the register if a value has not been known to be chosen for long: its proposer may be gone.
 func (s *Server) tickConfiguration(now float64) {
 	c := &s.configuration
 	s.trackHeld()
--- a/internal/mesh/control/contact.go
+++ b/internal/mesh/control/contact.go
@@ -9,43 +9,44 @@
 	"beechwing/internal/mesh/view"
 )
 
-// A server is in contact while a quorum has acknowledged a digest that it sent not long ago. The time counts from when the digest was
-// sent and not from when the acknowledgement came, and an acknowledgement needs both directions. A server that is not in contact
-// confirms nothing, tells proxies to ask another, and refuses orders at once.
+// A server is in contact while a quorum has recently acknowledged one of its digests. The age of the contact counts from the
+// sending of the digest, not from the arrival of the acknowledgement, and an acknowledgement shows that both directions work. A
+// server that is not in contact confirms nothing, refers proxies to other servers and refuses orders at once.
 
 const (
-	// contactFor is for how many seconds an acknowledged digest shows that a member is in reach. Larger: a server that is cut off refuses
-	// later, and proxies act by an old configuration for longer. Smaller: pauses of a busy processor count as a cut.
+	// contactTimeout is the number of seconds after the sending of a digest for which its acknowledgement shows that a member is
+	// reachable. Larger: a partitioned server refuses later, and proxies use an old configuration for longer. Smaller: a server
+	// loses contact whenever a busy processor pauses it.
 	contactTimeout = 0.9
-	// sendsKept are the digests whose times are remembered: more than go out in contactFor.
+	// digestTimesKept is the number of digests whose sending times are kept. It exceeds the number sent within contactTimeout.
 	digestTimesKept = 128
 )
 
-// peer is what is known of another member from its digests.
+// peer is what the digests of another member say about it.
 type peer struct {
 	member     view.Member
 	life       uint32
 	sequence   uint64
 	heardAt    float64
-	seenAt     float64 // when this server, or another that told so, last heard something new of it
-	ackedAt    float64 // when the newest digest of this server that it acknowledged was sent
-	fullSentAt float64 // when everything was sent to it last, because it asked
+	seenAt     float64 // when this server, or another member by its own account, last received a new digest from it
+	ackedAt    float64 // sending time of the newest digest of this server that the peer acknowledged
+	fullSentAt float64 // when a full digest was last sent to it at its request
 	leaving    bool
 	config     *meshpb.ConfigState
-	echoed     map[string]uint64 // the newest digests of others that it told of
+	echoed     map[string]uint64 // by address: sequence of the newest digest that the peer acknowledged
 }
 
 type contact struct {
 	peers        map[string]*peer // by address
 	sequence     uint64
 	sentAt       [digestTimesKept]float64
-	answeredAt   map[string]float64 // when a server said which view it goes by
+	answeredAt   map[string]float64 // when a server last sent its view
 	wasInContact bool
 }
 
 func (c *contact) init() { c.peers, c.answeredAt = map[string]*peer{}, map[string]float64{} }
 
-// viewChanged forgets who is no member any more. Nobody counts as silent before it had time to speak in the new view.
+// viewChanged drops peers that are no longer members. The silence of a new member counts from now.
 func (c *contact) viewChanged(now float64, v view.View) {
 	maps.DeleteFunc(c.peers, func(address string, _ *peer) bool { return !slices.Contains(v.Addresses(), address) })
 	for _, m := range v.All() {
@@ -61,12 +62,12 @@
 	return p != nil && p.leaving
 }
 
-// inContact says whether a quorum of the view is in reach.
+// inContact reports whether a quorum of the view is reachable.
 func (s *Server) inContact(now float64) bool {
 	return s.view().Known() && s.isMember() && s.view().Quorum(func(m view.Member) bool { return s.isReachable(now, m) })
 }
 
-// reaches says whether a member acknowledged a digest lately.
+// isReachable reports whether a member has recently acknowledged a digest.
 func (s *Server) isReachable(now float64, m view.Member) bool {
 	if m == s.self {
 		return true
@@ -75,13 +76,13 @@
 	return p != nil && p.member == m && p.ackedAt > 0 && now < p.ackedAt+contactTimeout
 }
 
-// acknowledgedSince says whether a member acknowledged a digest that was sent at a time or later.
+// acknowledgedSince reports whether a member has acknowledged a digest that was sent at or after the given time.
 func (c *contact) acknowledgedSince(m view.Member, at float64) bool {
 	p := c.peers[m.Address]
 	return p != nil && p.member == m && p.ackedAt >= at
 }
 
-// lastContact is when a quorum was in reach, as far as is known.
+// lastContact returns when a quorum was last known to be reachable; 0 if never.
 func (s *Server) lastContact() (at float64) {
 	if !s.isMember() {
 		return 0
@@ -102,13 +103,13 @@
 	return 0
 }
 
-// silent says whether nobody has heard of a member for so many seconds: neither this server nor those that it hears.
+// silent reports whether neither this server nor any peer that it hears has received a digest from a member for the given time.
 func (s *Server) silent(now float64, address string, seconds float64) bool {
 	p := s.contact.peers[address]
 	return p == nil || now > p.seenAt+seconds
 }
 
-// heardPeer takes the part of a digest that shows who is in reach. Fresh is false for one that is late or doubled.
+// recordDigest records what a digest says about reachability. fresh is false for a late or duplicate digest.
 func (s *Server) recordDigest(now float64, from view.Member, d *meshpb.Digest) (fresh bool) {
 	p := s.contact.peers[from.Address]
 	if p == nil || !s.view().Has(from) {
@@ -131,7 +132,7 @@
 	return true
 }
 
-// acknowledged takes word that a member heard a digest of this life.
+// recordAck records that a peer received a digest of this run of the process.
 func (s *Server) recordAck(p *peer, e *meshpb.Echo) {
 	c := &s.contact
 	if e.Life == s.options.Life && e.Sequence <= c.sequence && c.sequence-e.Sequence < digestTimesKept {
@@ -139,7 +140,7 @@
 	}
 }
 
-// echoes acknowledge the digests of the others.
+// echoes returns the acknowledgements of the newest digests received.
 func (s *Server) echoes() (all []*meshpb.Echo) {
 	for _, address := range sorted(s.contact.peers) {
 		if p := s.contact.peers[address]; p.heardAt > 0 {
@@ -149,7 +150,7 @@
 	return all
 }
 
-// nextDigest numbers a digest and notes when it is sent.
+// nextDigestSequence numbers a digest and records its sending time.
 func (s *Server) nextDigestSequence(now float64) uint64 {
 	c := &s.contact
 	c.sequence++
@@ -157,7 +158,8 @@
 	return c.sequence
 }
 
-// tickContact refuses everything under way once contact is lost: nobody is kept waiting for an answer that cannot come.
+// tickContact aborts all register changes in progress when contact is lost, so that no caller waits for an answer that cannot
+// come.
 func (s *Server) tickContact(now float64) {
 	is := s.inContact(now)
 	if is != s.contact.wasInContact {
--- a/internal/mesh/control/coordinator.go
+++ b/internal/mesh/control/coordinator.go
@@ -8,28 +8,30 @@
 	"beechwing/internal/mesh/view"
 )
 
-// The coordinator is the member that changes the view: it chooses who joins for whom, has the joint view chosen, and completes or abandons it.
-// Two coordinators are harmless, as the register of views takes one successor.
+// The coordinator is the member that changes the view. It selects the joiner and the member to replace, proposes the joint view,
+// and completes or abandons the change. Two coordinators at a time are harmless, because the register of the view takes one
+// successor.
 
 // Times are in seconds.
 const (
-	// replaceAfter is for how long a member is silent before it is exchanged, where somebody can take its place. Larger: the tolerance is
-	// whole later. Smaller: a member that is only slow is exchanged, and reads everything anew.
+	// replaceAfter is how long a member has to be silent before it is replaced, if a standby is available. Larger: the mesh stays
+	// below its tolerance for longer. Smaller: a member that is only slow is replaced, and has to read all registers again.
 	replaceAfter = 1.5
 
-	// joinerGone is for how long a joiner, or the majority of the new members, is silent before the change is abandoned. Larger: nothing is
-	// served for longer in a joint view without its new majority. Smaller: a joiner that reads on a slow machine is given up.
+	// joinerTimeout is how long the joiner, or the majority of the new members, may be silent before the change is abandoned.
+	// Larger: a joint view without a majority of its new members serves no requests for longer. Smaller: a joiner that reads
+	// slowly is abandoned.
 	joinerTimeout = 1.5
 
-	// coordinateIn is how long after its start a server waits before it begins a change: others' digests have to reach it first. Larger:
-	// the first change is later. Smaller: members that it has not heard yet count as silent.
+	// coordinatorStartDelay is how long a server waits after its start before it proposes a change, so that digests of the others
+	// can arrive. Larger: the first change comes later. Smaller: members not heard yet count as silent.
 	coordinatorStartDelay = 0.4
 
 	coordinatorKey = "coordinator"
 )
 
-// coordinates says whether this server is the one to change the view: the first in order that is neither silent nor leaving, and still
-// has the disk with which it is a member.
+// isCoordinator reports whether this server is the one to change the view: the first member in rendezvous order that is neither
+// silent nor leaving and still has the disk with which it is a member.
 func (s *Server) isCoordinator(now float64) bool {
 	for _, address := range rendezvous.Order(coordinatorKey, s.view().RetainedAddresses()) {
 		if address == s.options.Self {
@@ -42,22 +44,23 @@
 	return false
 }
 
-// lostDisk says whether a server at a member's address asks to join with another disk: the member is gone for good, however short a
-// time it has been silent.
+// lostDisk reports whether a server at a member's address asks to join with another disk. Then the member is permanently lost,
+// however recently it was heard.
 func (s *Server) lostDisk(address string) bool {
-	waiting := s.membership.standbys[address]
-	return waiting != nil && !s.view().Has(waiting.member)
+	candidate := s.membership.standbys[address]
+	return candidate != nil && !s.view().Has(candidate.member)
 }
 
 func (s *Server) tickCoordinator(now float64) {
 	m := &s.membership
-	for address, waiting := range m.standbys {
-		gone := now > waiting.heardAt+standbyTimeout || s.view().Has(waiting.member) // silent, or a member by now
-		if gone && !s.isJoiner(waiting.member) {
+	for address, candidate := range m.standbys {
+		gone := now > candidate.heardAt+standbyTimeout || s.view().Has(candidate.member) // silent, or already a member
+		if gone && !s.isJoiner(candidate.member) {
 			delete(m.standbys, address)
 		}
 	}
-	if m.changeInProgress || m.leaving || !s.canChangeView(now) || !s.isCoordinator(now) || now < s.startedAt+coordinatorStartDelay {
+	if m.changeInProgress || m.leaving || !s.canChangeView(now) || !s.isCoordinator(now) ||
+		now < s.startedAt+coordinatorStartDelay {
 		return
 	}
 	next, change := s.nextView(now)
@@ -70,15 +73,15 @@
 	}
 }
 
-// mayChangeView says whether a change of the view begun here can come to an end: it takes a majority of the members, in a joint view of
-// the old ones, and no contact with the new ones.
+// canChangeView reports whether a change of the view proposed here can complete. That takes a majority of the members, or of the
+// old members in a joint view; contact with the new members is not needed.
 func (s *Server) canChangeView(now float64) bool {
 	return s.Voting() && !s.disk.failing && s.view().OldQuorum(func(m view.Member) bool { return s.isReachable(now, m) })
 }
 
-// confirmed says whether a majority of the new members, the joiner not counted, has acknowledged a digest that was sent since the change is
-// wanted. A member that is only known to have been in reach lately may be gone, and a joint view without its new majority serves
-// nobody until it is abandoned.
+// newMajorityAcknowledged reports whether a majority of the new members, not counting the joiner, has acknowledged a digest sent
+// since this server first wanted the change. Recent contact alone does not suffice: such a member may be gone by now, and a joint
+// view without a majority of its new members serves no requests until it is abandoned.
 func (s *Server) newMajorityAcknowledged(now float64, joint view.View) bool {
 	m := &s.membership
 	if m.changeWantedSince == 0 {
@@ -91,20 +94,20 @@
 	})
 }
 
-// nextView says which view is to follow, if any.
+// nextView returns the view to propose. change is false if the present view should stay.
 func (s *Server) nextView(now float64) (next view.View, change bool) {
 	v := s.view()
 	if joiner, found := v.Joiner(); found {
-		waiting := s.membership.standbys[joiner.Address]
-		known := waiting != nil && waiting.member == joiner
+		candidate := s.membership.standbys[joiner.Address]
+		known := candidate != nil && candidate.member == joiner
 		switch {
-		case waiting != nil && !known: // another disk is at its address: the joiner of an old proposal, which is gone for good
+		case candidate != nil && !known: // the joiner of an old proposal lost its disk: another disk is at its address now
 			return v.Abandon(), true
 		case now > s.membership.adoptedAt+joinerTimeout && !s.newMajorityAlive(now):
 			return v.Abandon(), true
-		case known && waiting.syncedEpoch == v.Epoch:
+		case known && candidate.syncedEpoch == v.Epoch:
 			return v.Complete(), true
-		case known && now < waiting.heardAt+joinerTimeout, now < s.membership.adoptedAt+joinerTimeout:
+		case known && now < candidate.heardAt+joinerTimeout, now < s.membership.adoptedAt+joinerTimeout:
 			return view.View{}, false
 		}
 		return v.Abandon(), true
@@ -112,33 +115,33 @@
 	return s.planExchange(now)
 }
 
-// newMajorityHeard says whether a majority of the members of the view to come has been heard of lately. Without it the change can only
-// be abandoned, also where the joiner has read everything.
+// newMajorityAlive reports whether a majority of the members of the coming view has been heard recently. Without that majority
+// the change can only be abandoned, even if the joiner has read everything.
 func (s *Server) newMajorityAlive(now float64) bool {
 	return s.view().NewQuorum(func(m view.Member) bool {
-		if waiting := s.membership.standbys[m.Address]; waiting != nil && waiting.member == m {
-			return now < waiting.heardAt+joinerTimeout
+		if candidate := s.membership.standbys[m.Address]; candidate != nil && candidate.member == m {
+			return now < candidate.heardAt+joinerTimeout
 		}
 		return m == s.self || !s.silent(now, m.Address, joinerTimeout)
 	})
 }
 
-// exchange chooses a joiner and the member whose place it takes. A disk that came back empty takes the place of what it was; then go
-// the members that are silent, then those that leave.
+// planExchange selects a joiner and the member that it replaces. A member whose disk was lost is replaced first, by the server at
+// its own address, then a silent member, then a leaving one.
 func (s *Server) planExchange(now float64) (next view.View, change bool) {
 	v := s.view()
 	var joiners []view.Member
 	for _, address := range sorted(s.membership.standbys) {
-		waiting := s.membership.standbys[address]
-		if !waiting.caughtUp || now > waiting.heardAt+standbyTimeout || v.Has(waiting.member) {
+		candidate := s.membership.standbys[address]
+		if !candidate.caughtUp || now > candidate.heardAt+standbyTimeout || v.Has(candidate.member) {
 			continue
 		}
 		at := slices.IndexFunc(v.Members, func(m view.Member) bool { return m.Address == address })
 		switch {
 		case at < 0:
-			joiners = append(joiners, waiting.member)
-		case s.survivesWithout(now, waiting.member, v.Members[at]):
-			return v.Join(waiting.member, v.Members[at]), true
+			joiners = append(joiners, candidate.member)
+		case s.survivesWithout(now, candidate.member, v.Members[at]):
+			return v.Join(candidate.member, v.Members[at]), true
 		}
 	}
 	if len(joiners) == 0 {
@@ -160,14 +163,15 @@
 	return view.View{}, false
 }
 
-// goesOnWithout says whether the joint view would have its quorums, and lose none by the loss of the joiner: that takes a majority of the
-// new members without it.
+// survivesWithout reports whether the joint view would have its quorums now and would keep them if the joiner were lost. That
+// takes a reachable majority of the new members other than the joiner.
 func (s *Server) survivesWithout(now float64, joiner, leaver view.Member) bool {
 	joint := s.view().Join(joiner, leaver)
 	return joint.NewQuorum(func(m view.Member) bool { return m != joiner && s.isReachable(now, m) })
 }
 
-// changeView has the next view chosen. Whatever the register turns out to hold for the next epoch is adopted, whoever proposed it.
+// proposeView has the next view chosen. It adopts whichever view the register holds for the next epoch, even one that another
+// server proposed.
 func (s *Server) proposeView(now float64, next view.View) {
 	m := &s.membership
 	m.changeInProgress = true
--- a/internal/mesh/control/disk.go
+++ b/internal/mesh/control/disk.go
@@ -1,14 +1,14 @@
 package control
 
-// diskState is how the disk of this server takes writes.
+// diskState is whether this server's disk accepts writes.
 type diskState struct {
 	failing bool
 	reason  string
 }
 
-// SetDiskState tells the server that its disk has begun to fail or to stall, or takes writes again. While it fails nothing that waits
-// for the disk is sent, so no promise can be kept: orders and claims are refused at once, and this server changes no view. It goes
-// on telling what is in force, which it learns from the others.
+// SetDiskState tells the server that its disk has begun to fail or stall, or accepts writes again. While the disk fails, no
+// message that waits for a write is sent, so no change can commit: orders and claims are refused at once, and this server changes
+// no view. It still distributes what is in force, which it learns from the other servers.
 func (s *Server) SetDiskState(now float64, failing bool, reason string) {
 	s.disk = diskState{failing: failing, reason: reason}
 	if failing {
@@ -16,18 +16,18 @@
 	}
 }
 
-// canPromise says whether a change of a register begun here can come to an end.
+// canCommit reports whether a register change started here can complete.
 func (s *Server) canCommit(now float64) bool { return s.commitObstacle(now) == "" }
 
-// obstacle is why no change of a register can come to an end here; empty: none is known.
+// commitObstacle returns why no register change started here can complete; empty: no reason is known.
 func (s *Server) commitObstacle(now float64) string {
 	switch {
 	case !s.Voting():
-		return "it does not vote"
+		return "this server does not vote"
 	case !s.inContact(now):
-		return "no quorum is in reach"
+		return "no quorum is reachable"
 	case s.disk.failing:
-		return "the disk takes no writes"
+		return "the disk accepts no writes"
 	}
 	return ""
 }
--- a/internal/mesh/control/membership.go
+++ b/internal/mesh/control/membership.go
@@ -8,39 +8,41 @@
 	"beechwing/internal/mesh/view"
 )
 
-// The view is a register of its own: its value for the next epoch is chosen by a quorum of the present one, so there is one
-// successor to each view. A server acts by a view once it is on its disk, and takes part in ballots of that epoch only; what comes
-// from an older one is answered with the view and has no effect.
+// Each view is stored in a register: a quorum of the present view chooses the view of the next epoch, so each view has exactly
+// one successor. A server adopts a view once the view is on its disk, and takes part only in ballots of that epoch. A message
+// from an older epoch is answered with the present view and has no other effect.
 //
-// A change exchanges one member. Who asks to join reads everything from the members while it waits. It joins when a member has lost
-// its disk, is silent, says that it leaves, or when there are fewer members than the tolerance needs; silent members are not
-// removed while nobody is there to take the place. The change goes by a joint view, in which the joiner reads the rest, to the
-// stable view of the new members. If the joiner is lost on the way the old members go on.
+// A change of the view replaces one member. A server that asks to join reads all registers from the members while it waits (a
+// standby). It joins when a member has lost its disk, is silent or is leaving, or when there are fewer members than the tolerance
+// requires. A silent member is not removed unless a standby can replace it. The change first makes a joint view of the old and
+// the new members, in which the joiner reads the remaining values, and then the stable view of the new members. If the joiner is
+// lost meanwhile, the old members continue.
 
 // Times are in seconds.
 const (
-	// foundAfter is how long the founder waits for others to come, and foundQuiet for how long nobody may have come before it decides.
-	// Larger: the first start takes longer. Smaller: a seed that is slow to start is left out, and has to join by a change of view.
+	// bootstrapMinWait is how long the bootstrapping server waits for other seeds, and bootstrapQuietPeriod how long no further
+	// seed may have joined before it creates the first view. Larger: the first start takes longer. Smaller: a seed that starts
+	// slowly is left out and has to join by a change of view.
 	bootstrapMinWait     = 1.2
 	bootstrapQuietPeriod = 0.6
 
-	// joinEvery is the pause between questions of a server that is no member. Larger: a joiner is taken in later, and counts as silent
-	// sooner (standbyFor, joinerGone). Smaller: more messages to every member.
+	// joinInterval is the time between the join requests of a server that is not a member. Larger: a joiner is admitted later,
+	// and lost requests exceed standbyTimeout and joinerTimeout sooner. Smaller: more messages to every member.
 	joinInterval = 0.15
 
-	// viewAskEvery is the pause between questions for a newer view. Larger: a member that missed a view votes later. Smaller: several
-	// answers, each with the view, while one is on its way.
+	// viewRequestInterval is the least time between requests for a newer view. Larger: a member that missed a view votes later.
+	// Smaller: several answers, each with the whole view, arrive for one need.
 	viewRequestInterval = 0.05
 
-	// seedAskEvery is the pause between questions to the seeds while no quorum is in reach. Larger: a member that was replaced while it
-	// was away finds the others later. Smaller: messages to machines that may be gone.
+	// seedRequestInterval is the time between requests to the seeds while no quorum is reachable. Larger: a member that was
+	// replaced while it was down finds the others later. Smaller: more messages to machines that may be gone.
 	seedRequestInterval = 0.5
 
-	// standbyFor is how long a server that asks to join counts without a word. Larger: a change may be proposed with a joiner that is gone,
-	// and takes joinerGone to abandon. Smaller: lost messages take a joiner out of the choice.
+	// standbyTimeout is how long a standby stays a candidate after its last join request. Larger: a change may be proposed with a
+	// joiner that is gone, and takes joinerTimeout to abandon. Smaller: a few lost messages remove a standby from the candidates.
 	standbyTimeout = 1.0
 
-	// mostStandbys bounds what is kept of servers that ask to join.
+	// maxStandbys bounds the number of standbys that a server keeps track of.
 	maxStandbys = 64
 )
 
@@ -57,13 +59,13 @@
 	adoptedAt           float64
 	standbys            map[string]*standby // by address
 	bootstrapMembers    map[string]view.Member
-	lastBootstrapJoinAt float64 // when the last founder came
+	lastBootstrapJoinAt float64 // when the last server joined the bootstrap
 	changeInProgress    bool    // a change of the view is being proposed
-	changeWantedSince   float64 // since when this server wants to begin a change; 0: it does not
-	leaving             bool    // this server is about to end
-	epochSettled        bool    // the epoch is older than keys are kept
-	restoring           bool    // the view is the one that this disk has
-	foreign             bool    // a disk of another mesh: it takes no part here
+	changeWantedSince   float64 // when this server first wanted the present change; 0: it wants none
+	leaving             bool    // this server is shutting down and gives up its membership
+	epochSettled        bool    // the epoch has lasted longer than keys are retained
+	restoring           bool    // the view is being restored from this disk
+	foreign             bool    // the disk belongs to another mesh: this server takes no part in this one
 	nextJoinAt          float64
 	nextViewRequestAt   float64
 	nextSeedRequestAt   float64
@@ -75,10 +77,10 @@
 
 func (s *Server) view() view.View { return s.membership.view }
 
-// isMember says whether this server, with this disk, belongs to the view.
+// isMember reports whether this server, with its present disk, is a member of the view.
 func (s *Server) isMember() bool { return s.view().Has(s.self) }
 
-// restoreView takes what the disk says of the view.
+// restoreView adopts the view stored on disk.
 func (s *Server) restoreView(now float64, values map[string][]byte) error {
 	if len(values[nameView]) == 0 {
 		return nil
@@ -98,7 +100,7 @@
 	return nil
 }
 
-// adopt goes by a newer view from here on. It is put before anything is said in its name.
+// adoptView makes a newer view the present one. The view is written to disk before any message is sent under its epoch.
 func (s *Server) adoptView(now float64, v view.View) {
 	if s.view().Known() && v.Mesh != s.view().Mesh {
 		s.rejectForeignView(v)
@@ -107,7 +109,7 @@
 	if v.Epoch <= s.view().Epoch {
 		return
 	}
-	s.collectEffects() // what was said so far was said in the epoch before
+	s.collectEffects() // messages produced so far belong to the previous epoch
 	wasMember := s.isMember()
 	s.put(nameView, v.Encode())
 	s.membership.epochSettled = v.Epoch == 1
@@ -119,7 +121,8 @@
 	s.options.Log("view", "epoch", v.Epoch, "members", v.Members, "next", v.Next, "member", s.isMember(), "voting", s.Voting())
 }
 
-// fence ends this server's membership: it keeps nothing, and may ask to join anew as a server with another disk.
+// resetMembership discards the state of a member that was removed from the view. The server takes a new incarnation, so it can
+// ask to join as a new member.
 func (s *Server) resetMembership(now float64) {
 	s.drawIncarnation()
 	s.registers.Reset(now, s.self)
@@ -143,7 +146,7 @@
 	s.propagation.nextDigestAt = 0
 }
 
-// vote lets this server take part in ballots if it holds all that it has to.
+// startVotingIfReady lets this server take part in ballots once it holds every value that it needs.
 func (s *Server) startVotingIfReady(now float64) {
 	if s.Voting() {
 		return
@@ -162,7 +165,7 @@
 	if !s.membership.foreign {
 		s.membership.foreign = true
 		s.options.Log("another mesh", "mesh", v.Mesh, "mine", s.view().Mesh,
-			"remedy", "start this server with an empty folder")
+			"remedy", "start this server with an empty data directory")
 	}
 }
 
@@ -182,7 +185,7 @@
 	}
 }
 
-// tellView answers with the view. It goes after the disk has it.
+// sendView sends the present view once the view is on disk.
 func (s *Server) sendView(to string) {
 	if s.view().Known() {
 		s.effects.After = append(s.effects.After, after(to, &meshpb.Message{View: s.view().Wire()}))
@@ -196,7 +199,7 @@
 	}
 }
 
-// heardJoin takes word of a server that is no member.
+// handleJoin processes a join request.
 func (s *Server) handleJoin(now float64, from view.Member, epoch uint64, j *meshpb.Join) {
 	m := &s.membership
 	if !s.view().Known() {
@@ -210,16 +213,16 @@
 	if !s.Voting() || epoch != s.view().Epoch || s.view().Has(from) && !s.isJoiner(from) {
 		return
 	}
-	waiting := m.standbys[from.Address]
-	if waiting == nil || waiting.member != from {
-		if waiting == nil && len(m.standbys) >= maxStandbys {
+	candidate := m.standbys[from.Address]
+	if candidate == nil || candidate.member != from {
+		if candidate == nil && len(m.standbys) >= maxStandbys {
 			return
 		}
-		waiting = &standby{member: from}
-		m.standbys[from.Address] = waiting
+		candidate = &standby{member: from}
+		m.standbys[from.Address] = candidate
 	}
-	waiting.heardAt, waiting.caughtUp = now, j.CaughtUp
-	waiting.syncedEpoch = max(waiting.syncedEpoch, j.SyncedEpoch) // words may overtake each other
+	candidate.heardAt, candidate.caughtUp = now, j.CaughtUp
+	candidate.syncedEpoch = max(candidate.syncedEpoch, j.SyncedEpoch) // requests may arrive out of order
 }
 
 func (s *Server) isJoiner(m view.Member) bool {
@@ -232,7 +235,8 @@
 	switch {
 	case !s.view().Known() && s.options.Bootstrap && slices.Min(s.options.Seeds) == s.options.Self:
 		s.bootstrap(now)
-	case (!s.Voting() || s.isJoiner(s.self)) && !m.leaving && now >= m.nextJoinAt: // a joiner until it is a member: its word may be lost
+	case (!s.Voting() || s.isJoiner(s.self)) && !m.leaving && now >= m.nextJoinAt:
+		// A joiner repeats its request until it is a member, because a request may be lost.
 		m.nextJoinAt = now + joinInterval
 		s.sendJoin()
 	}
@@ -244,15 +248,15 @@
 	s.tickCoordinator(now)
 }
 
-// found makes the first view, as the first of the seeds by address: at the first start all servers have the same seeds, and they
-// are up.
+// bootstrap creates the first view. The seed with the lowest address does so: at the first start all servers have the same seeds,
+// and all seeds are up.
 func (s *Server) bootstrap(now float64) {
 	m := &s.membership
-	if _, come := m.bootstrapMembers[s.options.Self]; !come { // others may have come before
+	if _, joined := m.bootstrapMembers[s.options.Self]; !joined { // others may have joined before
 		m.bootstrapMembers[s.options.Self], m.lastBootstrapJoinAt = s.self, now
 	}
 	for _, seed := range s.options.Seeds {
-		if _, come := m.bootstrapMembers[seed]; !come {
+		if _, joined := m.bootstrapMembers[seed]; !joined {
 			return
 		}
 	}
@@ -268,7 +272,8 @@
 	s.broadcastView(s.view())
 }
 
-// askToJoin goes to the members that are known, and to the seeds where none are. The disk has this server's identity by then.
+// sendJoin sends a join request to the known members, and to the seeds as long as no member has answered. The requests go out
+// once the disk holds this server's identity.
 func (s *Server) sendJoin() {
 	j := &meshpb.Join{CaughtUp: s.catchup.caughtUp, SyncedEpoch: s.catchup.syncedEpoch}
 	to := slices.Clone(s.view().Addresses())
@@ -284,12 +289,13 @@
 	}
 }
 
-// answered says whether any of these servers has said something.
+// anyAnswered reports whether any of these servers has sent its view.
 func (s *Server) anyAnswered(addresses []string) bool {
 	return slices.ContainsFunc(addresses, func(a string) bool { return s.contact.answeredAt[a] > 0 })
 }
 
-// askSeeds asks for a newer view: all that this server knows may have been replaced while it was away.
+// requestViewFromSeeds asks the seeds for a newer view: all members that this server knows may have been replaced while it was
+// down.
 func (s *Server) requestViewFromSeeds() {
 	for _, seed := range s.options.Seeds {
 		if seed != s.options.Self {
@@ -298,7 +304,7 @@
 	}
 }
 
-// tellAll announces a view to all whom it concerns.
+// broadcastView sends the present view to all members of v.
 func (s *Server) broadcastView(v view.View) {
 	for _, address := range v.Addresses() {
 		if address != s.options.Self {
@@ -307,7 +313,7 @@
 	}
 }
 
-// settle notes, also for the next start, that the epoch has lasted longer than keys are kept.
+// markEpochSettled records, also for the next start, that the epoch has lasted longer than keys are retained.
 func (s *Server) markEpochSettled(now float64) {
 	m := &s.membership
 	if m.epochSettled || !s.Voting() || s.view().Joint() || now < m.adoptedAt+s.registers.FastPathDelay() {
@@ -317,20 +323,20 @@
 	s.put(nameSettled, encodeUint64(s.view().Epoch))
 }
 
-// Leave begins the planned end of this server: its place is given to a server that waits for one, if there is any.
+// Leave starts the planned shutdown of this server: a standby takes over its membership, if there is one.
 func (s *Server) Leave(now float64) {
 	s.membership.leaving = true
 	s.propagation.nextDigestAt = 0
 	s.tickPropagation(now)
 }
 
-// MayStop says whether the planned end may come: nobody waits for the place, or it has been given away.
+// MayStop reports whether a planned shutdown may complete: no standby can take over this server's membership, or one has done so.
 func (s *Server) MayStop(now float64) bool {
 	if !s.Voting() {
 		return true
 	}
-	for _, waiting := range s.membership.standbys {
-		if now <= waiting.heardAt+standbyTimeout && !s.view().Has(waiting.member) || s.isJoiner(waiting.member) {
+	for _, candidate := range s.membership.standbys {
+		if now <= candidate.heardAt+standbyTimeout && !s.view().Has(candidate.member) || s.isJoiner(candidate.member) {
 			return false
 		}
 	}
--- a/internal/mesh/control/server.go
+++ b/internal/mesh/control/server.go
@@ -1,10 +1,20 @@
-// Package control is the control plane's state machine: which control servers vote, the configuration, the records of hosts and
-// proxies, and the registers of operations' keys. It takes inputs and returns what to send, to write and to answer; sockets, disk
-// and clock are the program's.
+// Package control is the state machine of a control server. Control servers keep the state that a mesh agrees on: which servers
+// vote (the view), the configuration, the ejections and key assignments of services, and the registers of operations' keys, each
+// of which is decided by a quorum. They also collect the records of proxies and hosts and distribute them to proxies.
 //
-// Its files: membership.go knows the view, coordinator.go changes it; contact.go knows whether a quorum is in reach; catchup.go brings a server that joins up
-// to date; homed.go has claims take one round trip after a change; configuration.go takes orders; propagation.go tells proxies and the other servers what is new; ejection.go leaves hosts
-// out by agreement; assignment.go says which hosts hold which keys; state.go is what an operator sees.
+// The main type is Server. The program passes it every message (HandleMessage), every operator's request (Order, OrderEjection,
+// Configuration, Leave) and the time (Tick), and after each call performs what TakeEffects returns: messages to send at once,
+// values to write to disk, and messages to send once those writes are synced. The package itself does no input or output and
+// reads no clock.
+//
+// An order is an operator's request to put a configuration version in force. A digest is the heartbeat that members of the view
+// exchange; it also carries what changed. A source is the proxy that publishes a record.
+//
+// membership.go holds the view and adopts new ones, coordinator.go proposes changes of the view, contact.go tracks whether a
+// quorum is reachable, catchup.go brings a joining server up to date, homed.go restores one-round-trip claims after a change of
+// view, configuration.go handles orders, propagation.go distributes changes to proxies and other servers, tombstone.go removes
+// sources that have gone, ejection.go decides which hosts get no requests, assignment.go decides which hosts hold which keys,
+// disk.go tracks whether the disk accepts writes, and state.go exports the state for operators.
 package control
 
 import (
@@ -20,29 +30,30 @@
 	"beechwing/internal/mesh/view"
 )
 
-// The names of what this package keeps in the store.
+// Names under which this package stores values on disk.
 const (
-	nameIdentity = "identity" // the incarnation of this disk
-	nameView     = "view"     // the view in force
-	nameSynced   = "synced"   // the joint epoch for which this server holds all that was chosen before
-	nameChosen   = "chosen"   // the ballot at which the configuration on this disk was chosen
-	nameSettled  = "settled"  // the epoch that has lasted longer than keys are kept
+	nameIdentity = "identity" // incarnation of this disk
+	nameView     = "view"     // view in force
+	nameSynced   = "synced"   // joint epoch for which this server holds every value chosen before
+	nameChosen   = "chosen"   // ballot at which the configuration on this disk was chosen
+	nameSettled  = "settled"  // epoch that has lasted longer than keys are retained
 )
 
-// Options is what a server is told at its start.
+// Options configures a Server.
 type Options struct {
-	Self             string   // its address for the others
-	Seeds            []string // control servers that may be up
+	Self             string   // this server's address, as other servers reach it
+	Seeds            []string // addresses of control servers to contact when no member is known
 	Bootstrap        bool     // the whole system starts for the first time
-	Tolerance        int      // members that may be lost at once
-	RetentionSeconds float64  // seconds for which a key's answer is kept
-	LeaseSeconds     float64  // seconds after the question for it within which a lease of a host's keys has run out
-	Life             uint32   // drawn anew for each start, not 0
-	RandomSeed       uint64   // drawn anew for each start
+	Tolerance        int      // number of members that may be lost at once
+	RetentionSeconds float64  // seconds for which the result of an operation's key is kept
+	LeaseSeconds     float64  // seconds after a lease request at which its lease has expired everywhere
+	Life             uint32   // identifies this run of the process; drawn at each start, never 0
+	RandomSeed       uint64   // drawn at each start
 	Log              func(event string, args ...any)
 }
 
-// Server is one control server. It is single-threaded; every input carries the time in seconds on a clock that never jumps.
+// Server is one control server. It is not safe for concurrent use. Each input carries the current time in seconds, read from a
+// monotonic clock.
 type Server struct {
 	options   Options
 	startedAt float64
@@ -50,7 +61,7 @@
 	self      view.Member
 	registers *register.Registers
 	effects   register.Effects
-	onSynced  map[uint64]func(now float64) // by token: to be called when what was put so far is on the disk
+	onSynced  map[uint64]func(now float64) // by message ID: called once all earlier writes are synced
 	lastID    uint64
 
 	disk          diskState
@@ -66,15 +77,16 @@
 	checks        invariant.Checks
 }
 
-// EventViolation is the event of a log line that tells of a violated invariant.
+// EventViolation is the log event of a violated invariant.
 const EventViolation = "invariant violated"
 
-// New makes a server from what its disk held.
+// New returns a server restored from the values on its disk.
 func New(now float64, options Options, values map[string][]byte) (*Server, error) {
 	if options.Log == nil {
 		options.Log = func(string, ...any) {}
 	}
-	s := &Server{options: options, startedAt: now, random: random.Source(options.RandomSeed), lastID: uint64(options.Life) << 32, onSynced: map[uint64]func(float64){}}
+	s := &Server{options: options, startedAt: now, random: random.Source(options.RandomSeed),
+		lastID: uint64(options.Life) << 32, onSynced: map[uint64]func(float64){}}
 	s.self = view.Member{Address: options.Self, Incarnation: decodeUint64(values[nameIdentity])}
 	if s.self.Incarnation == 0 {
 		s.drawIncarnation()
@@ -100,10 +112,10 @@
 	return s, nil
 }
 
-// incarnationBits of an incarnation are drawn: JSON's readers keep no more of a number.
+// incarnationBits is the number of random bits in an incarnation. JSON readers represent integers exactly up to 53 bits only.
 const incarnationBits = 53
 
-// drawIncarnation makes this disk another one for the others.
+// drawIncarnation gives this server a new identity, as if it had another disk.
 func (s *Server) drawIncarnation() {
 	s.self.Incarnation = s.random.Next()>>(64-incarnationBits) | 1
 	s.put(nameIdentity, encodeUint64(s.self.Incarnation))
@@ -118,7 +130,7 @@
 
 func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// TakeEffects gives what is to be done since the last call.
+// TakeEffects returns the sends and writes that are due since the last call.
 func (s *Server) TakeEffects() register.Effects {
 	s.collectEffects()
 	out := s.effects
@@ -126,8 +138,8 @@
 	return out
 }
 
-// collect takes over what the registers want done, and marks all that goes to other servers with the epoch and the disk in whose name
-// it was said.
+// collectEffects takes over the pending effects of the registers. It stamps every message to another server with the epoch and
+// the incarnation under which the message was produced.
 func (s *Server) collectEffects() {
 	out := s.registers.TakeEffects()
 	s.effects.Sends = append(s.effects.Sends, out.Sends...)
@@ -163,7 +175,7 @@
 	s.effects.Puts = append(s.effects.Puts, store.Put{Name: name, Value: value})
 }
 
-// whenSynced calls f once everything put so far is on the disk.
+// whenSynced calls f once all values put so far are synced to disk.
 func (s *Server) whenSynced(f func(now float64)) {
 	s.lastID++
 	s.onSynced[s.lastID] = f
@@ -171,7 +183,7 @@
 		Message: &meshpb.Message{Id: s.lastID, Ping: &meshpb.Ping{}}})
 }
 
-// HandleMessage takes a message.
+// HandleMessage processes a message from a proxy, from another control server or from this server itself.
 func (s *Server) HandleMessage(now float64, from string, m *meshpb.Message) {
 	switch {
 	case from == s.options.Self && m.Ping != nil:
@@ -195,7 +207,7 @@
 	}
 }
 
-// heardServer takes what another control server says, or this one.
+// handleServerMessage processes a message from a control server.
 func (s *Server) handleServerMessage(now float64, from string, m *meshpb.Message) {
 	member := view.Member{Address: from, Incarnation: m.Incarnation}
 	switch {
@@ -206,7 +218,7 @@
 		s.catchup.retrySyncRequest(from)
 	case m.Join != nil:
 		s.handleJoin(now, member, m.Epoch, m.Join)
-	case m.Epoch < s.view().Epoch: // fenced: what it says belongs to a view that is no longer in force
+	case m.Epoch < s.view().Epoch: // fenced: the sender acts in a view that is no longer in force
 		s.sendView(from)
 	case m.Epoch > s.view().Epoch:
 		s.requestView(now, from)
@@ -231,7 +243,7 @@
 
 func (s *Server) handleClaim(now float64, from string, m *meshpb.Message) {
 	answer := s.claimAnswer(from, m, m.Claim.Token, true)
-	if !s.canCommit(now) { // nothing can be bound from here: the asker goes elsewhere at once
+	if !s.canCommit(now) { // no quorum can be reached from here: the caller retries at another server at once
 		answer(register.Unavailable, nil)
 		return
 	}
@@ -239,7 +251,7 @@
 	s.registers.Claim(now, m.Claim, answer)
 }
 
-// heardSettle takes the end of a run. Who settles has the receipt and needs none.
+// handleSettle records the result of an operation. The reply omits the receipt, because the sender already has it.
 func (s *Server) handleSettle(now float64, from string, m *meshpb.Message) {
 	s.counts.Settles++
 	receipt := m.Settle.Receipt
@@ -267,7 +279,7 @@
 	}
 }
 
-// Tick does what is due. It is to be called every few hundredths of a second.
+// Tick runs all periodic work. The program calls it every few tens of milliseconds.
 func (s *Server) Tick(now float64) {
 	s.tickMembership(now)
 	s.tickCatchup(now)
@@ -280,8 +292,8 @@
 	s.tickPropagation(now)
 }
 
-// SetSeeds takes over other seeds: the settings file has changed.
+// SetSeeds replaces the seeds after the settings file has changed.
 func (s *Server) SetSeeds(seeds []string) { s.options.Seeds = slices.Clone(seeds) }
 
-// Voting says whether this server takes part in ballots.
+// Voting reports whether this server takes part in ballots.
 func (s *Server) Voting() bool { return s.registers.Voting() }
--- a/internal/mesh/control/state.go
+++ b/internal/mesh/control/state.go
@@ -11,18 +11,18 @@
 	"beechwing/internal/mesh/view"
 )
 
-// Counts add up since the process started.
+// Counts are totals since the process started.
 type Counts struct {
 	Claims      uint64            `json:"claims"`
 	Granted     uint64            `json:"granted"`
 	Settles     uint64            `json:"settles"`
-	Unsure      uint64            `json:"unsure"`    // claims and ends of runs for which no quorum was found
-	Untouched   uint64            `json:"untouched"` // claims for which nothing was begun: no contact, no disk, or too much under way
+	Unsure      uint64            `json:"unsure"`    // claims and settles for which no quorum was found in time
+	Untouched   uint64            `json:"untouched"` // claims refused at once: no contact, no disk, or overload
 	Pulls       uint64            `json:"pulls"`
-	Orders      map[string]uint64 `json:"orders"` // by their end
+	Orders      map[string]uint64 `json:"orders"` // by result
 	ViewChanges uint64            `json:"viewChanges"`
 
-	Violations map[invariant.Name]uint64 `json:"violations,omitempty"` // of invariants: none is ever due
+	Violations map[invariant.Name]uint64 `json:"violations,omitempty"` // by invariant; any value above 0 is a fault
 }
 
 func (c *Counts) order(r OrderResult) {
@@ -32,20 +32,20 @@
 	c.Orders[r.String()]++
 }
 
-// State is what an operator sees of a server.
+// State is a snapshot of a server for operators.
 type State struct {
 	Epoch               uint64                 `json:"epoch"`
 	Members             []view.Member          `json:"members"`
-	Next                []view.Member          `json:"next,omitempty"` // of a change that is under way
+	Next                []view.Member          `json:"next,omitempty"` // members after the change in progress
 	Incarnation         uint64                 `json:"incarnation"`
 	Member              bool                   `json:"member"`
 	Voting              bool                   `json:"voting"`
 	InContact           bool                   `json:"inContact"`
-	SinceContactSeconds float64                `json:"lastContactSeconds"` // since a quorum was known to be in reach; -1: never
+	SinceContactSeconds float64                `json:"lastContactSeconds"` // since a quorum was known to be reachable; -1: never
 	Behind              bool                   `json:"behind"`
 	CaughtUp            bool                   `json:"caughtUp"`
 	ForeignDisk         bool                   `json:"foreignDisk"`
-	DiskFailing         string                 `json:"diskFailing,omitempty"` // why the disk takes no writes; empty: it does
+	DiskFailing         string                 `json:"diskFailing,omitempty"` // why the disk accepts no writes; empty: it does
 	Standbys            []string               `json:"standbys"`
 	Silent              []string               `json:"silentMembers"`
 	HeldVersion         uint64                 `json:"held"`
@@ -62,13 +62,15 @@
 	Roll                []*meshpb.Record       `json:"roll"`
 }
 
-// State tells what is known here.
+// State returns a snapshot of this server.
 func (s *Server) State(now float64) State {
 	v := s.view()
 	state := State{Epoch: v.Epoch, Members: v.Members, Next: v.Next, Incarnation: s.self.Incarnation, Member: s.isMember(),
-		Voting: s.Voting(), InContact: s.inContact(now), SinceContactSeconds: -1, Behind: s.mayBeStale(now), CaughtUp: s.catchup.caughtUp,
+		Voting: s.Voting(), InContact: s.inContact(now), SinceContactSeconds: -1, Behind: s.mayBeStale(now),
+		CaughtUp:    s.catchup.caughtUp,
 		ForeignDisk: s.membership.foreign, Standbys: sorted(s.membership.standbys), HeldVersion: s.configuration.heldVersion,
-		InForceVersion: s.configuration.chosenVersion(), HeldPulls: len(s.propagation.heldPulls), EjectionLists: s.wireEjections(now),
+		InForceVersion: s.configuration.chosenVersion(), HeldPulls: len(s.propagation.heldPulls),
+		EjectionLists: s.wireEjections(now),
 		SilentProxies: s.silentSources(now), Assignments: s.assignments.state(now), Counts: s.counts}
 	if s.disk.failing {
 		state.DiskFailing = cmp.Or(s.disk.reason, "stalled")
@@ -97,13 +99,14 @@
 	return state
 }
 
-// Counts are what has been counted since the process started.
+// Counts returns the totals since the process started.
 func (s *Server) Counts() Counts { return s.counts }
 
-// Size is the number of registers held, and of changes under way.
+// Size returns the number of registers held and of register changes in progress.
 func (s *Server) Size() (registers, changes int) { return s.registers.Size() }
 
-// Redirect is the server to ask in place of one that is no member: a member that answered lately; empty: none did.
+// Redirect returns the address of a member that answered recently, for clients of a server that is not a member. It is empty if
+// there is none.
 func (s *Server) Redirect(now float64) string {
 	for _, address := range s.view().RetainedAddresses() {
 		if at := s.contact.answeredAt[address]; address != s.options.Self && at > 0 && now < at+standbyTimeout {
