--- a/internal/mesh/control/assignment.go
+++ b/internal/mesh/control/assignment.go
@@ -14,54 +14,56 @@
 	"beechwing/internal/mesh/sharding"
 )
 
-// The members that hold the keys of a sharded service stand in one register, with those of the epoch before. Proxies beside hosts ask
-// which assignment is in force and grant their host its keys for a lease from the time of the question on; the answer is read from a
-// quorum after the question came. So once an epoch is chosen no lease of the one before begins, and all have run out LeaseTime later.
+// The assignment of a sharded service is stored in a register: the members that hold its keys, and the members of the previous
+// epoch. A member is the proxy beside a host. It asks a control server which assignment is in force and grants its host the keys
+// for a lease that counts from the time of the request. The control server reads the assignment from a quorum after the request
+// arrived. So once an epoch is chosen, no lease of the previous epoch can start, and all of them have expired LeaseSeconds later.
 //
-// One server, by rendezvous hashing, begins the epochs of a service. Two that believe they are the one are harmless: the register
-// takes one successor.
+// One server, selected by rendezvous hashing, starts the epochs of a service. Two servers that both believe to be selected are
+// harmless, because the register takes one successor.
 
 // Times are in seconds.
 const (
-	// reviseEvery is the least time between two readings of a service's register. Larger: proxies learn later what they may grant.
-	// Smaller: more ballots.
+	// updateInterval is the least time between two reads of a service's register. Larger: proxies learn later what they may
+	// grant. Smaller: more ballots.
 	updateInterval = 0.1
 
-	// assignFirst is for how long the hosts of a service have to be the same before its first epoch, assignSoon before any other.
-	// Larger: the epoch is later. Smaller: hosts that come one after the other make an epoch each.
+	// firstEpochDelay is how long the hosts of a service have to stay the same before its first epoch, nextEpochDelay before any
+	// other. Larger: the epoch starts later. Smaller: hosts that start one after the other cause an epoch each.
 	firstEpochDelay = 0.6
 	nextEpochDelay  = 0.08
 
-	// assignNews is for how long after a change an assignment stands in every digest: each of the others hears it several times.
+	// recentChangeSeconds is how long every digest carries an assignment after it changed, so that each member receives it
+	// several times.
 	recentChangeSeconds = 2.0
 
-	// mostLeaseRequests bounds the questions that wait for a reading.
+	// maxWaitingLeaseRequests bounds the lease requests of a service that wait for a read.
 	maxWaitingLeaseRequests = 4096
 )
 
-// leaseRequest is a proxy's question.
+// leaseRequest is a lease request of a proxy.
 type leaseRequest struct {
 	from    string
 	message *meshpb.Message
 }
 
-// assignment is what this server knows of a sharded service.
+// assignment is what this server knows of a sharded service's assignment.
 type assignment struct {
 	service       string
 	table         *sharding.Table // the newest known to be chosen; nil: the register has not been read
 	changedAt     float64         // when the newest version was learned
-	epochAt       float64         // and the newest epoch: no lease of the one before was given since
-	targetMembers []string        // the members that the hosts known here make
-	targetSince   float64         // since when
-	nextUpdateAt  float64         // not before then
-	busy          bool            // a reading is under way
-	inFlight      []leaseRequest  // that came before it
-	waiting       []leaseRequest  // and after
+	epochAt       float64         // when the newest epoch was learned: no lease of the previous one has started since
+	targetMembers []string        // the members that follow from the hosts known here
+	targetSince   float64         // when targetMembers last changed
+	nextUpdateAt  float64         // earliest time of the next read
+	busy          bool            // a read or write of the register is in progress
+	inFlight      []leaseRequest  // requests that the present read answers
+	waiting       []leaseRequest  // requests that wait for the next read
 }
 
 type assignments struct {
-	services      map[string]*assignment // by name; those that the configuration calls sharded
-	configVersion uint64                 // of that configuration
+	services      map[string]*assignment // by name; those that the configuration declares sharded
+	configVersion uint64                 // the configuration from which services was derived
 }
 
 func (a *assignments) init() { a.services = map[string]*assignment{} }
@@ -82,7 +84,7 @@
 	return a.table.Epoch
 }
 
-// ofService is what is known of a service's assignment.
+// ofService returns the assignment of a service, and creates an empty one if there is none.
 func (a *assignments) ofService(service string) *assignment {
 	known := a.services[service]
 	if known == nil {
@@ -92,7 +94,7 @@
 	return known
 }
 
-// shardedServices are the services that a configuration calls sharded.
+// shardedServices returns the services that a configuration declares sharded.
 func shardedServices(text []byte) (names []string) {
 	var c struct {
 		Carriers []struct {
@@ -112,7 +114,7 @@
 	return names
 }
 
-// heardLeaseRequest takes a proxy's question. It is answered once the register has been read.
+// handleLeaseRequest queues a proxy's request. It is answered once the register has been read.
 func (s *Server) handleLeaseRequest(now float64, from string, m *meshpb.Message) {
 	if !s.canCommit(now) || s.assignments.services[m.LeaseRequest.Carrier] == nil {
 		s.answerLease(leaseRequest{from, m}, nil)
@@ -131,7 +133,7 @@
 	s.send(q.from, &meshpb.Message{Id: q.message.Id, Life: q.message.Life, Lease: &meshpb.Lease{Assignment: a}})
 }
 
-// tickAssignments begins what is due for each sharded service.
+// tickAssignments starts the reads and writes that are due for the sharded services.
 func (s *Server) tickAssignments(now float64) {
 	if c := &s.configuration; c.chosenVersion() > s.assignments.configVersion {
 		s.assignments.configVersion = c.chosenVersion()
@@ -149,15 +151,15 @@
 	}
 }
 
-// noteWanted notes which members the hosts that are known make, and since when.
+// trackTargetMembers updates the members that follow from the known hosts, and when they last changed.
 func (s *Server) trackTargetMembers(now float64, a *assignment) {
 	if targets := s.computeTargetMembers(now, a); !slices.Equal(targets, a.targetMembers) {
 		a.targetMembers, a.targetSince = targets, now
 	}
 }
 
-// wantedMembers are the proxies beside the counted hosts of a service. A member of which nothing is known, as this server or that
-// proxy has just started, stays until it counts as silent.
+// computeTargetMembers returns the proxies beside the hosts of a service that are listed and not leaving. A present member
+// without a known record, because this server or the proxy has just started, stays until it counts as silent.
 func (s *Server) computeTargetMembers(now float64, a *assignment) (members []string) {
 	for source, r := range s.propagation.records {
 		if r.Carrier == a.service && r.Station != "" && r.Condition == meshpb.AtDock && !s.isSilentSource(now, source) {
@@ -177,12 +179,14 @@
 	return slices.Compact(members)
 }
 
-// silentSource says whether nobody has heard of a proxy for long. Before this server has run for as long, it does not know.
+// isSilentSource reports whether no server has heard of a proxy for silentAfter. A server that has not run for that long cannot
+// tell.
 func (s *Server) isSilentSource(now float64, source string) bool {
 	return now > max(s.startedAt, s.propagation.lastHeard[source])+silentAfter
 }
 
-// begins says whether this server is the one to begin the epochs of a service.
+// isAssignmentCoordinator reports whether this server starts the epochs of a service: it is the first member in rendezvous order
+// that is not silent.
 func (s *Server) isAssignmentCoordinator(now float64, service string) bool {
 	for _, m := range rendezvous.Order(sharding.RegisterName(service), s.view().RetainedAddresses()) {
 		if m == s.options.Self {
@@ -195,7 +199,7 @@
 	return false
 }
 
-// reviseIfDue reads and changes a service's register where proxies wait for that, or this server has something to change.
+// updateIfDue reads and updates a service's register if proxies wait for a read or this server has a change to write.
 func (s *Server) updateIfDue(now float64, a *assignment) {
 	if a.busy || now < a.nextUpdateAt {
 		return
@@ -210,21 +214,24 @@
 	}
 }
 
-// expired says that members have not released what they have lost, and that every lease of the epoch before has run out.
+// formerLeasesExpired reports whether former members have not released their ranges although all leases of the previous epoch
+// have expired.
 func (s *Server) formerLeasesExpired(now float64, a *assignment) bool {
 	return now > a.epochAt+s.options.LeaseSeconds && len(a.table.AwaitedMembers()) > 0
 }
 
-// wantsEpoch says whether other members are to follow those of an assignment now.
+// needsEpoch reports whether the next epoch should start now with other members than those held.
 func (s *Server) needsEpoch(now float64, a *assignment, held *sharding.Table) bool {
 	delay := nextEpochDelay
 	if held.Epoch == 0 {
 		delay = firstEpochDelay
 	}
-	return len(a.targetMembers) > 0 && now > a.targetSince+delay && !slices.Equal(a.targetMembers, held.Members) && len(held.AwaitedMembers()) == 0
+	return len(a.targetMembers) > 0 && now > a.targetSince+delay && !slices.Equal(a.targetMembers, held.Members) &&
+		len(held.AwaitedMembers()) == 0
 }
 
-// revise reads a service's register and changes it where something is to change. Who asked before is told what it holds.
+// updateAssignment reads a service's register, writes a change if there is one, and answers the requests that came before the
+// read.
 func (s *Server) updateAssignment(now float64, a *assignment) {
 	a.busy, a.nextUpdateAt = true, now+updateInterval
 	a.inFlight, a.waiting = a.waiting, nil
@@ -266,9 +273,10 @@
 	return held
 }
 
-// nextAssignment is what follows an assignment: members that have released what they lost are cleared, all are once their leases have
-// run out, and the next epoch begins where nobody waits any more.
-func (s *Server) nextAssignment(now float64, a *assignment, held *meshpb.Assignment, coordinates bool) (next *meshpb.Assignment, changed bool) {
+// nextAssignment returns the successor of an assignment. Members that have released their lost ranges are cleared, and so are all
+// others once their leases have expired. The next epoch starts when no member has to be waited for.
+func (s *Server) nextAssignment(now float64, a *assignment, held *meshpb.Assignment, coordinates bool) (
+	next *meshpb.Assignment, changed bool) {
 	next = proto.Clone(held).(*meshpb.Assignment)
 	for _, q := range a.inFlight {
 		if clearReleased(next, q) {
@@ -284,13 +292,15 @@
 		table = sharding.NewTable(next)
 	}
 	if s.needsEpoch(now, a, table) {
-		s.options.Log("assignment", "carrier", a.service, "epoch", held.Epoch+1, "members", len(a.targetMembers), "before", len(held.Members))
-		return &meshpb.Assignment{Carrier: a.service, Epoch: held.Epoch + 1, Members: a.targetMembers, Previous: held.Members}, true
+		s.options.Log("assignment", "carrier", a.service, "epoch", held.Epoch+1, "members", len(a.targetMembers),
+			"before", len(held.Members))
+		return &meshpb.Assignment{Carrier: a.service, Epoch: held.Epoch + 1, Members: a.targetMembers,
+			Previous: held.Members}, true
 	}
 	return next, changed
 }
 
-// clearReleased notes that a proxy's host has released what it has lost.
+// clearReleased marks a member as cleared if its proxy reports that the host has released the ranges that it lost.
 func clearReleased(next *meshpb.Assignment, q leaseRequest) bool {
 	r := q.message.LeaseRequest
 	if r.Released != next.Epoch || !slices.Contains(next.Previous, q.from) || slices.Contains(next.Cleared, q.from) {
@@ -301,7 +311,7 @@
 	return true
 }
 
-// adoptAssignment takes an assignment that was chosen, and lets the proxies know.
+// adoptAssignment takes a chosen assignment and distributes it to the proxies.
 func (s *Server) adoptAssignment(now float64, known *meshpb.Assignment) {
 	a := s.assignments.ofService(known.Carrier)
 	if a.table != nil && known.Version <= a.version() {
@@ -315,7 +325,7 @@
 	s.answerHeldPulls(now)
 }
 
-// heardAssignments takes what another server knows to be chosen.
+// handleAssignments takes over assignments that another server knows to be chosen.
 func (s *Server) handleAssignments(now float64, all []*meshpb.Assignment) {
 	for _, known := range all {
 		if s.assignments.services[known.Carrier] != nil || len(s.assignments.services) < maxServiceLists {
@@ -324,7 +334,7 @@
 	}
 }
 
-// version grows with each assignment's.
+// version is the sum of the assignments' versions. It grows whenever one of them does.
 func (a *assignments) version() (sum uint64) {
 	for _, known := range a.services {
 		sum += known.version()
@@ -332,7 +342,7 @@
 	return sum
 }
 
-// wire are the assignments that changed since a time, in order.
+// changedSince returns the assignments that changed at or after the given time, in order of service.
 func (a *assignments) changedSince(since float64) (all []*meshpb.Assignment) {
 	for _, service := range slices.Sorted(maps.Keys(a.services)) {
 		if known := a.services[service]; known.version() > 0 && known.changedAt >= since {
@@ -342,25 +352,25 @@
 	return all
 }
 
-// AssignmentState is what an operator sees of a sharded service.
+// AssignmentState is a snapshot of a sharded service's assignment for operators.
 type AssignmentState struct {
 	Service         string   `json:"carrier"`
-	Epoch           uint64   `json:"epoch"` // the fence of what is granted
+	Epoch           uint64   `json:"epoch"` // fencing token of the grants
 	EpochAgeSeconds float64  `json:"epochSeconds"`
 	Members         int      `json:"members"`
-	Wanted          int      `json:"wanted"`     // members that the hosts known here make
-	Waiting         []string `json:"waitingFor"` // former members that have not released what they lost
+	Wanted          int      `json:"wanted"`     // number of members that follow from the hosts known here
+	Waiting         []string `json:"waitingFor"` // former members that have not released the ranges that they lost
 }
 
-// state is what is known of the sharded services, in order. It is not read anew.
+// state returns a snapshot of the assignments as this server knows them, without a read of the registers.
 func (a *assignments) state(now float64) (all []AssignmentState) {
 	for _, service := range slices.Sorted(maps.Keys(a.services)) {
 		known := a.services[service]
 		if known.table == nil {
 			continue
 		}
-		all = append(all, AssignmentState{Service: service, Epoch: known.epoch(), EpochAgeSeconds: now - known.epochAt, Members: len(known.table.Members),
-			Wanted: len(known.targetMembers), Waiting: known.table.AwaitedMembers()})
+		all = append(all, AssignmentState{Service: service, Epoch: known.epoch(), EpochAgeSeconds: now - known.epochAt,
+			Members: len(known.table.Members), Wanted: len(known.targetMembers), Waiting: known.table.AwaitedMembers()})
 	}
 	return all
 }
--- a/internal/mesh/control/catchup_test.go
+++ b/internal/mesh/control/catchup_test.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// A server that knows nothing asks for everything with each digest, and for a newer configuration with each that tells of it. Neither is
-// sent again and again while it is on its way; one that has started again gets it at once.
+// A server that knows nothing asks for everything with each digest, and for a newer configuration with each that tells of it.
+// Neither is sent again and again while it is on its way; one that has started again gets it at once.
 func TestLargeAnswersAreNotSentAgainAtOnce(t *testing.T) {
 	_, _, members := joinerAndMembers()
 	s := startServer(t, members[0], diskContents(members[0], view.Initial(9, members)))
--- a/internal/mesh/control/ejection.go
+++ b/internal/mesh/control/ejection.go
@@ -13,44 +13,44 @@
 	"beechwing/internal/mesh/rendezvous"
 )
 
-// The ejections of a service stand in one register, so that the bound on how many hosts of it may be out holds whoever writes. The
-// home of that register judges; any server takes an operator's order. Observations go to all servers, so the next in order can judge
-// when the home is silent.
+// The ejections of each service are stored in one register, so the limit on ejected hosts holds whichever server writes. The
+// first member in rendezvous order that is not silent decides on ejections; any server takes an operator's order. All servers
+// receive all observations, so the next member in order can take over.
 
 const (
-	decisionInterval = 0.05 // seconds
-	maxServiceLists  = 1024
+	decisionInterval = 0.05 // seconds between decisions
+	maxServiceLists  = 1024 // services whose ejections, or whose assignments, are tracked
 )
 
-// ejectionList is a service's hosts that are out, as this server knows them.
+// ejectionList is what this server knows of a service's ejections.
 type ejectionList struct {
 	version uint64
 	entries []ejection.Ejection
-	busy    bool // a write is under way
-	read    bool // the register has been read in this life
+	busy    bool // a read or write of the register is in progress
+	read    bool // the register has been read since the process started
 }
 
 type ejections struct {
 	votes          ejection.Votes
 	lists          map[string]*ejectionList // by service
-	newReports     []*meshpb.Report         // for the others, since the last digest
-	accused        []string                 // the accused hosts that proxies were asked about last
+	newReports     []*meshpb.Report         // reports for the other servers, since the last digest
+	accused        []string                 // the accused hosts that proxies were last asked about
 	nextDecisionAt float64
 }
 
 func (e *ejections) init() { e.lists = map[string]*ejectionList{} }
 
-// listKey names the register of a service's list.
+// ejectionsKey returns the key of the register of a service's ejections.
 func ejectionsKey(service string) string { return register.Permanent("ejections\x00" + service) }
 
-// heardObservations takes what an observer says.
+// recordObservations records an observer's observations. tell passes them on to the other servers.
 func (s *Server) recordObservations(now float64, observer string, observations []*meshpb.Observation, tell bool) {
 	if len(observations) == 0 {
 		return
 	}
 	all := make([]ejection.Observation, 0, len(observations))
-	for _, message := range observations {
-		all = append(all, ejection.Observation{Host: message.Station, Good: int(message.Good), Bad: int(message.Bad)})
+	for _, o := range observations {
+		all = append(all, ejection.Observation{Host: o.Station, Good: int(o.Good), Bad: int(o.Bad)})
 	}
 	s.ejections.votes.Record(now, observer, all)
 	if tell {
@@ -59,7 +59,7 @@
 	}
 }
 
-// hostsOf are the counted hosts of a service: listed and not leaving.
+// hostsOf returns the hosts of a service that are listed and not leaving.
 func (s *Server) hostsOf(service string) (hosts []string) {
 	for _, r := range s.propagation.records {
 		if r.Carrier == service && r.Station != "" && r.Condition == meshpb.AtDock {
@@ -70,7 +70,8 @@
 	return hosts
 }
 
-// judges says whether this server is the one to judge a service: the first in order that is not silent.
+// isEjectionCoordinator reports whether this server decides on a service's ejections: it is the first member in rendezvous order
+// that is not silent.
 func (s *Server) isEjectionCoordinator(now float64, service string) bool {
 	for _, m := range rendezvous.Order(ejectionsKey(service), s.view().RetainedAddresses()) {
 		if m == s.options.Self {
@@ -94,7 +95,7 @@
 	return list
 }
 
-// tickEjections judges what it is this server's to judge, and asks proxies about hosts that are newly accused.
+// tickEjections decides for the services that this server coordinates, and asks proxies about newly accused hosts.
 func (s *Server) tickEjections(now float64) {
 	if now < s.ejections.nextDecisionAt || !s.canCommit(now) {
 		return
@@ -110,7 +111,7 @@
 	for _, r := range s.propagation.records {
 		services[r.Carrier] = true
 	}
-	delete(services, "") // a proxy that has not heard of its host
+	delete(services, "") // a proxy that does not know its host's service yet
 	for _, service := range slices.Sorted(maps.Keys(services)) {
 		list := s.ejectionList(service)
 		idle := list.read && len(accused) == 0 && len(list.entries) == 0
@@ -120,7 +121,9 @@
 		switch {
 		case list.busy:
 		case !list.read:
-			s.updateEjections(now, service, func(held []ejection.Ejection) ([]ejection.Ejection, bool) { return held, false }, nil)
+			s.updateEjections(now, service, func(held []ejection.Ejection) ([]ejection.Ejection, bool) {
+				return held, false
+			}, nil)
 		case len(accused) > 0 || len(list.entries) > 0:
 			if _, changed := s.ejections.votes.Decide(now, s.hostsOf(service), list.entries); changed {
 				s.updateEjections(now, service, func(held []ejection.Ejection) ([]ejection.Ejection, bool) {
@@ -131,8 +134,9 @@
 	}
 }
 
-// changeEjections changes what is in force for a service.
-func (s *Server) updateEjections(now float64, service string, edit func(held []ejection.Ejection) (next []ejection.Ejection, write bool), done func(ok bool)) {
+// updateEjections reads a service's register and writes the ejections that edit returns.
+func (s *Server) updateEjections(now float64, service string,
+	edit func(held []ejection.Ejection) (next []ejection.Ejection, write bool), done func(ok bool)) {
 	list := s.ejectionList(service)
 	list.busy = true
 	var wrote []ejection.Ejection
@@ -162,8 +166,8 @@
 	})
 }
 
-// merge reads what a register held. How long ago it was written is not known: of an ejection that this server knows its own time holds, of
-// another nothing is left of the term, so that nothing stays out because nobody knows since when.
+// decodeHeldEjections decodes a register's value, whose age is unknown. An ejection that this server knows keeps the end known
+// here. Any other counts as ended, so that no host stays ejected because the start of its ejection is unknown.
 func (s *Server) decodeHeldEjections(now float64, list *ejectionList, body []byte) (entries []ejection.Ejection) {
 	message := &meshpb.EjectionList{}
 	if proto.Unmarshal(body, message) != nil {
@@ -180,7 +184,7 @@
 	return entries
 }
 
-// adoptEjections takes a newer version of what is in force, and lets the proxies know.
+// adoptEjections takes a newer version of a service's ejections and distributes it to proxies and other servers.
 func (s *Server) adoptEjections(now float64, service string, version uint64, entries []ejection.Ejection) {
 	list := s.ejectionList(service)
 	if version <= list.version {
@@ -189,13 +193,13 @@
 	list.version, list.entries = version, entries
 	s.propagation.changed, s.propagation.nextDigestAt = true, 0
 	for _, r := range entries {
-		s.options.Log("ejection", "carrier", service, "station", r.Host, "out", r.InForce(now), "count", r.Count, "by", r.By, "why", r.Why,
-			"against", r.Against, "observers", r.Observers)
+		s.options.Log("ejection", "carrier", service, "station", r.Host, "out", r.InForce(now), "count", r.Count,
+			"by", r.By, "why", r.Why, "against", r.Against, "observers", r.Observers)
 	}
 	s.answerHeldPulls(now)
 }
 
-// version grows with each list's.
+// version is the sum of the lists' versions. It grows whenever one of them does.
 func (e *ejections) version() (sum uint64) {
 	for _, list := range e.lists {
 		sum += list.version
@@ -215,7 +219,8 @@
 func ejectionListToWire(now float64, service string, version uint64, entries []ejection.Ejection) *meshpb.EjectionList {
 	message := &meshpb.EjectionList{Carrier: service, Version: version}
 	for _, r := range entries {
-		message.Ejections = append(message.Ejections, &meshpb.Ejection{Station: r.Host, LeftMs: uint32(max(0, r.Until-now) * 1000),
+		message.Ejections = append(message.Ejections, &meshpb.Ejection{Station: r.Host,
+			LeftMs:  uint32(max(0, r.Until-now) * 1000),
 			EndedMs: uint32(min(1e6, max(0, now-r.Until)) * 1000), Count: uint32(r.Count), Hand: r.Manual, By: r.By, Why: r.Why,
 			Against: uint32(r.Against), Witnesses: uint32(r.Observers)})
 	}
@@ -231,7 +236,7 @@
 		Against: int(r.Against), Observers: int(r.Witnesses)}
 }
 
-// heardEjections takes what another control process knows to be in force.
+// handleEjections takes over newer lists from another server.
 func (s *Server) handleEjections(now float64, lists []*meshpb.EjectionList) {
 	for _, message := range lists {
 		if list := s.ejectionList(message.Carrier); message.Version > list.version {
@@ -244,13 +249,14 @@
 	}
 }
 
-// ErrNoHost tells that no host of that name is known.
+// ErrNoHost is returned for a host that is not known.
 var ErrNoHost = errors.New("no such host is known")
 
-// ErrNoMajority tells that an order could not be written.
+// ErrNoMajority is returned for an order that could not be written.
 var ErrNoMajority = errors.New("no majority of the control processes can be reached from here now")
 
-// OrderEjection takes a host out by hand, or back, for all proxies and over restarts.
+// OrderEjection ejects a host by an operator's order, or ends its ejection. The order applies to all proxies and persists over
+// restarts.
 func (s *Server) OrderEjection(now float64, host string, out, force bool, by, reason string, answer func(error)) {
 	service := ""
 	for _, r := range s.propagation.records {
@@ -259,7 +265,7 @@
 		}
 	}
 	if service == "" {
-		for name, list := range s.ejections.lists { // one that is gone can be called back
+		for name, list := range s.ejections.lists { // the ejection of a host that has gone can still be ended
 			if slices.ContainsFunc(list.entries, func(r ejection.Ejection) bool { return r.Host == host }) {
 				service = name
 			}
--- a/internal/mesh/control/homed.go
+++ b/internal/mesh/control/homed.go
@@ -8,34 +8,35 @@
 	"beechwing/internal/mesh/view"
 )
 
-// After a change of view this server asks a majority of the members which keys they hold from earlier epochs whose home it is by now, so
-// that claims of all other keys take one round trip again (register.HomedKeyHashes). Until it knows, its claims take two.
+// The home of a key is the member that normally proposes for it. After a change of view this server asks a majority of the
+// members for the keys from earlier epochs whose home it has become. It has to prepare ballots for these keys; claims of all
+// other keys take one round trip again (register.HomedKeyHashes). Until the answers are complete, all its claims take two round trips.
 
-// homedAgain is how many seconds a member has to answer before it is asked again, and the next one beside it. Larger: after a loss claims
-// take two round trips for longer. Smaller: a busy member looks through its registers twice.
+// homedRetryAfter is the number of seconds after which a member that has not answered is asked again, and one more member with
+// it. Larger: claims take two round trips for longer after a loss. Smaller: a busy member scans its registers twice.
 const homedRetryAfter = 0.4
 
-// homedSource is a member that is asked.
+// homedSource is a member that is asked for its keys.
 type homedSource struct {
 	life        uint32
 	position    uint64
 	requestedAt float64
-	requestID   uint64 // of the open question
+	requestID   uint64 // of the open request
 	done        bool
 }
 
-// homedReading is what was read of the present epoch.
+// homedState is the progress of the reading in the present epoch.
 type homedState struct {
 	sources   map[string]*homedSource // by address
 	startedAt float64
 }
 
-// viewChanged has everything asked anew.
+// viewChanged restarts the reading.
 func (h *homedState) viewChanged(now float64) {
 	*h = homedState{sources: map[string]*homedSource{}, startedAt: now}
 }
 
-// tickHomed asks as many others as make a majority, and one more for each that has not answered in time.
+// tickHomed asks as many other members as make a majority with this server, and one more for each that has not answered in time.
 func (s *Server) tickHomed(now float64) {
 	if !s.Voting() || s.view().Joint() || s.membership.epochSettled || s.registers.KnowsHomedKeys() {
 		return
@@ -65,11 +66,12 @@
 func (s *Server) sendHomedRequest(now float64, address string, from *homedSource) {
 	s.lastID++
 	from.requestID, from.requestedAt = s.lastID, now
-	s.send(address, &meshpb.Message{Id: from.requestID, HomedRequest: &meshpb.HomedRequest{SourceLife: from.life, Position: from.position}})
+	s.send(address, &meshpb.Message{Id: from.requestID,
+		HomedRequest: &meshpb.HomedRequest{SourceLife: from.life, Position: from.position}})
 }
 
-// heardHomedRequest answers once the disk has the view: who asks counts on this server to take part in no older ballot any more, also
-// after a loss of power.
+// handleHomedRequest answers once the view is on disk: the sender relies on this server never again taking part in an older
+// ballot, even after a power loss.
 func (s *Server) handleHomedRequest(from string, id uint64, r *meshpb.HomedRequest) {
 	if !s.Voting() || s.view().Joint() {
 		return
@@ -83,7 +85,7 @@
 	s.effects.After = append(s.effects.After, after(from, &meshpb.Message{Id: id, Homed: answer}))
 }
 
-// heardHomed takes the answer to the question that is open. A member that has started again tells all from the beginning.
+// handleHomed processes the answer to the open request. A member that has restarted sends its keys from the beginning.
 func (s *Server) handleHomed(now float64, member view.Member, id uint64, h *meshpb.Homed) {
 	from := s.homed.sources[member.Address]
 	if from == nil || from.requestID != id || from.done || !slices.Contains(s.view().Members, member) {
--- a/internal/mesh/control/homed_test.go
+++ b/internal/mesh/control/homed_test.go
@@ -36,8 +36,8 @@
 	home.work()
 }
 
-// A member is exchanged for one at another address, twice. Within catchUpS of each change, claims of new keys take one round trip; keys
-// that were claimed before are prepared, and stay whose they are.
+// A member is exchanged for one at another address, twice. Within catchUpS of each change, claims of new keys take one round
+// trip; keys that were claimed before are prepared, and stay whose they are.
 func TestClaimsTakeOneRoundTripAfterAChange(t *testing.T) {
 	const keys, catchUp = 60, 4.0
 	for seed := range uint64(10) {
--- a/internal/mesh/control/propagation.go
+++ b/internal/mesh/control/propagation.go
@@ -8,22 +8,22 @@
 	"beechwing/internal/mesh/view"
 )
 
-// Proxies pull what they lack by a vector of versions, one for each source. Servers tell each other at once what is new, in digests
-// that are their heartbeats too, and compare everything they know every few seconds.
+// Proxies pull the records that they lack, according to a version vector with one entry for each source. Control servers send
+// each other changes at once, in the digests that also serve as heartbeats, and send all records to each other every few seconds.
 
 const (
-	digestIntervalNoContact = 0.06 // seconds between digests while no quorum is in reach
-	digestInterval          = 0.25 // and at least else
-	fullSyncInterval        = 3.0  // seconds between comparisons of everything with all other members
-	fullResendAfter         = 0.5  // seconds until everything is sent again to one that asks for it: what was sent may be on its way
-	silentAfter             = 7.0  // seconds after which a proxy that nobody has heard of takes no requests
-	pullHoldTimeout         = 0.7  // seconds after which a pull that lacks nothing is answered at the latest
-	informTimeout           = 0.6  // seconds in contact after which a server that just came tells what it knows, whatever that is
-	maxHeldPulls            = 4096 // pulls
+	digestIntervalNoContact = 0.06 // seconds between digests while no quorum is reachable
+	digestInterval          = 0.25 // seconds between digests otherwise, unless a change makes one due at once
+	fullSyncInterval        = 3.0  // seconds within which each other member is sent a full digest
+	fullResendAfter         = 0.5  // seconds before another full digest is sent to a member that asks: the last may be on its way
+	silentAfter             = 7.0  // seconds without word of a proxy, on any server, after which its host gets no requests
+	pullHoldTimeout         = 0.7  // seconds after which a pull is answered even if the proxy lacks nothing
+	informTimeout           = 0.6  // seconds in contact after which a new server answers pulls with the records it has
+	maxHeldPulls            = 4096
 	maxSources              = 8192
 )
 
-// heldPull is a pull that waits for something new.
+// heldPull is a pull that waits for a change.
 type heldPull struct {
 	from  string
 	id    uint64
@@ -33,18 +33,18 @@
 }
 
 type propagation struct {
-	records        map[string]*meshpb.Record // tombstones too
-	lastHeard      map[string]float64        // when a source was last heard of, by anybody
-	heardDirectly  map[string]bool           // heard here since the last digest
+	records        map[string]*meshpb.Record // by source; includes tombstones
+	lastHeard      map[string]float64        // by source: when any server last heard of it
+	heardDirectly  map[string]bool           // sources heard by this server since its last digest
 	heldPulls      []heldPull
-	changed        bool             // something has come since the pulls were looked through
+	changed        bool             // something changed since the held pulls were last checked
 	newRecords     []*meshpb.Record // since the last digest
 	nextDigestAt   float64
 	nextFullSyncAt float64
 	fullSyncTurn   int
-	wantFull       bool    // another server's records are asked for
-	informed       bool    // they have come, or nobody had any
-	contactSince   float64 // when a quorum was first in reach
+	wantFull       bool    // this server asks the others for a full digest
+	informed       bool    // a full digest has arrived, or informTimeout has passed
+	contactSince   float64 // when a quorum was first reachable
 	tombstones     tombstones
 }
 
@@ -54,7 +54,8 @@
 	p.wantFull = true
 }
 
-// learn takes a record if it is newer than what is known of its source.
+// learnRecord takes a record if it is newer than the known one of its source. tell makes this server pass the record on in its
+// next digest and answer held pulls at once.
 func (s *Server) learnRecord(now float64, r *meshpb.Record, tell bool) {
 	p := &s.propagation
 	old := p.records[r.Source]
@@ -63,7 +64,7 @@
 	}
 	p.records[r.Source], p.changed = r, true
 	s.trackSource(now, r)
-	if !tell { // another server's digest says so: what it brings is looked through as a whole
+	if !tell { // the record came in another server's digest: handleDigest answers pulls after the whole digest
 		return
 	}
 	p.newRecords = append(p.newRecords, r)
@@ -86,21 +87,21 @@
 	}
 }
 
-// behind says that what is known here may be old: proxies had better ask another.
+// mayBeStale reports whether the data of this server may be out of date, so that proxies should ask another server.
 func (s *Server) mayBeStale(now float64) bool {
 	c := &s.configuration
 	return !s.Voting() || !s.inContact(now) || !c.confirmed || c.chosenVersion() < c.newestKnown || !s.propagation.informed
 }
 
-// answerPull tells a proxy what it lacks. Where that is nothing it is told so only if it must be. A server that is behind tells
-// nothing but whom to ask.
+// answerPull sends a proxy what it lacks, and reports whether it has answered. If the proxy lacks nothing, it is answered only
+// with force. A server whose data may be stale sends the list of servers only.
 func (s *Server) answerPull(now float64, held heldPull, force bool) bool {
 	update := &meshpb.Update{Servers: s.view().RetainedAddresses(), FromServer: true, Epoch: s.view().Epoch}
 	if update.Alone = s.mayBeStale(now); !update.Alone {
 		s.fillUpdate(now, update, held.pull)
 		nothing := len(update.Records) == 0 && update.Edition == 0 && update.EjectionsVersion == 0 &&
 			len(update.Assignments) == 0
-		if nothing && !force && !s.hasUnreportedAccused(held.pull) {
+		if nothing && !force && !s.hasUnaskedAccused(held.pull) {
 			return false
 		}
 	} else if !force {
@@ -134,7 +135,7 @@
 	update.Silent = s.silentSources(now)
 }
 
-// silentSources are the proxies of which nobody has heard for long, in order.
+// silentSources returns the proxies that no server has heard of for silentAfter, in order.
 func (s *Server) silentSources(now float64) (sources []string) {
 	for source, at := range s.propagation.lastHeard {
 		if now > at+silentAfter {
@@ -145,14 +146,14 @@
 	return sources
 }
 
-// asks says whether a proxy is to be asked about an accused host of which it has not spoken.
-func (s *Server) hasUnreportedAccused(pull *meshpb.Pull) bool {
+// hasUnaskedAccused reports whether there is an accused host of which the proxy has not been asked yet for its observations.
+func (s *Server) hasUnaskedAccused(pull *meshpb.Pull) bool {
 	return slices.ContainsFunc(s.ejections.accused, func(host string) bool {
 		return !slices.Contains(pull.Accused, host)
 	})
 }
 
-// wake answers the proxies that lack something by now.
+// answerHeldPulls answers the held pulls that are due or lack something by now.
 func (s *Server) answerHeldPulls(now float64) {
 	p := &s.propagation
 	changed, stale := p.changed, s.mayBeStale(now)
@@ -166,7 +167,7 @@
 func (s *Server) handleDigest(now float64, from view.Member, d *meshpb.Digest) {
 	p := &s.propagation
 	if known := s.contact.peers[from.Address]; known != nil && now > known.heardAt+contactTimeout {
-		p.nextDigestAt = 0 // one that comes back, or comes first: it hears from here at once
+		p.nextDigestAt = 0 // a new or returning member: it is sent a digest at once
 	}
 	if !s.recordDigest(now, from, d) {
 		return
@@ -195,7 +196,8 @@
 	s.answerHeldPulls(now)
 }
 
-// answerWantWhole sends everything to a member that knows nothing yet. It asks with each digest until something has come.
+// answerFullRequest sends a full digest to a member that has no records yet. Such a member asks in each of its digests until one
+// arrives.
 func (s *Server) answerFullRequest(now float64, to string) {
 	known := s.contact.peers[to]
 	if known == nil || len(s.propagation.records) == 0 || known.fullSentAt > 0 && now < known.fullSentAt+fullResendAfter {
@@ -205,7 +207,7 @@
 	s.sendFull(now, to)
 }
 
-// tickPropagation tells the others what is new, and forgets whom nobody has heard of.
+// tickPropagation sends digests to the other members and tombstones sources that have gone.
 func (s *Server) tickPropagation(now float64) {
 	p := &s.propagation
 	s.updateInformed(now)
@@ -229,7 +231,7 @@
 	s.tickTombstones(now)
 }
 
-// inform decides when a server that just came, and may know of nobody, answers proxies.
+// updateInformed decides when a newly started server, which may lack records, starts to answer pulls.
 func (s *Server) updateInformed(now float64) {
 	p := &s.propagation
 	if p.informed || !s.inContact(now) {
@@ -243,13 +245,13 @@
 	}
 }
 
-// digest is what each one holds.
+// newDigest returns a digest with the fields that every digest has.
 func (s *Server) newDigest(now float64) *meshpb.Digest {
 	return &meshpb.Digest{Sequence: s.nextDigestSequence(now), Life: s.options.Life, Echoes: s.echoes(), Config: s.configState(),
 		Leaving: s.membership.leaving}
 }
 
-// compare sends everything to one of the others, by turns.
+// sendFullToNext sends a full digest to one of the other members in turn.
 func (s *Server) sendFullToNext(now float64) {
 	p := &s.propagation
 	others := slices.DeleteFunc(slices.Clone(s.view().Addresses()), func(a string) bool { return a == s.options.Self })
--- a/internal/mesh/control/tombstone.go
+++ b/internal/mesh/control/tombstone.go
@@ -6,27 +6,26 @@
 	"beechwing/internal/mesh/meshpb"
 )
 
-// A source of which nobody has heard for long is forgotten: its record gives way to a tombstone of a higher
-// version, which goes the way of all records. So it leaves every list, and no older copy that a proxy or
-// another server still has brings it back. A proxy that lives after all is told its own tombstone, and tells
-// a record of a higher version.
+// A source of which no server has heard for long is forgotten: a tombstone of a higher version replaces its record and spreads
+// like any record. The source thereby leaves all lists, and older copies of its record on proxies or other servers cannot bring
+// it back. A proxy that is alive after all receives its own tombstone and publishes a record of a higher version.
 //
-// Tombstones are only in memory. A source that a proxy names and that is not known here, as after a restart of
-// all servers, is forgotten like any other if it does not speak.
+// Tombstones are kept in memory only. A source that a proxy names and this server does not know, for example after a restart of
+// all servers, is forgotten like any other if nothing is heard of it.
 
-// forgetAfter is how many seconds nobody has to have heard of a source for it to be forgotten.
+// tombstoneAfter is the number of seconds without word of a source, on any server, after which it is forgotten.
 const tombstoneAfter = 30.0
 
-// forgotten is what a server knows of sources that are forgotten, or may have to be.
+// tombstones tracks the sources that were forgotten or may have to be.
 type tombstones struct {
-	createdAt     map[string]float64 // by source with a tombstone: when it was forgotten
-	namedVersions map[string]uint64  // versions that proxies have and that are not known here
-	hearsAllSince float64            // since when this server hears all members that anybody hears; 0: it does not
+	createdAt     map[string]float64 // by forgotten source: when it was forgotten
+	namedVersions map[string]uint64  // by source: newest version that proxies have, if it is newer than the one here
+	hearsAllSince float64            // since when this server hears every member that any member hears; 0: it does not
 }
 
 func (t *tombstones) init() { t.createdAt, t.namedVersions = map[string]float64{}, map[string]uint64{} }
 
-// rememberSource notes, of a record that was taken, since when its source is there or is forgotten.
+// trackSource updates what is tracked of a source after its record or tombstone was taken.
 func (s *Server) trackSource(now float64, r *meshpb.Record) {
 	p := &s.propagation
 	if p.tombstones.namedVersions[r.Source] <= r.Version {
@@ -43,8 +42,8 @@
 	}
 }
 
-// heardNamed takes which versions a proxy has. Of a source with a newer version than is known here the time to
-// be forgotten begins to run: the server that knew it may be no more.
+// recordSeenVersions processes the versions that a proxy has. A source with a newer version than the one here counts as heard now
+// if it is not tracked yet, and is forgotten after tombstoneAfter: the server that knew it may be gone.
 func (s *Server) recordSeenVersions(now float64, all []*meshpb.Seen) {
 	p := &s.propagation
 	for _, seen := range all {
@@ -62,8 +61,8 @@
 	}
 }
 
-// heardSilent takes which of the sources that another server tells of are silent: here they are too, where
-// nothing is known of them.
+// recordSilentSources takes over which sources another server considers silent. A source that is unknown here becomes silent here
+// too.
 func (s *Server) recordSilentSources(now float64, d *meshpb.Digest) {
 	for _, r := range d.Records {
 		if s.propagation.records[r.Source] == nil && slices.Contains(d.Silent, r.Source) {
@@ -72,7 +71,7 @@
 	}
 }
 
-// tickForgotten forgets sources, and drops tombstones that are too old.
+// tickTombstones forgets sources and drops expired tombstones.
 func (s *Server) tickTombstones(now float64) {
 	p := &s.propagation
 	for source, at := range p.tombstones.createdAt {
@@ -95,8 +94,8 @@
 	}
 }
 
-// hearsAll says whether this server would hear of any proxy that speaks to a member: a quorum is in reach, and
-// it hears each member that any other hears.
+// hearsAll reports whether this server would hear of any proxy that is in touch with a member: a quorum is reachable, and this
+// server hears every member that any other member hears.
 func (s *Server) hearsAll(now float64) bool {
 	if !s.inContact(now) {
 		return false
@@ -110,7 +109,7 @@
 	return true
 }
 
-// forget puts a tombstone in place of what is known of a source.
+// putTombstone replaces the record of a source by a tombstone.
 func (s *Server) putTombstone(now float64, source string) {
 	p := &s.propagation
 	named := p.tombstones.namedVersions[source]
@@ -124,7 +123,7 @@
 	s.learnRecord(now, meshpb.NewTombstone(source, max(named, r.GetVersion())), true)
 }
 
-// aged is a record to be told to others.
+// aged returns a record for sending. A tombstone states for how long its source has been forgotten.
 func (s *Server) aged(now float64, r *meshpb.Record) *meshpb.Record {
 	return r.Aged(now - s.propagation.tombstones.createdAt[r.Source])
 }
