--- a/internal/mesh/sharding/lease.go
+++ b/internal/mesh/sharding/lease.go
@@ -1,26 +1,28 @@
 package sharding
 
-// A host holds its keys by leases. A lease counts from when the question was sent whose answer it rests on, by the clock of the proxy
-// beside the host, so it does not matter how long the answer took. Times are in seconds.
+// A host holds its keys under leases. A lease starts when the proxy beside the host sends the lease request, by the proxy's
+// clock, so the time until the answer does not extend it. All times are in seconds.
 const (
-	// holdMost is how long a host holds keys that are granted once. Larger: the keys of a machine that is gone are without a holder for
-	// longer. Smaller: more is renewed, and a shorter time without a quorum stops the service.
+	// maxHoldSeconds is how long one grant lets a host hold its keys. Larger: the keys of a lost machine have no holder for
+	// longer. Smaller: grants are renewed more often, and a shorter loss of the quorum interrupts the service.
 	maxHoldSeconds = 6.0
 
-	// RenewIntervalSeconds is the time between two questions for a lease. A third of a hold: two of them may go unanswered.
+	// RenewIntervalSeconds is the time between two lease requests. At a third of a hold, two requests may go unanswered.
 	RenewIntervalSeconds = maxHoldSeconds / 3
 
-	// GrantMaxAgeSeconds is how old a question may be for its answer to be granted on: what waited longer, as in a frozen process, is not sent.
+	// GrantMaxAgeSeconds is the greatest age of a lease request whose answer may still be granted to the host. An answer that
+	// waited longer, for example in a frozen process, is not passed on.
 	GrantMaxAgeSeconds = 0.8
 
-	slowestClockRate      = 0.98 // of a host, beside true time
-	grantRoundTripSeconds = 0.5  // for the way of a grant to the host, and back
+	slowestClockRate      = 0.98 // of a host's clock, relative to true time
+	grantRoundTripSeconds = 0.5  // for sending a grant to the host and receiving the reply
 
-	// marginAtProxy is by how much sooner than the host the proxy beside it takes a hold for over.
+	// proxyMarginSeconds is how much earlier than the host the proxy beside it treats a hold as expired.
 	proxyMarginSeconds = 0.2
 )
 
-// HoldSeconds is for how long keys are granted at once. most is what the hosts allow; 0: they have not said.
+// HoldSeconds returns how long one grant lets a host hold its keys. maxSeconds is the limit that the hosts declare; 0: none is
+// declared.
 func HoldSeconds(maxSeconds float64) float64 {
 	if maxSeconds <= 0 {
 		return maxHoldSeconds
@@ -28,10 +30,11 @@
 	return min(maxHoldSeconds, maxSeconds)
 }
 
-// UsableSeconds is for how long after the question a proxy has requests begin on keys that were granted on its answer.
+// UsableSeconds returns how long after the lease request a proxy lets requests start on the granted keys.
 func UsableSeconds(maxSeconds float64) float64 { return HoldSeconds(maxSeconds) - proxyMarginSeconds }
 
-// LeaseSeconds is how long after its question a lease has run out everywhere, whatever the grant's way and the host's clock.
+// LeaseSeconds returns the time after the lease request at which the lease has expired everywhere, whatever the delay of the
+// grant and the error of the host's clock.
 func LeaseSeconds(maxSeconds float64) float64 {
 	return GrantMaxAgeSeconds + HoldSeconds(maxSeconds)/slowestClockRate + grantRoundTripSeconds
 }
--- a/internal/mesh/sharding/sharding.go
+++ b/internal/mesh/sharding/sharding.go
@@ -1,12 +1,14 @@
-// Package sharding says which host of a service holds which keys.
+// Package sharding computes which host of a service holds which keys. The main type is Table, made by NewTable from an assignment
+// that the control servers agreed on; lease.go has the durations of the leases under which hosts hold their keys.
 //
-// A service's keys are cut into ranges of equal size. Which member holds a range follows from the members alone, by rendezvous hashing
-// with bounded loads, so everybody computes the same and nothing is stored but the members. A member is a machine, named by the address
-// of the proxy on it: the host there can be reached through that proxy only, whichever life of it runs.
+// The keys of a service are divided into ranges of equal size. The holder of a range follows from the list of members by
+// rendezvous hashing with bounded loads, so every process computes the same holders and only the members have to be stored. A
+// member is a machine, named by the address of the proxy on it. The host on the machine can be reached through that proxy only,
+// also after either process has restarted.
 //
-// Members change in epochs. In an epoch a member that loses a range to another one releases it first; a member that gains it waits for
-// that, or until every lease of the epoch before has run out. The next epoch begins only when no member waits any more, so of each range
-// there is at most one earlier holder to wait for.
+// Members change in epochs. In a new epoch a member that loses a range releases it first, and the member that gains the range
+// waits for the release or until all leases of the previous epoch have expired. The next epoch starts only when no member waits
+// any more, so a range has at most one earlier holder to wait for.
 package sharding
 
 import (
@@ -20,58 +22,60 @@
 )
 
 const (
-	// Keys is the number of keys of a service, Ranges that of its ranges. More ranges: the load of busy keys that are close to one another
-	// is spread over more hosts. Fewer: less has to be renewed.
+	// Keys is the number of keys of a service, and Ranges the number of its ranges. More ranges: the load of neighbouring busy
+	// keys is spread over more hosts. Fewer: there is less to renew.
 	Keys         = 1 << 16
 	Ranges       = 1024
 	keysPerRange = Keys / Ranges
 
-	// loadSlack is by how much a member may hold more ranges than the mean. Larger: fewer ranges move when members change. Smaller: the
-	// members are loaded more evenly.
+	// maxLoadFactor bounds the number of ranges of a member, as a multiple of the mean. Larger: fewer ranges move when members
+	// change. Smaller: the load is more even.
 	maxLoadFactor = 1.25
 )
 
-// RegisterName is the name under which a service's assignment is kept, and by which its coordinator is chosen.
+// RegisterName returns the name of the register of a service's assignment. The name also selects the coordinator of the
+// assignment.
 func RegisterName(service string) string { return "assignment\x00" + service }
 
-// Range is a run of neighbouring keys.
+// Range is the index of a range of consecutive keys.
 type Range int
 
-// RangeOf is the range that a key belongs to.
+// RangeOf returns the range of a key.
 func RangeOf(key int) Range { return Range(key / keysPerRange) }
 
-// First is the least key of the range.
+// First returns the lowest key of the range.
 func (r Range) First() int { return int(r) * keysPerRange }
 
-// Last is the greatest.
+// Last returns the highest key of the range.
 func (r Range) Last() int { return r.First() + keysPerRange - 1 }
 
-// ParseKey reads a key as requests carry it.
+// ParseKey parses a key as written in requests.
 func ParseKey(text string) (key int, ok bool) {
 	n, err := strconv.ParseUint(text, 10, 16)
 	return int(n), err == nil
 }
 
-// nobody is the place in a list of members of the holder of a range that has none.
+// noMember is the member index of a range without a holder.
 const noMember = -1
 
-// Table is the assignment of an epoch with the holders that follow from it. It is immutable.
+// Table is the assignment of an epoch with the holders computed from it. It is immutable.
 type Table struct {
 	*meshpb.Assignment
-	holders, previousHolders []int // by range: places in Members and in Previous
+	holders, previousHolders []int // by range: indexes into Members and Previous
 	handovers                map[Range]string
 }
 
-// NewTable works out the holders of an assignment.
+// NewTable computes the holders of an assignment.
 func NewTable(a *meshpb.Assignment) *Table {
-	t := &Table{Assignment: a, holders: assignRanges(a.GetMembers()), previousHolders: assignRanges(a.GetPrevious()), handovers: map[Range]string{}}
+	t := &Table{Assignment: a, holders: assignRanges(a.GetMembers()), previousHolders: assignRanges(a.GetPrevious()),
+		handovers: map[Range]string{}}
 	for _, h := range a.GetHandovers() {
 		t.handovers[Range(h.Range)] = h.Token
 	}
 	return t
 }
 
-// place gives each range the member that scores highest for it among those that are not full.
+// assignRanges gives each range to the member with the highest score for it among those below the load bound.
 func assignRanges(members []string) []int {
 	holders := make([]int, Ranges)
 	if len(members) == 0 {
@@ -102,10 +106,10 @@
 	return holders
 }
 
-// Holder is the member that holds a range in this epoch; empty: there is none.
+// Holder returns the member that holds a range in this epoch; empty: there is none.
 func (t *Table) Holder(r Range) string { return memberAt(t.Members, t.holders[r]) }
 
-// PreviousHolder is the member that held a range in the epoch before.
+// PreviousHolder returns the member that held a range in the previous epoch.
 func (t *Table) PreviousHolder(r Range) string { return memberAt(t.Previous, t.previousHolders[r]) }
 
 func memberAt(members []string, at int) string {
@@ -115,16 +119,16 @@
 	return members[at]
 }
 
-// Available says whether the holder of a range may have it: nobody else held it, or whoever did has no lease of it any more.
+// Available reports whether the holder of a range may use it: there was no other holder, or that holder has no lease any more.
 func (t *Table) Available(r Range) bool {
 	previous := t.PreviousHolder(r)
 	return previous == "" || previous == t.Holder(r) || slices.Contains(t.Cleared, previous)
 }
 
-// Handover is what the former holder of a range told when it released it; empty: nothing.
+// Handover returns the token that the previous holder of a range passed on when it released the range; empty: none.
 func (t *Table) Handover(r Range) string { return t.handovers[r] }
 
-// HeldBy are the ranges of a member in this epoch.
+// HeldBy returns the ranges that a member holds in this epoch.
 func (t *Table) HeldBy(member string) (ranges []Range) {
 	for r := range Range(Ranges) {
 		if t.Holder(r) == member {
@@ -134,7 +138,7 @@
 	return ranges
 }
 
-// LostBy are the ranges that a member has to release: it held them in the epoch before, and another one holds them now.
+// LostBy returns the ranges that a member has to release: it held them in the previous epoch, and another member holds them now.
 func (t *Table) LostBy(member string) (ranges []Range) {
 	for r := range Range(Ranges) {
 		if t.PreviousHolder(r) == member && t.Holder(r) != member {
@@ -144,7 +148,7 @@
 	return ranges
 }
 
-// AwaitedMembers are the former members of which somebody else's range waits, in order.
+// AwaitedMembers returns the previous holders that have not released a range that another member gained, in order.
 func (t *Table) AwaitedMembers() (members []string) {
 	for r := range Range(Ranges) {
 		if previous := t.PreviousHolder(r); !t.Available(r) && !slices.Contains(members, previous) {
--- a/internal/mesh/view/view.go
+++ b/internal/mesh/view/view.go
@@ -1,10 +1,11 @@
-// Package view describes the membership of the control plane: which servers vote, under which epoch, and which sets of them make a
-// quorum.
+// Package view describes the membership of the control servers: which servers vote, in which epoch, and which sets of them form a
+// quorum. The main type is View; package control decides on changes of the view, and package register uses the view to count
+// votes.
 //
-// A member is an address together with the incarnation of its disk, so a server that lost its disk is another member. Views are
-// numbered by epochs. A stable view has one set of members. A joint view stands between two stable ones: it has the old and the
-// new set, and a quorum is a majority of each. Sets of adjacent views differ by one member, and a view is only ever followed by
-// the one that the register of views holds for the next epoch.
+// A member is an address together with the incarnation of its disk, so a server that lost its disk becomes another member. Each
+// view has an epoch number. A stable view has one set of members. A joint view lies between two stable views: it has the old and
+// the new set, and its quorums are majorities of both. Successive stable views differ by at most one added and one removed
+// member. The successor of a view is the one that the register of the view holds for the next epoch.
 package view
 
 import (
@@ -16,21 +17,21 @@
 	"beechwing/internal/mesh/meshpb"
 )
 
-// Member is one server with its disk.
+// Member is a control server with its disk.
 type Member struct {
 	Address     string `json:"address"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// View is the membership of one epoch. It is not changed once made.
+// View is the membership of one epoch. It is immutable.
 type View struct {
-	Mesh    uint64   // drawn when the mesh was founded: tells its disks from another mesh's
+	Mesh    uint64   // random identity of the mesh, drawn when it was founded; a disk of another mesh has another
 	Epoch   uint64   // 0: no view is known
 	Members []Member // in order of address
-	Next    []Member // of a joint view: the members of the stable view to come
+	Next    []Member // of a joint view: the members of the coming stable view
 }
 
-// Initial is the first view of a mesh.
+// Initial returns the first view of a mesh.
 func Initial(mesh uint64, members []Member) View {
 	return View{Mesh: mesh, Epoch: 1, Members: sortedByAddress(members)}
 }
@@ -49,28 +50,28 @@
 	return all
 }
 
-// Known says whether there is a view at all.
+// Known reports whether this is a view at all, and not the zero value.
 func (v View) Known() bool { return v.Epoch > 0 }
 
-// Joint says whether two sets of members share the votes.
+// Joint reports whether this is a joint view.
 func (v View) Joint() bool { return len(v.Next) > 0 }
 
-// Join begins a change: the joint view in which joiner enters, and leaver, if its address is not empty, goes.
+// Join returns the joint view that starts a change. joiner is added, and leaver is removed unless it is the zero Member.
 func (v View) Join(joiner, leaver Member) View {
 	next := slices.DeleteFunc(slices.Clone(v.Members), func(m Member) bool { return m == leaver })
 	return View{Mesh: v.Mesh, Epoch: v.Epoch + 1, Members: v.Members, Next: sortedByAddress(append(next, joiner))}
 }
 
-// Complete ends a change: the stable view of the new members.
+// Complete returns the stable view of the new members, which completes a change.
 func (v View) Complete() View { return View{Mesh: v.Mesh, Epoch: v.Epoch + 1, Members: v.Next} }
 
-// Abandon ends a change the other way: the stable view of the old members.
+// Abandon returns the stable view of the old members, which abandons a change.
 func (v View) Abandon() View { return View{Mesh: v.Mesh, Epoch: v.Epoch + 1, Members: v.Members} }
 
-// Joiner is the member that a joint view adds.
+// Joiner returns the member that a joint view adds.
 func (v View) Joiner() (joiner Member, found bool) { return firstMissing(v.Next, v.Members) }
 
-// Leaver is the member that a joint view removes.
+// Leaver returns the member that a joint view removes.
 func (v View) Leaver() (leaver Member, found bool) {
 	if !v.Joint() {
 		return Member{}, false
@@ -87,7 +88,7 @@
 	return Member{}, false
 }
 
-// All are the members of both sets, in an order that all servers agree on.
+// All returns the members of both sets, in the same order on all servers.
 func (v View) All() []Member {
 	if joiner, found := v.Joiner(); found {
 		return append(slices.Clone(v.Members), joiner)
@@ -95,13 +96,14 @@
 	return v.Members
 }
 
-// Addresses are those of all members, each once: a disk that is replaced has the address of the one before.
+// Addresses returns the addresses of all members, each once: a replaced disk has the address of its predecessor.
 func (v View) Addresses() []string { return addresses(v.All()) }
 
-// OldAddresses are those of the members before the change.
+// OldAddresses returns the addresses of the members before the change.
 func (v View) OldAddresses() []string { return addresses(v.Members) }
 
-// RetainedAddresses are the addresses of the members that belong to every set: who coordinates, and whom proxies ask.
+// RetainedAddresses returns the addresses of the members that belong to every set. One of these members coordinates, and proxies
+// send their requests to them.
 func (v View) RetainedAddresses() []string {
 	if !v.Joint() {
 		return addresses(v.Members)
@@ -119,21 +121,21 @@
 	return all
 }
 
-// Has says whether a member belongs to the view.
+// Has reports whether m is a member of the view.
 func (v View) Has(m Member) bool { return slices.Contains(v.Members, m) || slices.Contains(v.Next, m) }
 
-// Node is the number of a member in ballots of this epoch, from 1; 0: it is none.
+// Node returns the number of a member in ballots of this epoch, from 1; 0 if m is not a member.
 func (v View) Node(m Member) uint32 { return uint32(slices.Index(v.All(), m) + 1) }
 
-// Quorum says whether the members for which has is true are a quorum: a majority of each set.
+// Quorum reports whether the members for which has is true form a quorum: a majority of each set.
 func (v View) Quorum(has func(Member) bool) bool {
 	return majority(v.Members, has) && (!v.Joint() || majority(v.Next, has))
 }
 
-// OldQuorum says whether they are a majority of the members before the change.
+// OldQuorum reports whether the members for which has is true form a majority of the members before the change.
 func (v View) OldQuorum(has func(Member) bool) bool { return majority(v.Members, has) }
 
-// NewQuorum says whether they are a majority of the members after the change.
+// NewQuorum reports whether the members for which has is true form a majority of the members after the change.
 func (v View) NewQuorum(has func(Member) bool) bool { return majority(v.Next, has) }
 
 func majority(members []Member, has func(Member) bool) bool {
@@ -146,15 +148,15 @@
 	return n > len(members)/2
 }
 
-// Majority is the number of members that a quorum of a stable view has.
+// Majority returns the number of members in a quorum of a stable view.
 func (v View) Majority() int { return len(v.Members)/2 + 1 }
 
-// Equal says whether two views are the same.
+// Equal reports whether two views are the same.
 func (v View) Equal(o View) bool {
 	return v.Mesh == o.Mesh && v.Epoch == o.Epoch && slices.Equal(v.Members, o.Members) && slices.Equal(v.Next, o.Next)
 }
 
-// Wire is the view as it is sent.
+// Wire returns the protobuf message of the view.
 func (v View) Wire() *meshpb.View {
 	return &meshpb.View{Mesh: v.Mesh, Epoch: v.Epoch, Members: membersToWire(v.Members), Next: membersToWire(v.Next)}
 }
@@ -166,9 +168,10 @@
 	return all
 }
 
-// FromWire reads a view that was sent.
+// FromWire converts a protobuf message to a view.
 func FromWire(w *meshpb.View) View {
-	return View{Mesh: w.GetMesh(), Epoch: w.GetEpoch(), Members: membersFromWire(w.GetMembers()), Next: membersFromWire(w.GetNext())}
+	return View{Mesh: w.GetMesh(), Epoch: w.GetEpoch(), Members: membersFromWire(w.GetMembers()),
+		Next: membersFromWire(w.GetNext())}
 }
 
 func membersFromWire(members []*meshpb.Member) (all []Member) {
@@ -178,24 +181,24 @@
 	return all
 }
 
-// Validate says what is wrong with a view that came from elsewhere: it has members, each address once in a set, and a joint view's sets
-// differ by one member at most that comes and one that goes.
+// Validate checks a view that was received or read from disk. It must have members, each set must have an address at most once,
+// and the sets of a joint view must differ by at most one added and one removed member.
 func (v View) Validate() error {
 	if len(v.Members) == 0 {
-		return errors.New("view without members")
+		return errors.New("view has no members")
 	}
 	for _, set := range [][]Member{v.Members, v.Next} {
 		if len(addresses(set)) != len(set) {
-			return errors.Newf("view with an address twice: %v", set)
+			return errors.Newf("view lists an address twice: %v", set)
 		}
 	}
 	if v.Joint() && (countMissing(v.Next, v.Members) > 1 || countMissing(v.Members, v.Next) > 1) {
-		return errors.Newf("joint view that exchanges more than one member: %v to %v", v.Members, v.Next)
+		return errors.Newf("joint view changes more than one member: %v to %v", v.Members, v.Next)
 	}
 	return nil
 }
 
-// differences counts members of one set that the other has not.
+// countMissing counts the members of set that are not in other.
 func countMissing(set, other []Member) (n int) {
 	for _, m := range set {
 		if !slices.Contains(other, m) {
@@ -205,20 +208,20 @@
 	return n
 }
 
-// Encode is the view as it stands on disk and in its register.
+// Encode returns the view as stored on disk and in its register.
 func (v View) Encode() []byte {
 	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(v.Wire())
-	if err != nil { // a message of numbers and addresses can always be written
+	if err != nil { // cannot happen: numbers and addresses can always be marshalled
 		return nil
 	}
 	return text
 }
 
-// Decode reads what Encode wrote.
+// Decode decodes the result of Encode.
 func Decode(text []byte) (View, error) {
 	w := &meshpb.View{}
 	if err := proto.Unmarshal(text, w); err != nil {
-		return View{}, errors.Wrap(err, "view")
+		return View{}, errors.Wrap(err, "decode view")
 	}
 	return FromWire(w), nil
 }
