--- a/internal/mesh/control/catchup_test.go
+++ b/internal/mesh/control/catchup_test.go
@@ -11,7 +11,7 @@
 	"beechwing/internal/mesh/view"
 )
 
-// joinerAndMembers is a joint view of three members and a joiner, which takes the place of the last.
+// joinerAndMembers returns a joint view of three members in which the joiner replaces the last member.
 func joinerAndMembers() (joint view.View, joiner view.Member, members []view.Member) {
 	for _, address := range []string{"s0", "s1", "s2"} {
 		members = append(members, view.Member{Address: address, Incarnation: 1})
@@ -20,7 +20,7 @@
 	return view.Initial(9, members).Join(joiner, members[2]), joiner, members
 }
 
-// onDisk is what a disk holds of a server's identity and view.
+// diskContents returns the stored values of a server's identity and view.
 func diskContents(m view.Member, v view.View) map[string][]byte {
 	return map[string][]byte{nameIdentity: encodeUint64(m.Incarnation), nameView: v.Encode()}
 }
@@ -39,7 +39,8 @@
 	return slices.ContainsFunc(sends, func(s transport.Send) bool { return s.Message.SyncPage != nil })
 }
 
-// A page says that its server takes part in no older ballot. It goes when the disk has that view, and not before.
+// A sync page promises that its sender takes part in no older ballot. A page sent before the view is on disk would break that
+// promise after a power loss.
 func TestPageGoesOnceTheDiskHasTheView(t *testing.T) {
 	joint, joiner, members := joinerAndMembers()
 	s := startServer(t, members[0], diskContents(members[0], view.Initial(9, members)))
@@ -48,11 +49,11 @@
 		SyncRequest: &meshpb.SyncRequest{}})
 	out := s.TakeEffects()
 	if hasPage(out.Sends) || !hasPage(out.After) {
-		t.Fatalf("a page at once: %v, behind the disk: %v", hasPage(out.Sends), hasPage(out.After))
+		t.Fatalf("page sent before the sync of the view: %v, after it: %v", hasPage(out.Sends), hasPage(out.After))
 	}
 }
 
-// scriptedJoiner is a joiner that has asked the members for pages, by the id of its question to each.
+// scriptedJoiner returns a joiner that has asked the members for pages, and the IDs of its requests by member address.
 func scriptedJoiner(t *testing.T) (s *Server, joint view.View, members []view.Member, asked map[string]uint64) {
 	t.Helper()
 	joint, joiner, members := joinerAndMembers()
@@ -67,15 +68,15 @@
 	return s, joint, members, asked
 }
 
-// page has a member answer with all that it has: one register.
+// sendPage delivers a member's answer that it has one register and no more.
 func sendPage(s *Server, from view.Member, id, epoch uint64) {
 	held := &meshpb.Entry{Key: register.Permanent("x"), Accepted: register.Ballot{Epoch: 1, Round: 1, Node: 1, Life: 1}.Wire(),
 		Value: &meshpb.Receipt{Token: 1}}
-	s.HandleMessage(1, from.Address, &meshpb.Message{Id: id, Incarnation: from.Incarnation, Epoch: epoch, SyncPage: &meshpb.SyncPage{
-		SourceLife: 8, Position: 12, Last: true, Entries: []*meshpb.Entry{held}}})
+	s.HandleMessage(1, from.Address, &meshpb.Message{Id: id, Incarnation: from.Incarnation, Epoch: epoch,
+		SyncPage: &meshpb.SyncPage{SourceLife: 8, Position: 12, Last: true, Entries: []*meshpb.Entry{held}}})
 }
 
-// finishBatch has everything put so far on the disk, and gives the names.
+// completeWrites completes all pending writes and returns their names.
 func completeWrites(s *Server) (names []string) {
 	out := s.TakeEffects()
 	for _, p := range out.Puts {
@@ -89,7 +90,8 @@
 	return names
 }
 
-// Of a batch that is cut off any part may be on the disk: what says that everything was read goes behind what was read.
+// After a power loss any part of a batch may be on disk. So the joiner writes the marker of a complete read in a later batch than
+// the values that it read.
 func TestJoinerIsSyncedBehindWhatItRead(t *testing.T) {
 	s, joint, members, asked := scriptedJoiner(t)
 	for _, m := range members {
@@ -98,14 +100,14 @@
 	first := completeWrites(s)
 	read := slices.ContainsFunc(first, func(name string) bool { return strings.HasPrefix(name, "k.") })
 	if !read || slices.Contains(first, nameSynced) || s.Voting() {
-		t.Fatalf("first batch %v, voting %v", first, s.Voting())
+		t.Fatalf("first batch contains %v, voting is %v", first, s.Voting())
 	}
 	if second := completeWrites(s); !slices.Contains(second, nameSynced) || !s.Voting() {
-		t.Fatalf("second batch %v, voting %v", second, s.Voting())
+		t.Fatalf("second batch contains %v, voting is %v", second, s.Voting())
 	}
 }
 
-// A page that an earlier life of the joiner asked for may be the last of many: it does not count as all.
+// A page that an earlier run of the joiner asked for may be the last of many. It must not count as a complete read.
 func TestPageForAnEarlierLifeDoesNotCount(t *testing.T) {
 	s, joint, members, asked := scriptedJoiner(t)
 	for _, m := range members {
@@ -114,7 +116,7 @@
 	completeWrites(s)
 	completeWrites(s)
 	if s.Voting() {
-		t.Fatal("votes by pages that it never asked for")
+		t.Fatal("the joiner votes after pages that it did not request")
 	}
 	for _, m := range members {
 		sendPage(s, m, asked[m.Address], joint.Epoch)
@@ -122,39 +124,39 @@
 	completeWrites(s)
 	completeWrites(s)
 	if !s.Voting() {
-		t.Fatal("does not vote by pages that it asked for")
+		t.Fatal("the joiner does not vote after the pages that it requested")
 	}
 }
 
-// A server that knows nothing asks for everything with each digest, and for a newer configuration with each that tells of it.
-// Neither is sent again and again while it is on its way; one that has started again gets it at once.
+// A server without data asks for a full digest in each digest, and for a newer configuration after each digest that mentions one.
+// Both answers are large and must not be sent again while they are on their way. A restarted server gets a full digest at once.
 func TestLargeAnswersAreNotSentAgainAtOnce(t *testing.T) {
 	_, _, members := joinerAndMembers()
 	s := startServer(t, members[0], diskContents(members[0], view.Initial(9, members)))
 	s.learnRecord(1, &meshpb.Record{Source: "proxy", Version: 1}, false)
 	s.TakeEffects()
-	digest := func(now float64, life uint32, sequence uint64) (wholes, requests int) {
-		s.HandleMessage(now, "s1", &meshpb.Message{Incarnation: 1, Epoch: 1, Digest: &meshpb.Digest{Life: life, Sequence: sequence, WantWhole: true,
-			Config: &meshpb.ConfigState{ChosenVersion: 7, ChosenHash: []byte("x")}}})
+	digest := func(now float64, life uint32, sequence uint64) (fullDigests, requests int) {
+		s.HandleMessage(now, "s1", &meshpb.Message{Incarnation: 1, Epoch: 1, Digest: &meshpb.Digest{Life: life,
+			Sequence: sequence, WantWhole: true, Config: &meshpb.ConfigState{ChosenVersion: 7, ChosenHash: []byte("x")}}})
 		for _, send := range s.TakeEffects().Sends {
 			if send.Message.Digest.GetWhole() {
-				wholes++
+				fullDigests++
 			}
 			if send.Message.ConfigRequest != nil {
 				requests++
 			}
 		}
-		return wholes, requests
+		return fullDigests, requests
 	}
-	wholes, requests := 0, 0
-	for i := range 50 { // three seconds
-		w, r := digest(1+0.06*float64(i), 8, uint64(i+1))
-		wholes, requests = wholes+w, requests+r
+	fullDigests, requests := 0, 0
+	for i := range 50 { // 3 s
+		n, r := digest(1+0.06*float64(i), 8, uint64(i+1))
+		fullDigests, requests = fullDigests+n, requests+r
 	}
-	if wholes < 2 || wholes > 7 || requests < 2 || requests > 5 {
-		t.Errorf("in 3 s everything is sent %d times, the configuration asked for %d times", wholes, requests)
+	if fullDigests < 2 || fullDigests > 7 || requests < 2 || requests > 5 {
+		t.Errorf("within 3 s, %d full digests and %d configuration requests were sent", fullDigests, requests)
 	}
-	if w, _ := digest(4.01, 9, 1); w != 1 {
-		t.Errorf("to a new life of its process everything is sent %d times", w)
+	if n, _ := digest(4.01, 9, 1); n != 1 {
+		t.Errorf("after a restart of the peer, %d full digests were sent, want 1", n)
 	}
 }
--- a/internal/mesh/control/configuration_test.go
+++ b/internal/mesh/control/configuration_test.go
@@ -10,7 +10,7 @@
 	"beechwing/internal/mesh/view"
 )
 
-// An order whose number was passed over is taken under one text only.
+// An order with a skipped version is taken under one text only.
 func TestNumberThatWasPassedOverStandsForOneText(t *testing.T) {
 	order := func(held *meshpb.Config, version uint64, text string) (*meshpb.Config, OrderResult) {
 		hash := hashOf([]byte(text))
@@ -26,14 +26,15 @@
 	_, again := order(held, 2, "two")
 	_, other := order(held, 2, "another")
 	if first != OrderTaken || again != OrderTaken || other != OrderConflict {
-		t.Fatalf("told %v, again %v, another text %v", first, again, other)
+		t.Fatalf("first order: %v, repeated: %v, with another text: %v", first, again, other)
 	}
 	if held.Version != 3 || string(held.Text) != "three" {
 		t.Fatalf("in force: %d %q", held.Version, held.Text)
 	}
 }
 
-// A server learns from the others' digests that one value is chosen, while its disk has taken a newer one in between.
+// The others' digests show that a value is chosen, while this server's disk has taken a newer value. The newer value must not
+// count as chosen.
 func TestDigestsTellOfTheValueThatTheyName(t *testing.T) {
 	_, _, members := joinerAndMembers()
 	s := startServer(t, members[0], diskContents(members[0], view.Initial(9, members)))
@@ -53,6 +54,6 @@
 	s.HandleMessage(1, "s1", &meshpb.Message{Incarnation: 1, Epoch: 1, Digest: &meshpb.Digest{Sequence: 1, Life: 8,
 		Config: &meshpb.ConfigState{HeldVersion: 1, HeldBallot: ballot.Wire()}}})
 	if version := s.configuration.chosenVersion(); version > 1 {
-		t.Fatalf("version %d counts as chosen, and one server has it", version)
+		t.Fatalf("version %d counts as chosen although only one server holds it", version)
 	}
 }
--- a/internal/mesh/control/ejection.go
+++ b/internal/mesh/control/ejection.go
@@ -43,8 +43,8 @@
 // ejectionsKey returns the key of the register of a service's ejections.
 func ejectionsKey(service string) string { return register.Permanent("ejections\x00" + service) }
 
-// recordObservations records an observer's observations. tell passes them on to the other servers.
-func (s *Server) recordObservations(now float64, observer string, observations []*meshpb.Observation, tell bool) {
+// recordObservations records an observer's observations. forward passes them on to the other servers.
+func (s *Server) recordObservations(now float64, observer string, observations []*meshpb.Observation, forward bool) {
 	if len(observations) == 0 {
 		return
 	}
@@ -53,7 +53,7 @@
 		all = append(all, ejection.Observation{Host: o.Station, Good: int(o.Good), Bad: int(o.Bad)})
 	}
 	s.ejections.votes.Record(now, observer, all)
-	if tell {
+	if forward {
 		s.ejections.newReports = append(s.ejections.newReports, &meshpb.Report{Witness: observer, Observations: observations})
 		s.propagation.nextDigestAt = 0
 	}
--- a/internal/mesh/control/homed_test.go
+++ b/internal/mesh/control/homed_test.go
@@ -8,13 +8,13 @@
 	"beechwing/internal/mesh/register"
 )
 
-// claimCounter counts what claims of operations' keys take.
+// claimCounter observes the ballots and results of claims.
 type claimCounter struct {
 	prepared map[string]bool
 	states   map[uint64]register.State // by token
 }
 
-// countClaims looks at all messages of a cluster.
+// observeClaims counts claims in all messages of a cluster.
 func observeClaims(c *modelCluster) *claimCounter {
 	n := &claimCounter{prepared: map[string]bool{}, states: map[uint64]register.State{}}
 	c.dropMessage = func(_, to string, m *meshpb.Message) bool {
@@ -29,15 +29,16 @@
 	return n
 }
 
-// claim has the home of a key claim it.
+// claim sends a claim of a key to the home of the key.
 func claim(c *modelCluster, key string, token uint64) {
 	home := c.byName[register.HomeOrder(key, c.newest().Addresses())[0]]
-	home.server.HandleMessage(c.now, "proxy", &meshpb.Message{Id: token, Claim: &meshpb.Claim{Key: key, Token: token, Attempt: 1}})
+	home.server.HandleMessage(c.now, "proxy", &meshpb.Message{Id: token,
+		Claim: &meshpb.Claim{Key: key, Token: token, Attempt: 1}})
 	home.work()
 }
 
-// A member is exchanged for one at another address, twice. Within catchUpS of each change, claims of new keys take one round
-// trip; keys that were claimed before are prepared, and stay whose they are.
+// A member is replaced by one at another address, twice. Within 4 s of each change, claims of new keys take one round trip. Keys
+// claimed before the change must be prepared, or a second claimant could get them.
 func TestClaimsTakeOneRoundTripAfterAChange(t *testing.T) {
 	const keys, catchUp = 60, 4.0
 	for seed := range uint64(10) {
@@ -66,7 +67,7 @@
 			}
 			for i := range keys {
 				if state := n.states[token-uint64(i)]; state != register.Claimed {
-					t.Fatalf("seed %d, change %d: a new key is answered %d", seed, change, state)
+					t.Fatalf("seed %d, change %d: the claim of a new key ended in state %d", seed, change, state)
 				}
 			}
 		}
@@ -77,13 +78,13 @@
 		c.run(0.5)
 		for i, key := range before {
 			if state := n.states[uint64(10_000+i)]; state == register.Claimed {
-				t.Fatalf("seed %d: %q was given away a second time", seed, key)
+				t.Fatalf("seed %d: %q was claimed a second time", seed, key)
 			}
 		}
 	}
 }
 
-// What a home is told costs eight bytes for each key whose home it is, however many there are.
+// The answers to a home take eight bytes for each key whose home it has become.
 func TestCostOfHomedKeys(t *testing.T) {
 	const keys = 30_000
 	c := newModelCluster(1, 2, 1)
@@ -91,8 +92,10 @@
 	for _, m := range c.machines[:5] {
 		page := make([]*meshpb.Entry, 0, keys)
 		for i := range keys {
-			page = append(page, &meshpb.Entry{Key: fmt.Sprintf("operation %d", i), Promised: &meshpb.Ballot{Epoch: 1, Round: 1, Node: 2},
-				Accepted: &meshpb.Ballot{Epoch: 1, Round: 1, Node: 1, Life: 7}, Value: &meshpb.Receipt{State: register.Claimed, Token: uint64(i + 1)}})
+			page = append(page, &meshpb.Entry{Key: fmt.Sprintf("operation %d", i),
+				Promised: &meshpb.Ballot{Epoch: 1, Round: 1, Node: 2},
+				Accepted: &meshpb.Ballot{Epoch: 1, Round: 1, Node: 1, Life: 7},
+				Value:    &meshpb.Receipt{State: register.Claimed, Token: uint64(i + 1)}})
 		}
 		m.server.registers.Merge(c.now, page)
 		m.work()
@@ -109,15 +112,15 @@
 	c.run(15)
 	v := c.newest()
 	if v.Joint() || v.Epoch != 3 {
-		t.Fatalf("no exchange: %v", v)
+		t.Fatalf("the lost member was not replaced: %v", v)
 	}
 	for _, member := range v.Members {
 		if m := c.byName[member.Address]; m.up && !m.server.registers.KnowsHomedKeys() {
-			t.Errorf("%s does not know its keys", member.Address)
+			t.Errorf("%s does not know the keys whose home it is", member.Address)
 		}
 	}
 	if most := keys * 8 * (v.Majority() - 1) * 11 / 10; bytes > most || messages > 100 {
 		t.Errorf("%d bytes in %d messages, at most %d", bytes, messages, most)
 	}
-	t.Logf("%d live keys, 5 members: %d bytes in %d messages over all", keys, bytes, messages)
+	t.Logf("%d live keys, 5 members: %d bytes in %d messages in total", keys, bytes, messages)
 }
--- a/internal/mesh/control/membership_test.go
+++ b/internal/mesh/control/membership_test.go
@@ -7,10 +7,11 @@
 	"beechwing/internal/mesh/meshpb"
 )
 
-// The founder hears another server before it first looks at the clock.
+// The bootstrapping server hears another server before its first tick. It must still be in the first view itself.
 func TestFounderIsOneOfTheFounders(t *testing.T) {
 	seeds := []string{"s0", "s1"}
-	s, err := New(1, Options{Self: "s0", Seeds: seeds, Bootstrap: true, Tolerance: 1, RetentionSeconds: 60, Life: 1, RandomSeed: 1}, nil)
+	s, err := New(1, Options{Self: "s0", Seeds: seeds, Bootstrap: true, Tolerance: 1, RetentionSeconds: 60, Life: 1,
+		RandomSeed: 1}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,6 +20,6 @@
 		s.Tick(now)
 	}
 	if got := s.view().Addresses(); !slices.Equal(got, seeds) {
-		t.Fatalf("founded with %v, want %v", got, seeds)
+		t.Fatalf("first view has members %v, want %v", got, seeds)
 	}
 }
--- a/internal/mesh/control/model_cases_test.go
+++ b/internal/mesh/control/model_cases_test.go
@@ -8,7 +8,7 @@
 	"beechwing/internal/mesh/view"
 )
 
-// Members are lost for good, and ones that wait take their places: each by one joint view and one stable view, and no more.
+// Members are lost for good and standbys replace them. Each replacement takes one joint view and one stable view.
 func TestExchangeTakesTwoViews(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newModelCluster(seed, 1, 2)
@@ -18,13 +18,14 @@
 			c.run(10)
 			v, want := c.newest(), uint64(3+2*i)
 			if v.Epoch != want || v.Joint() || !v.Has(viewMember(c.byName[joiner])) {
-				t.Fatalf("seed %d: after exchange %d: %v", seed, i+1, v)
+				t.Fatalf("seed %d: after replacement %d: %v", seed, i+1, v)
 			}
 		}
 	}
 }
 
-// The joiner's word that it has read everything is overtaken by an older one, or lost: it says so again, and is not abandoned.
+// The joiner's message that it has read everything is lost, or overtaken by an older one. The joiner repeats it and must not be
+// abandoned.
 func TestJoinerIsNotAbandoned(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newModelCluster(seed, 1, 1)
@@ -37,7 +38,8 @@
 	}
 }
 
-// One member has lost its disk, another leaves, and the server that is to join for it is lost on the way: the mesh goes on.
+// One member has lost its disk, another is leaving, and the standby that is to replace the leaving one is lost. The mesh must
+// recover.
 func TestLeaverWaitsForALostMember(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newModelCluster(seed, 1, 1)
@@ -45,7 +47,7 @@
 		lost, leaver := c.machines[seed%3], c.machines[(seed+1)%3]
 		lost.powerOff()
 		lost.wipe()
-		c.run(contactTimeout + 0.1) // until it counts as out of reach, and before it counts as silent
+		c.run(contactTimeout + 0.1) // long enough to count as unreachable, but not as silent
 		leaver.server.Leave(c.now)
 		leaver.work()
 		joiner := c.byName["s3"]
@@ -63,8 +65,8 @@
 	}
 }
 
-// A joint view is accepted by its coordinator alone, or is chosen; then a member and the joiner lose their disks for good. The old members
-// leave the joint view, which has no majority of its new members any more, and take somebody else in.
+// A joint view is accepted by its coordinator only, or is chosen. Then a member and the joiner lose their disks, so the joint
+// view has no majority of its new members any more. The old members must abandon it and admit another server.
 func TestJointViewWithoutItsNewMembersIsLeft(t *testing.T) {
 	for _, chosen := range []bool{false, true} {
 		for seed := range uint64(20) {
@@ -73,7 +75,7 @@
 			silent := c.machines[seed%3]
 			coordinator, joiner := proposeExchange(c, silent, chosen)
 			if coordinator == nil {
-				t.Fatalf("seed %d: nobody proposed a joint view", seed)
+				t.Fatalf("seed %d: no server proposed a joint view", seed)
 			}
 			silent.start()
 			for _, m := range c.machines[:3] {
@@ -99,8 +101,8 @@
 	}
 }
 
-// proposeExchange has a member fall silent and waits until its exchange is proposed: who proposed it, and who is to join. Where the joint view is
-// not to be chosen, nobody hears the proposal.
+// proposeExchange stops a member and waits until its replacement is proposed. It returns the proposer and the joiner. If chosen
+// is false, the proposal is lost on its way to the others.
 func proposeExchange(c *modelCluster, silent *modelMachine, chosen bool) (coordinator, joiner *modelMachine) {
 	c.dropMessage = func(from, _ string, m *meshpb.Message) bool {
 		if m.Accept.GetKey() != register.ViewKey {
@@ -117,12 +119,12 @@
 		c.run(modelTick)
 	}
 	if !chosen {
-		c.run(0.1) // until the coordinator's own disk has accepted it
+		c.run(0.1) // until the coordinator's own disk has accepted the proposal
 	}
 	return coordinator, joiner
 }
 
-// A joint view that was proposed before is chosen after all, and its joiner has another disk by now: nobody waits for it.
+// An earlier proposal of a joint view is chosen late, when its joiner has another disk. No server must wait for that joiner.
 func TestOldProposalIsAbandonedAtOnce(t *testing.T) {
 	const atOnce = 0.5
 	found := 0
@@ -152,7 +154,7 @@
 				since = c.now
 				found++
 			case c.now > since+atOnce:
-				t.Fatalf("seed %d: %v is waited for, and its disk is gone", seed, old)
+				t.Fatalf("seed %d: the coordinator waits for joiner %v, whose disk is lost", seed, old)
 			}
 		}
 		if v := c.newest(); v.Joint() || c.countLost(v.Members) > 0 {
@@ -160,11 +162,11 @@
 		}
 	}
 	if found == 0 {
-		t.Fatal("no old proposal was chosen: this shows nothing")
+		t.Fatal("no old proposal was chosen, so nothing was tested")
 	}
 }
 
-// A view that no agreement can have made, of a damaged disk or message, is not gone by.
+// A damaged disk or message may contain a view that no sequence of changes can produce. Such a view must not be adopted.
 func TestImpossibleViewIsRefused(t *testing.T) {
 	c := newModelCluster(1, 1, 0)
 	c.run(2)
@@ -177,7 +179,7 @@
 		m.server.HandleMessage(c.now, "s1", &meshpb.Message{View: v.Wire(), Epoch: 9, Incarnation: before.Members[1].Incarnation})
 		m.work()
 		if got := m.server.view(); !got.Equal(before) {
-			t.Errorf("%s: goes by %v", name, got)
+			t.Errorf("%s: adopted %v", name, got)
 		}
 	}
 }
--- a/internal/mesh/control/model_cluster_test.go
+++ b/internal/mesh/control/model_cluster_test.go
@@ -15,22 +15,22 @@
 	"beechwing/internal/mesh/view"
 )
 
-// The model: whole control servers on a simulated clock, network and disks. Every choice comes from the seed.
+// The model runs control servers on a simulated clock, network and disks. Every choice follows from the seed.
 
 const (
 	modelTick             = 0.02  // seconds
-	modelRetentionSeconds = 60.0  // seconds for which keys are kept
-	modelBootstrapSeconds = 3.0   // seconds after which the first view is there
-	modelMaxDelay         = 0.010 // seconds that a message usually takes at most
-	modelMaxLateDelay     = 0.500 // and one that is late
-	modelMaxSync          = 0.010 // seconds that a batch usually takes to the disk at most
-	modelMaxLateSync      = 0.200 // and a late one
+	modelRetentionSeconds = 60.0  // seconds for which keys are retained
+	modelBootstrapSeconds = 3.0   // seconds within which the first view is created
+	modelMaxDelay         = 0.010 // greatest usual delay of a message, in seconds
+	modelMaxLateDelay     = 0.500 // greatest delay of a late message
+	modelMaxSync          = 0.010 // greatest usual time to sync a batch, in seconds
+	modelMaxLateSync      = 0.200 // greatest time of a slow sync
 )
 
-// modelEvent is something that happens at a time.
+// modelEvent is an action at a simulated time.
 type modelEvent struct {
 	at       float64
-	sequence uint64 // the order of those at one time
+	sequence uint64 // orders events of the same time
 	do       func()
 }
 
@@ -50,10 +50,10 @@
 	return e
 }
 
-// modelCluster is all servers and what is between them.
+// modelCluster is a cluster of control servers with its network.
 type modelCluster struct {
 	seed         uint64
-	links        map[[2]string]*rand.Rand // from, to: one link's luck does not hang on another's messages
+	links        map[[2]string]*rand.Rand // by sender and receiver: links do not affect each other's random choices
 	now          float64
 	events       modelEvents
 	lastSequence uint64
@@ -61,15 +61,15 @@
 	seeds        []string
 	machines     []*modelMachine
 	byName       map[string]*modelMachine
-	cuts         map[[2]string]bool // from, to
-	lossy        bool               // messages are lost, doubled and late, and disks are slow
+	cuts         map[[2]string]bool // links that drop all messages, by sender and receiver
+	lossy        bool               // messages are lost, duplicated and delayed, and disks are slow
 	dropMessage  func(from, to string, m *meshpb.Message) bool
 	onWrite      func(name string, value []byte)
 	trace        func(format string, args ...any)
 	orders       *orderHistory
 }
 
-// modelMachine is one machine: a disk, and a server while it is up.
+// modelMachine is a machine with a disk, and with a server while it is up.
 type modelMachine struct {
 	cluster *modelCluster
 	random  *rand.Rand
@@ -87,7 +87,7 @@
 	syncing bool
 }
 
-// newModelCluster founds a mesh of as many members as the tolerance needs, and starts the servers that wait to join.
+// newModelCluster bootstraps a mesh with as many members as the tolerance requires, and starts the spare servers.
 func newModelCluster(seed uint64, tolerance, spares int) *modelCluster {
 	return newModelClusterOf(seed, 2*tolerance+1, tolerance, spares)
 }
@@ -95,10 +95,12 @@
 func newModelClusterOf(seed uint64, members, tolerance, spares int) *modelCluster {
 	c := &modelCluster{seed: seed, links: map[[2]string]*rand.Rand{}, now: 1, tolerance: tolerance,
 		byName: map[string]*modelMachine{}, cuts: map[[2]string]bool{}, trace: func(string, ...any) {},
-		dropMessage: func(string, string, *meshpb.Message) bool { return false }, onWrite: func(string, []byte) {}, orders: newOrderHistory()}
+		dropMessage: func(string, string, *meshpb.Message) bool { return false }, onWrite: func(string, []byte) {},
+		orders: newOrderHistory()}
 	for i := range members + spares {
 		address := fmt.Sprintf("s%d", i)
-		m := &modelMachine{cluster: c, random: newRandom(seed, address), address: address, disk: map[string][]byte{}, first: i < members}
+		m := &modelMachine{cluster: c, random: newRandom(seed, address), address: address, disk: map[string][]byte{},
+			first: i < members}
 		c.machines, c.byName[m.address] = append(c.machines, m), m
 		if m.first {
 			c.seeds = append(c.seeds, m.address)
@@ -117,15 +119,15 @@
 	return c
 }
 
-// luck is a source of randomness of its own for each thing that has a name: what one draws more or less after a change of the code
-// leaves the others' draws as they were, so that a recorded run stays much the same run.
+// newRandom returns an independent source of random numbers for each name. If a code change makes one source be used more or
+// less, the numbers from the others stay the same, so a recorded run remains nearly the same run.
 func newRandom(seed uint64, name string) *rand.Rand {
 	h := fnv.New64a()
 	io.WriteString(h, name)
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// link is the luck of messages from one machine to another.
+// linkRandom returns the random source of the messages from one machine to another.
 func (c *modelCluster) linkRandom(from, to string) *rand.Rand {
 	key := [2]string{from, to}
 	if c.links[key] == nil {
@@ -134,13 +136,13 @@
 	return c.links[key]
 }
 
-// after does something so many seconds from now.
+// after schedules an action in the given number of seconds.
 func (c *modelCluster) after(seconds float64, do func()) {
 	c.lastSequence++
 	heap.Push(&c.events, modelEvent{c.now + seconds, c.lastSequence, do})
 }
 
-// run lets so many seconds pass.
+// run advances the clock and performs the actions that become due.
 func (c *modelCluster) run(seconds float64) {
 	until := c.now + seconds
 	for len(c.events) > 0 && c.events[0].at <= until && c.orders.violation == nil {
@@ -153,7 +155,7 @@
 
 // ---- machines
 
-// start starts the server on what the disk holds.
+// start starts the server with the contents of the disk.
 func (m *modelMachine) start() {
 	c := m.cluster
 	m.starts++
@@ -163,7 +165,8 @@
 		values[name] = slices.Clone(value)
 	}
 	server, err := New(c.now, Options{Self: m.address, Seeds: c.seeds, Bootstrap: m.first && len(values) == 0,
-		Tolerance: c.tolerance, RetentionSeconds: modelRetentionSeconds, Life: m.random.Uint32() | 1, RandomSeed: m.random.Uint64(),
+		Tolerance: c.tolerance, RetentionSeconds: modelRetentionSeconds, Life: m.random.Uint32() | 1,
+		RandomSeed: m.random.Uint64(),
 		Log: func(event string, args ...any) {
 			c.trace("%.3f %s: %s %v", c.now, m.address, event, args)
 			if event == EventViolation {
@@ -189,7 +192,7 @@
 	})
 }
 
-// work does what the server wants done.
+// work performs the server's pending effects.
 func (m *modelMachine) work() {
 	for {
 		out := m.server.TakeEffects()
@@ -212,7 +215,7 @@
 	}
 }
 
-// sync has the next batch go to the disk, if none is on its way.
+// sync starts to sync the next batch unless a sync is in progress.
 func (m *modelMachine) sync() {
 	if m.syncing || len(m.puts)+len(m.after) == 0 {
 		return
@@ -247,36 +250,36 @@
 	}
 }
 
-// kill ends the server: what its disk was given is there.
+// kill ends the server's process. Everything written before is on disk.
 func (m *modelMachine) kill() {
 	m.cluster.trace("%.3f %s is killed", m.cluster.now, m.address)
 	m.apply(m.writing)
 	m.up, m.writing = false, nil
 }
 
-// powerOff ends the server: of what its disk was given any part may be there.
+// powerOff ends the server. Any part of the batch being written may be on disk.
 func (m *modelMachine) powerOff() {
-	m.cluster.trace("%.3f %s loses power, %d values on their way to the disk", m.cluster.now, m.address, len(m.writing))
+	m.cluster.trace("%.3f %s loses power while %d values are being written", m.cluster.now, m.address, len(m.writing))
 	puts := slices.Clone(m.writing)
 	slices.SortStableFunc(puts, func(a, b store.Put) int { return cmp.Compare(a.Name, b.Name) })
 	m.apply(slices.DeleteFunc(puts, func(store.Put) bool { return m.random.IntN(2) == 0 }))
 	m.up, m.writing = false, nil
 }
 
-// wipe takes the disk's content away. The server is down.
+// wipe empties the disk. The server must be down.
 func (m *modelMachine) wipe() {
 	m.cluster.trace("%.3f %s: its disk is wiped", m.cluster.now, m.address)
 	clear(m.disk)
 }
 
-// holds says whether this machine's disk is the one of a member.
+// hasDiskOf reports whether this machine's disk is that of a member.
 func (m *modelMachine) hasDiskOf(member view.Member) bool {
 	return decodeUint64(m.disk[nameIdentity]) == member.Incarnation
 }
 
 // ---- network
 
-// carry takes a message to another machine.
+// transmit sends a message to another machine.
 func (c *modelCluster) transmit(from, to string, message *meshpb.Message) {
 	if c.dropMessage(from, to, message) {
 		return
@@ -308,9 +311,9 @@
 	m.work()
 }
 
-// cutOff lets nothing pass between a machine and the others; oneWay: nothing from it to them.
+// cutLinks drops all messages between a machine and the others, or with oneWay only those that the machine sends.
 func (c *modelCluster) cutLinks(m *modelMachine, oneWay bool) {
-	c.trace("%.3f %s is cut off, one way %v", c.now, m.address, oneWay)
+	c.trace("%.3f links of %s are cut, one way %v", c.now, m.address, oneWay)
 	m.cutAt = c.now
 	for _, other := range c.machines {
 		if other != m {
@@ -323,14 +326,14 @@
 }
 
 func (c *modelCluster) healCuts() {
-	c.trace("%.3f all cuts end", c.now)
+	c.trace("%.3f all cuts are healed", c.now)
 	clear(c.cuts)
 	for _, m := range c.machines {
 		m.cutAt = 0
 	}
 }
 
-// newest is the newest view that a server goes by, or that a disk has.
+// newest returns the newest view that a server has adopted or a disk contains.
 func (c *modelCluster) newest() (newest view.View) {
 	for _, m := range c.machines {
 		known, _ := view.Decode(m.disk[nameView])
@@ -344,10 +347,11 @@
 	return newest
 }
 
-// inForce are the views that may be gone by: the newest that is on the disks of a majority of its members, and all that follow it.
+// inForce returns the views that servers may act by: the newest view that is on the disks of a majority of its members, and all
+// later ones.
 func (c *modelCluster) inForce() (all []view.View) {
 	known := map[uint64]view.View{}
-	epochs := map[view.Member]uint64{} // that are on disk
+	epochs := map[view.Member]uint64{} // by member: epoch on disk
 	for _, m := range c.machines {
 		held, _ := view.Decode(m.disk[nameView])
 		known[held.Epoch], epochs[viewMember(m)] = held, held.Epoch
@@ -368,7 +372,7 @@
 	return all
 }
 
-// lost counts those of some members whose disks are lost.
+// countLost counts the members whose disks are lost.
 func (c *modelCluster) countLost(members []view.Member) (n int) {
 	for _, member := range members {
 		if !c.byName[member.Address].hasDiskOf(member) {
@@ -378,7 +382,7 @@
 	return n
 }
 
-// viewMember is the member that a machine's disk makes it.
+// viewMember returns the member that a machine is with its present disk.
 func viewMember(m *modelMachine) view.Member {
 	return view.Member{Address: m.address, Incarnation: decodeUint64(m.disk[nameIdentity])}
 }
--- a/internal/mesh/control/model_history_test.go
+++ b/internal/mesh/control/model_history_test.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// The steps of a run: what operators and trouble did, and when. A run that failed is kept as a list of its steps in testdata/histories and
-// played again by TestRecordedHistories, whatever the generator of steps draws by then.
+// A run that failed is stored in testdata/histories as a list of steps: the operators' requests and the faults with their times.
+// TestRecordedHistories replays the steps, so the run does not depend on the generator of steps.
 
-// modelStep is one thing that operators or trouble do.
+// modelStep is a request of an operator or a fault.
 type modelStep struct {
 	At      float64  `json:"at"`
 	Kind    stepKind `json:"kind"`
 	Machine string   `json:"machine,omitempty"`
-	Number  uint64   `json:"number,omitempty"`  // of an order
-	Variant int      `json:"variant,omitempty"` // an order's text; a cut: 0 one way, 1 both
+	Number  uint64   `json:"number,omitempty"`  // version of an order
+	Variant int      `json:"variant,omitempty"` // an order's text; of a cut: 0 one way, 1 both ways
 }
 
 type stepKind string
@@ -25,9 +25,9 @@
 const (
 	stepOrder    stepKind = "order"
 	stepRead     stepKind = "read"
-	stepLossy    stepKind = "lossy" // messages begin to be lost, or that ends
+	stepLossy    stepKind = "lossy" // starts or ends message loss
 	stepCut      stepKind = "cut"
-	stepHeal     stepKind = "join" // all cuts end
+	stepHeal     stepKind = "join" // heals all cuts
 	stepKill     stepKind = "kill"
 	stepPowerOff stepKind = "power off"
 	stepStart    stepKind = "start"
@@ -35,15 +35,15 @@
 	stepLeave    stepKind = "leave"
 )
 
-// modelHistory is a run that was recorded.
+// modelHistory is a recorded run.
 type modelHistory struct {
 	About     string      `json:"about"`
-	Seed      uint64      `json:"seed"` // of links, disks and clocks
+	Seed      uint64      `json:"seed"` // for links, disks and clocks
 	Tolerance int         `json:"tolerance"`
 	Steps     []modelStep `json:"steps"`
 }
 
-// step takes a step now, and notes it.
+// recordAndExecute records a step with the present time and executes it.
 func (r *modelRun) recordAndExecute(step modelStep) {
 	step.At = r.now
 	r.steps = append(r.steps, step)
@@ -80,13 +80,14 @@
 	}
 }
 
-// record keeps the steps of a run that failed, if there is a folder for it.
+// record stores the steps of a failed run if MODEL_RECORD names a folder.
 func (r *modelRun) record(t *testing.T) {
 	dir := os.Getenv(modelRecordVariable)
 	if dir == "" {
 		return
 	}
-	text, err := json.MarshalIndent(modelHistory{About: r.orders.violation.Error(), Seed: r.seed, Tolerance: r.tolerance, Steps: r.steps}, "", " ")
+	text, err := json.MarshalIndent(modelHistory{About: r.orders.violation.Error(), Seed: r.seed, Tolerance: r.tolerance,
+		Steps: r.steps}, "", " ")
 	if err == nil {
 		err = os.WriteFile(filepath.Join(dir, fmt.Sprintf("seed-%d.json", r.seed)), text, 0o644)
 	}
@@ -95,7 +96,7 @@
 	}
 }
 
-// TestRecordedHistories plays runs that failed once.
+// TestRecordedHistories replays runs that failed once.
 func TestRecordedHistories(t *testing.T) {
 	files, err := filepath.Glob("testdata/histories/*.json")
 	if err != nil || len(files) == 0 {
--- a/internal/mesh/control/model_orders_test.go
+++ b/internal/mesh/control/model_orders_test.go
@@ -6,22 +6,22 @@
 	"testing"
 )
 
-// The kinds of violations that the checker of orders tells apart.
+// The kinds of violations that the checker of orders distinguishes.
 const (
-	conflictingTexts        = "two texts under one number were confirmed or read"
+	conflictingTexts        = "two texts of one version were confirmed or read"
 	refusedAfterConfirmed   = "a text was refused after it was confirmed"
 	orderLost               = "a confirmed order is lost"
-	confirmedWithoutContact = "a server out of contact confirmed"
+	confirmedWithoutContact = "a server without contact confirmed an order"
 	invariantViolated       = "an invariant is violated"
 	answeredTwice           = "an order was answered twice"
 	neverAnswered           = "an order was never answered"
 )
 
-// orderHistory is what operators were told, and the first violation.
+// orderHistory checks the answers to operators. It keeps the first violation.
 type orderHistory struct {
-	texts      map[uint64]string // by number: the text that was confirmed or read
-	confirmed  map[uint64]string // by number: the text that was confirmed
-	newest     uint64            // the newest number that was confirmed or read
+	texts      map[uint64]string // by version: the text that was confirmed or read
+	confirmed  map[uint64]string // by version: the text that was confirmed
+	newest     uint64            // newest version that was confirmed or read
 	violation  error
 	taken      int
 	conflicts  int
@@ -39,51 +39,51 @@
 	}
 }
 
-// hold notes the text that a number stands for.
-func (h *orderHistory) recordText(number uint64, text string) {
-	if known, told := h.texts[number]; told && known != text {
-		h.fail(conflictingTexts, "number %d: %q and %q", number, known, text)
+// recordText records the text of a version.
+func (h *orderHistory) recordText(version uint64, text string) {
+	if known, told := h.texts[version]; told && known != text {
+		h.fail(conflictingTexts, "version %d: %q and %q", version, known, text)
 		return
 	}
-	h.texts[number] = text
+	h.texts[version] = text
 }
 
-// answered takes the answer to an order.
-func (h *orderHistory) answered(number uint64, text string, result OrderResult) {
+// answered records the answer to an order.
+func (h *orderHistory) answered(version uint64, text string, result OrderResult) {
 	switch result {
 	case OrderTaken:
 		h.taken++
-		h.recordText(number, text)
-		h.confirmed[number] = text
-		h.newest = max(h.newest, number)
+		h.recordText(version, text)
+		h.confirmed[version] = text
+		h.newest = max(h.newest, version)
 	case OrderConflict:
 		h.conflicts++
-		if h.confirmed[number] == text {
-			h.fail(refusedAfterConfirmed, "number %d: %q", number, text)
+		if h.confirmed[version] == text {
+			h.fail(refusedAfterConfirmed, "version %d: %q", version, text)
 		}
 	default:
 		h.unanswered++
 	}
 }
 
-// readBack takes a configuration that was read. least is the newest number that was known when it was asked for.
+// readBack checks a configuration that was read. least is the newest version known when the read started.
 func (h *orderHistory) readBack(least uint64, text string) {
 	h.reads++
-	var number uint64
+	var version uint64
 	if text != "" {
-		if _, err := fmt.Sscanf(text, "order %d", &number); err != nil {
-			h.fail(conflictingTexts, "%q is no order's text", text)
+		if _, err := fmt.Sscanf(text, "order %d", &version); err != nil {
+			h.fail(conflictingTexts, "%q is not the text of an order", text)
 			return
 		}
-		h.recordText(number, text)
+		h.recordText(version, text)
 	}
-	if number < least {
-		h.fail(orderLost, "read number %d, and %d was confirmed", number, least)
+	if version < least {
+		h.fail(orderLost, "read version %d although %d was confirmed", version, least)
 	}
-	h.newest = max(h.newest, number)
+	h.newest = max(h.newest, version)
 }
 
-// The checker finds what must not be.
+// The checker finds each kind of violation.
 func TestOrderCheckerFinds(t *testing.T) {
 	for _, c := range []struct {
 		kind string
--- a/internal/mesh/control/model_race_test.go
+++ b/internal/mesh/control/model_race_test.go
@@ -2,5 +2,5 @@
 
 package control
 
-// raceDetector says whether the tests run under the race detector.
+// raceDetector is whether the tests run under the race detector.
 const raceDetector = true
--- a/internal/mesh/control/model_test.go
+++ b/internal/mesh/control/model_test.go
@@ -11,24 +11,24 @@
 	"beechwing/internal/mesh/view"
 )
 
-// How many seeds the random exploration plays, and from which on. For hours:
+// TestModelServers explores random runs. The variables below set the number of seeds and the first seed. To run for hours:
 //
 //	MODEL_SEEDS=200000 go test -run TestModelServers -timeout 0 ./internal/mesh/control
 //
-// and one seed again, with its trace:
+// To replay one seed with a trace:
 //
 //	MODEL_FROM=1234 MODEL_SEEDS=1 MODEL_TRACE=1 go test -v -run TestModelServers ./internal/mesh/control
 const (
 	modelSeedsVariable = "MODEL_SEEDS"
 	modelFromVariable  = "MODEL_FROM"
 	modelTraceVariable = "MODEL_TRACE"
-	// modelRecordVariable names a folder in which the steps of a run that fails are kept, for testdata/histories.
+	// modelRecordVariable names a folder in which the steps of failed runs are stored, for testdata/histories.
 	modelRecordVariable  = "MODEL_RECORD"
 	modelSeeds           = 40
-	modelSeedsRace       = 6    // under the race detector, which has nothing to find in one goroutine
-	modelFaultSeconds    = 40.0 // seconds of trouble in a run
-	modelRecoverySeconds = 12.0 // seconds without any, until everything has to work again
-	answerTimeout        = 2.0  // seconds until an order is answered by a server that goes on
+	modelSeedsRace       = 6    // the race detector has nothing to find in a single goroutine
+	modelFaultSeconds    = 40.0 // duration of the faults in a run, in seconds
+	modelRecoverySeconds = 12.0 // seconds without faults after which everything has to work again
+	answerTimeout        = 2.0  // seconds within which a server that stays up answers an order
 	outOfContactAfter    = contactTimeout + 0.1
 )
 
@@ -46,15 +46,15 @@
 	return modelSeeds
 }
 
-// modelRun is one run: operators, and what goes wrong. Its steps are drawn, or those of a run that was recorded.
+// modelRun is a run with operators' requests and faults. Its steps are random or those of a recorded run.
 type modelRun struct {
 	*modelCluster
 	random             *rand.Rand
-	steps              []modelStep // that were taken
-	lastOrder          uint64      // number of the newest order
-	finalEpoch         uint64      // epochs
+	steps              []modelStep // executed steps
+	lastOrder          uint64      // version of the newest order
+	finalEpoch         uint64      // epoch at the end of the run
 	leaving            *modelMachine
-	joinerCountedEpoch uint64 // the newest epoch in which a joiner counts as a member
+	joinerCountedEpoch uint64 // newest epoch in which the joiner counts as a member
 }
 
 func newModelRun(seed uint64, trace func(string, ...any)) *modelRun {
@@ -69,7 +69,7 @@
 	return r
 }
 
-// play has trouble for a while, and looks then whether everything confirmed is there.
+// play runs random requests and faults for a while, then checks that every confirmed configuration is still there.
 func (r *modelRun) play() error {
 	until := r.now + modelFaultSeconds
 	r.scheduleOrder(until)
@@ -77,7 +77,7 @@
 	return r.finish()
 }
 
-// replay takes the steps of a run that was recorded.
+// replay executes the steps of a recorded run.
 func (r *modelRun) replay(steps []modelStep) error {
 	for _, step := range steps {
 		r.after(step.At-r.now, func() { r.execute(step) })
@@ -98,7 +98,7 @@
 
 // ---- operators
 
-// nextOrder has operators give orders until a time.
+// scheduleOrder schedules random requests of operators until the given time.
 func (r *modelRun) scheduleOrder(until float64) {
 	r.after(0.6*r.random.Float64(), func() {
 		if r.now > until {
@@ -108,11 +108,11 @@
 		case 0:
 			r.recordAndExecute(modelStep{Kind: stepRead, Machine: r.anyMachine().address})
 		case 1:
-			for range 8 { // at once, to any servers, with two texts
+			for range 8 { // concurrently, to random servers, with two texts
 				r.stepOrder(r.lastOrder+1, r.random.IntN(2))
 			}
 			r.lastOrder++
-		case 2, 3: // again, or the other text
+		case 2, 3: // a repeated order, or another text for its version
 			if r.lastOrder > 0 {
 				r.stepOrder(r.lastOrder-min(r.lastOrder-1, r.random.Uint64N(4)), r.random.IntN(2))
 			}
@@ -124,19 +124,19 @@
 	})
 }
 
-func (r *modelRun) stepOrder(number uint64, variant int) {
-	r.recordAndExecute(modelStep{Kind: stepOrder, Machine: r.anyMachine().address, Number: number, Variant: variant})
+func (r *modelRun) stepOrder(version uint64, variant int) {
+	r.recordAndExecute(modelStep{Kind: stepOrder, Machine: r.anyMachine().address, Number: version, Variant: variant})
 }
 
-// order gives an order to a server. Its answer may be lost on the way back.
-func (r *modelRun) order(m *modelMachine, number uint64, variant int) {
+// order submits an order to a server. The answer may be lost on its way back.
+func (r *modelRun) order(m *modelMachine, version uint64, variant int) {
 	if !m.up {
 		return
 	}
-	text := fmt.Sprintf("order %d, text %d", number, variant)
+	text := fmt.Sprintf("order %d, text %d", version, variant)
 	life, answers := m.starts, 0
-	r.trace("%.3f %s is ordered %q", r.now, m.address, text)
-	m.server.Order(r.now, number, []byte(text), func(result OrderResult) {
+	r.trace("%.3f %s receives order %q", r.now, m.address, text)
+	m.server.Order(r.now, version, []byte(text), func(result OrderResult) {
 		r.trace("%.3f %s answers %q: %v", r.now, m.address, text, result)
 		if answers++; answers > 1 {
 			r.orders.fail(answeredTwice, "%q by %s", text, m.address)
@@ -145,7 +145,7 @@
 			r.orders.fail(confirmedWithoutContact, "%q by %s", text, m.address)
 		}
 		if m.random.IntN(6) > 0 {
-			r.orders.answered(number, text, result)
+			r.orders.answered(version, text, result)
 		}
 	})
 	m.work()
@@ -156,7 +156,7 @@
 	})
 }
 
-// read has a server read the configuration.
+// read makes a server read the configuration.
 func (r *modelRun) read(m *modelMachine) {
 	if !m.up {
 		return
@@ -171,9 +171,9 @@
 	m.work()
 }
 
-// ---- trouble
+// ---- faults
 
-// nextTrouble has things go wrong until a time.
+// scheduleFault schedules random faults until the given time.
 func (r *modelRun) scheduleFault(until float64) {
 	r.after(1.5*r.random.Float64(), func() {
 		if r.now > until {
@@ -209,7 +209,7 @@
 	}
 }
 
-// stop ends a server by one of two ways, and often starts it again soon.
+// stop ends a server in one of two ways, and usually schedules its restart.
 func (r *modelRun) stop(m *modelMachine) {
 	kind := stepPowerOff
 	if r.random.IntN(2) == 0 {
@@ -225,14 +225,15 @@
 	r.after(seconds, func() { r.recordAndExecute(modelStep{Kind: stepStart, Machine: m.address}) })
 }
 
-// mayLose says whether the mesh bears the loss of one more disk: of the members, and of the members to be once a joiner counts as one
-// of them. A change is complete, and who it leaves out no longer counts, once a majority of its members has the view on disk: until then
-// the loss has to be borne by the view before it too. Disks of servers that wait, and of a joiner that has not read everything yet, may
-// be lost at any time.
+// canLoseDisk reports whether the mesh tolerates the loss of one more disk. The loss must be tolerated by the present members
+// and, once the joiner counts as a member, by the members of the coming view. A change is complete once a majority of the view's
+// members has the view on disk; until then the previous view has to tolerate the loss too. Disks of standbys, and of a joiner
+// that has not read everything, may be lost at any time.
 func (r *modelRun) canLoseDisk(m *modelMachine) bool {
 	for _, v := range r.inForce() {
 		joiner, _ := v.Joiner()
-		if v.Joint() && decodeUint64(r.byName[joiner.Address].disk[nameSynced]) == v.Epoch && r.byName[joiner.Address].hasDiskOf(joiner) {
+		if v.Joint() && decodeUint64(r.byName[joiner.Address].disk[nameSynced]) == v.Epoch &&
+			r.byName[joiner.Address].hasDiskOf(joiner) {
 			r.joinerCountedEpoch = v.Epoch
 		}
 		if !r.toleratesLoss(v.Members, m) || v.Joint() && r.joinerCountedEpoch == v.Epoch && !r.toleratesLoss(v.Next, m) {
@@ -246,7 +247,7 @@
 	return !slices.Contains(members, viewMember(m)) || r.countLost(members) < r.tolerance
 }
 
-// loseDisk takes a disk, where the mesh bears that.
+// loseDisk wipes a disk if the mesh tolerates that.
 func (r *modelRun) loseDisk(m *modelMachine) {
 	if !r.canLoseDisk(m) {
 		return
@@ -257,7 +258,7 @@
 	m.wipe()
 }
 
-// leave is a planned end: the server goes once its place is given away.
+// leave shuts a server down as planned and starts it again later.
 func (r *modelRun) leave(m *modelMachine) {
 	if !m.up || r.leaving != nil {
 		return
@@ -270,7 +271,7 @@
 	r.after(4, func() {
 		r.leaving = nil
 		if m.up && m.starts == life {
-			r.trace("%.3f %s has left: %v", r.now, m.address, m.server.MayStop(r.now))
+			r.trace("%.3f %s is stopped after Leave, MayStop is %v", r.now, m.address, m.server.MayStop(r.now))
 			m.kill()
 			r.after(2, func() { r.start(m) })
 		}
@@ -283,9 +284,9 @@
 	}
 }
 
-// ---- the end
+// ---- end of a run
 
-// heal ends all trouble.
+// heal ends all faults.
 func (r *modelRun) heal() {
 	r.lossy = false
 	r.healCuts()
@@ -296,7 +297,7 @@
 	}
 }
 
-// readAll has every server read. At least one has to be in reach of a quorum by now.
+// readAll makes every server read the configuration. At least one read must succeed.
 func (r *modelRun) readAll() {
 	before := r.orders.reads
 	for _, m := range r.machines {
@@ -304,12 +305,12 @@
 	}
 	r.run(answerTimeout)
 	if r.orders.reads == before && r.orders.violation == nil {
-		r.orders.fail(orderLost, "no server reads a configuration any more: %v", r.newest())
+		r.orders.fail(orderLost, "no server can read a configuration: %v", r.newest())
 	}
 	r.finalEpoch = r.newest().Epoch
 }
 
-// loseTolerance takes as many disks as the mesh tolerates, and reads from the others.
+// loseToleratedDisks wipes as many members' disks as the mesh tolerates, and reads from the others.
 func (r *modelRun) loseToleratedDisks() {
 	v := r.newest()
 	if r.orders.violation != nil || v.Joint() || r.countLost(v.Members) > 0 {
@@ -328,7 +329,8 @@
 
 // ---- tests
 
-// Servers are lost, replaced and brought back while operators give orders. What was confirmed stays, and is told alike by all.
+// Servers are lost, replaced and restarted while operators submit orders. A confirmed order must persist, and all servers must
+// report the same configurations.
 func TestModelServers(t *testing.T) {
 	from, seeds := modelSetting(modelFromVariable, 0), modelSetting(modelSeedsVariable, defaultSeeds())
 	var trace func(string, ...any)
@@ -349,6 +351,6 @@
 	}
 	t.Logf("%d seeds: %d orders taken, %d refused, %d without an answer, %d views", seeds, taken, conflicts, unanswered, epochs)
 	if taken < int(seeds) {
-		t.Fatalf("%d orders taken in %d runs: this shows nothing", taken, seeds)
+		t.Fatalf("only %d orders taken in %d runs, so little was tested", taken, seeds)
 	}
 }
--- a/internal/mesh/control/order_cost_test.go
+++ b/internal/mesh/control/order_cost_test.go
@@ -11,7 +11,7 @@
 	"beechwing/internal/mesh/meshpb"
 )
 
-// routesText is a configuration of so many routes, with names as those of operators.
+// configText returns a configuration with the given number of routes, with realistic names.
 func configText(routes int, version uint64) []byte {
 	random := rand.New(rand.NewPCG(7, 7))
 	var b strings.Builder
@@ -23,10 +23,11 @@
 	return []byte(strings.TrimSuffix(b.String(), ",") + "]}")
 }
 
-// orderCost is what a number of orders took over all members.
+// orderCost is the cost of orders, summed over all members.
 type orderCost struct{ wire, disk, writes int }
 
-// costOfOrders has a server that has given no order before give some, one after the other, each by another server.
+// costOfOrders submits orders one after the other, each to another server, and returns their cost and the size of the stored
+// value.
 func costOfOrders(t *testing.T, members, orders, routes int) (orderCost, int) {
 	t.Helper()
 	c := newModelClusterOf(1, members, (members-1)/2, 0)
@@ -63,20 +64,20 @@
 	return cost, proto.Size(held)
 }
 
-// An order by a server that gave none before writes the configuration once on each disk, and sends it once to each other member: promises move
-// ballots.
+// An order at a server that has taken none before writes the configuration once to each disk and sends it once to each other
+// member: promises carry ballots and no configuration.
 func TestCostOfAnOrder(t *testing.T) {
 	const orders, routes = 5, 1400
 	for _, members := range []int{5, 18} {
 		cost, value := costOfOrders(t, members, orders, routes)
-		t.Logf("%d members, %d routes (%d bytes as kept): an order sends %d bytes over all, writes %d bytes in %d writes", members, routes, value,
-			cost.wire/orders, cost.disk/orders, cost.writes/orders)
+		t.Logf("%d members, %d routes (%d bytes as stored): an order sends %d bytes in total, writes %d bytes in %d writes",
+			members, routes, value, cost.wire/orders, cost.disk/orders, cost.writes/orders)
 		once := value + value/10
 		if sent := cost.wire / orders; sent > once*(members-1) {
-			t.Errorf("%d members: an order sends %d bytes, %d are what it takes", members, sent, once*(members-1))
+			t.Errorf("%d members: an order sends %d bytes, want at most %d", members, sent, once*(members-1))
 		}
 		if written := cost.disk / orders; written > once*members {
-			t.Errorf("%d members: an order writes %d bytes, %d are what it takes", members, written, once*members)
+			t.Errorf("%d members: an order writes %d bytes, want at most %d", members, written, once*members)
 		}
 	}
 }
--- a/internal/mesh/control/propagation.go
+++ b/internal/mesh/control/propagation.go
@@ -54,9 +54,9 @@
 	p.wantFull = true
 }
 
-// learnRecord takes a record if it is newer than the known one of its source. tell makes this server pass the record on in its
+// learnRecord takes a record if it is newer than the known one of its source. forward makes this server pass the record on in its
 // next digest and answer held pulls at once.
-func (s *Server) learnRecord(now float64, r *meshpb.Record, tell bool) {
+func (s *Server) learnRecord(now float64, r *meshpb.Record, forward bool) {
 	p := &s.propagation
 	old := p.records[r.Source]
 	if !r.Supersedes(old) || r.Expired() || old == nil && len(p.records) >= maxSources {
@@ -64,7 +64,7 @@
 	}
 	p.records[r.Source], p.changed = r, true
 	s.trackSource(now, r)
-	if !tell { // the record came in another server's digest: handleDigest answers pulls after the whole digest
+	if !forward { // the record came in another server's digest: handleDigest answers pulls after the whole digest
 		return
 	}
 	p.newRecords = append(p.newRecords, r)
--- a/internal/mesh/control/tombstone_test.go
+++ b/internal/mesh/control/tombstone_test.go
@@ -6,7 +6,7 @@
 	"beechwing/internal/mesh/meshpb"
 )
 
-// newServer makes a server that is a member of no view.
+// newServer returns a server without a view.
 func newServer(t *testing.T) *Server {
 	t.Helper()
 	s, err := New(1, Options{Self: "here", Life: 5, RandomSeed: 1}, map[string][]byte{})
@@ -16,8 +16,8 @@
 	return s
 }
 
-// A tombstone keeps older records out for its time, counted from when any server forgot the source. Then it is
-// dropped, and an expired one that another server still tells is not taken anew.
+// A tombstone keeps older records out until it expires, counted from the time when any server forgot the source. Then it is
+// dropped, and an expired tombstone from another server must not be taken.
 func TestTombstoneIsDroppedAfterItsTime(t *testing.T) {
 	s := newServer(t)
 	const age = 600
@@ -29,35 +29,35 @@
 	last := 1.0 + meshpb.TombstoneSeconds - age
 	s.tickTombstones(last)
 	if r := s.propagation.records["p"]; !r.IsTombstone() {
-		t.Fatalf("%v in place of the tombstone", r)
+		t.Fatalf("found %v in place of the tombstone", r)
 	}
-	if told := s.aged(last, tombstone); !told.Expired() {
-		t.Errorf("told at its end as forgotten for %d s", told.ForgottenFor)
+	if sent := s.aged(last, tombstone); !sent.Expired() {
+		t.Errorf("sent with an age of %d s at its end, want it expired", sent.ForgottenFor)
 	}
 	s.tickTombstones(last + 1)
 	expired := meshpb.NewTombstone("p", 3)
 	expired.ForgottenFor = meshpb.TombstoneSeconds
 	s.learnRecord(last+1, expired, false)
 	if r := s.propagation.records["p"]; r != nil {
-		t.Errorf("%v is kept after its time", r)
+		t.Errorf("expired tombstone %v is kept", r)
 	}
 	if n := len(s.propagation.tombstones.createdAt) + len(s.propagation.lastHeard); n > 0 {
-		t.Errorf("%d things are remembered of it", n)
+		t.Errorf("%d entries of the source remain", n)
 	}
 }
 
-// A proxy names a newer version than the tombstone here has: the time to be forgotten runs anew, and the next
-// tombstone is above what was named.
+// A proxy names a newer version than that of the tombstone here. The source must count as heard again, and the next tombstone
+// must exceed the named version.
 func TestNamedVersionIsForgottenToo(t *testing.T) {
 	s := newServer(t)
 	s.learnRecord(1, meshpb.NewTombstone("p", 3), false)
 	s.recordSeenVersions(2, []*meshpb.Seen{{Source: "p", Version: 4}})
 	if _, heard := s.propagation.lastHeard["p"]; heard {
-		t.Error("a version that is not newer begins its time anew")
+		t.Error("a version that is not newer counts as hearing the source")
 	}
 	s.recordSeenVersions(2, []*meshpb.Seen{{Source: "p", Version: 9}})
 	if silent := s.silentSources(2 + silentAfter + 1); len(silent) != 1 {
-		t.Errorf("silent are %v", silent)
+		t.Errorf("silent sources are %v, want one", silent)
 	}
 	s.putTombstone(40, "p")
 	if r := s.propagation.records["p"]; !r.IsTombstone() || r.Version != 10 {
