--- a/internal/mesh/control/catchup.go
+++ b/internal/mesh/control/catchup.go
@@ -27,8 +27,8 @@
 
 // syncSource is a member from which this server reads registers.
 type syncSource struct {
-	life          uint32
-	position      uint64
+	life          uint32 // identifies the run of the member's process
+	position      uint64 // position in the member's sequence of changes up to which it was read
 	requestedAt   float64
 	heardAt       float64
 	requestOpen   bool
@@ -81,11 +81,11 @@
 	if c.startedAt == 0 {
 		c.startedAt = now
 	}
-	wanted := s.view().Majority()
+	remaining := s.view().Majority()
 	others := slices.DeleteFunc(rendezvous.Order(s.options.Self, s.view().OldAddresses()),
 		func(a string) bool { return a == s.options.Self })
 	for i, address := range others {
-		if wanted == 0 {
+		if remaining == 0 {
 			break
 		}
 		from := c.sources[address]
@@ -95,7 +95,7 @@
 		}
 		from.part = register.Part{Index: uint32(i % s.view().Majority()), Of: uint32(s.view().Majority())}
 		if now < from.heardAt+pageTimeout {
-			wanted--
+			remaining--
 		}
 		s.requestIfDue(now, address, from)
 	}
--- a/internal/mesh/control/configuration.go
+++ b/internal/mesh/control/configuration.go
@@ -48,16 +48,16 @@
 }
 
 type configuration struct {
-	chosen          *meshpb.Config // the newest known to be chosen; nil: none is
-	chosenHash      []byte         // hash of its text, for digests
-	confirmed       bool           // the known configuration was the newest one at some time in this run of the process
-	newestKnown     uint64         // newest version that any server reported as chosen
-	heldBallot      register.Ballot
-	heldVersion     uint64 // version synced to this server's disk
-	notedBallot     register.Ballot
-	unresolvedSince float64 // since when a value has not been known to be chosen; 0: all are
-	resolving       bool
-	openOrders      int // orders in progress
+	chosen          *meshpb.Config  // the newest known to be chosen; nil: none is
+	chosenHash      []byte          // hash of its text, for digests
+	confirmed       bool            // the known configuration was the newest one at some time in this run of the process
+	newestKnown     uint64          // newest version that any server reported as chosen
+	heldBallot      register.Ballot // ballot of the value synced to this server's disk
+	heldVersion     uint64          // version synced to this server's disk
+	notedBallot     register.Ballot // ballot of the newest value on this server, synced or not
+	unresolvedSince float64         // since when it has been unknown whether the newest value is chosen; 0: it is known
+	resolving       bool            // a read that resolves this is in progress
+	openOrders      int             // orders in progress
 	nextFetchAt     float64
 	fetchAttempts   int // since the last configuration arrived
 }
@@ -120,7 +120,7 @@
 // Order submits a valid configuration. answer is called exactly once.
 func (s *Server) Order(now float64, version uint64, text []byte, answer func(OrderResult)) {
 	reply := func(r OrderResult) {
-		s.counts.order(r)
+		s.counts.countOrder(r)
 		answer(r)
 	}
 	c := &s.configuration
@@ -145,7 +145,7 @@
 		}
 	}
 	c.openOrders++
-	kept := packed.Pack(text)
+	packedText := packed.Pack(text)
 	var result OrderResult
 	edit := func(old []byte) []byte {
 		held := decodeConfig(old)
@@ -153,7 +153,7 @@
 		if result, open = checkOrder(held, version, hash); !open {
 			return nil
 		}
-		body, err := proto.Marshal(applyOrder(held, version, kept, hash))
+		body, err := proto.Marshal(applyOrder(held, version, packedText, hash))
 		if err != nil {
 			return nil
 		}
@@ -239,11 +239,11 @@
 
 // restoreChosen restores the chosen configuration from disk. It was in force once, but may not be the newest.
 func (s *Server) restoreChosen(values map[string][]byte) {
-	noted := &meshpb.Ballot{}
-	if len(values[nameChosen]) == 0 || proto.Unmarshal(values[nameChosen], noted) != nil {
+	stored := &meshpb.Ballot{}
+	if len(values[nameChosen]) == 0 || proto.Unmarshal(values[nameChosen], stored) != nil {
 		return
 	}
-	if value, ballot := s.registers.LocalValue(configKey); ballot == register.FromWire(noted) {
+	if value, ballot := s.registers.LocalValue(configKey); ballot == register.FromWire(stored) {
 		s.configuration.setChosen(decodeConfig(value.GetBody()))
 	}
 }
--- a/internal/mesh/control/contact.go
+++ b/internal/mesh/control/contact.go
@@ -25,9 +25,9 @@
 // peer is what the digests of another member say about it.
 type peer struct {
 	member     view.Member
-	life       uint32
-	sequence   uint64
-	heardAt    float64
+	life       uint32  // identifies the run of its process
+	sequence   uint64  // of its newest digest
+	heardAt    float64 // when this server last received a new digest from it
 	seenAt     float64 // when this server, or another member by its own account, last received a new digest from it
 	ackedAt    float64 // sending time of the newest digest of this server that the peer acknowledged
 	fullSentAt float64 // when a full digest was last sent to it at its request
@@ -37,10 +37,10 @@
 }
 
 type contact struct {
-	peers        map[string]*peer // by address
-	sequence     uint64
-	sentAt       [digestTimesKept]float64
-	answeredAt   map[string]float64 // when a server last sent its view
+	peers        map[string]*peer         // by address
+	sequence     uint64                   // of this server's newest digest
+	sentAt       [digestTimesKept]float64 // sending times of this server's digests, by sequence modulo digestTimesKept
+	answeredAt   map[string]float64       // when a server last sent its view
 	wasInContact bool
 }
 
@@ -161,11 +161,11 @@
 // tickContact aborts all register changes in progress when contact is lost, so that no caller waits for an answer that cannot
 // come.
 func (s *Server) tickContact(now float64) {
-	is := s.inContact(now)
-	if is != s.contact.wasInContact {
-		s.contact.wasInContact = is
-		s.options.Log("contact", "quorum", is, "epoch", s.view().Epoch)
-		if !is {
+	inContact := s.inContact(now)
+	if inContact != s.contact.wasInContact {
+		s.contact.wasInContact = inContact
+		s.options.Log("contact", "quorum", inContact, "epoch", s.view().Epoch)
+		if !inContact {
 			s.registers.Abort(now)
 		}
 		s.propagation.changed = true
--- a/internal/mesh/control/coordinator.go
+++ b/internal/mesh/control/coordinator.go
@@ -112,7 +112,7 @@
 		}
 		return v.Abandon(), true
 	}
-	return s.planExchange(now)
+	return s.planReplacement(now)
 }
 
 // newMajorityAlive reports whether a majority of the members of the coming view has been heard recently. Without that majority
@@ -126,9 +126,9 @@
 	})
 }
 
-// planExchange selects a joiner and the member that it replaces. A member whose disk was lost is replaced first, by the server at
-// its own address, then a silent member, then a leaving one.
-func (s *Server) planExchange(now float64) (next view.View, change bool) {
+// planReplacement selects a joiner and the member that it replaces. A member whose disk was lost is replaced first, by the server
+// at its own address, then a silent member, then a leaving one.
+func (s *Server) planReplacement(now float64) (next view.View, change bool) {
 	v := s.view()
 	var joiners []view.Member
 	for _, address := range sorted(s.membership.standbys) {
--- a/internal/mesh/control/homed.go
+++ b/internal/mesh/control/homed.go
@@ -18,8 +18,8 @@
 
 // homedSource is a member that is asked for its keys.
 type homedSource struct {
-	life        uint32
-	position    uint64
+	life        uint32 // identifies the run of the member's process
+	position    uint64 // position in the member's sequence of changes up to which it was read
 	requestedAt float64
 	requestID   uint64 // of the open request
 	done        bool
@@ -41,9 +41,9 @@
 	if !s.Voting() || s.view().Joint() || s.membership.epochSettled || s.registers.KnowsHomedKeys() {
 		return
 	}
-	wanted := s.view().Majority() - 1
+	remaining := s.view().Majority() - 1
 	for _, address := range rendezvous.Order(s.options.Self, s.view().Addresses()) {
-		if wanted == 0 {
+		if remaining == 0 {
 			return
 		}
 		if address == s.options.Self {
@@ -56,7 +56,7 @@
 			s.sendHomedRequest(now, address, from)
 		}
 		if from.done || now < from.requestedAt+homedRetryAfter {
-			wanted--
+			remaining--
 			continue
 		}
 		s.sendHomedRequest(now, address, from)
--- a/internal/mesh/control/membership.go
+++ b/internal/mesh/control/membership.go
@@ -51,7 +51,7 @@
 	member      view.Member
 	heardAt     float64
 	caughtUp    bool
-	syncedEpoch uint64
+	syncedEpoch uint64 // joint epoch for which it has read everything
 }
 
 type membership struct {
@@ -264,8 +264,8 @@
 		return
 	}
 	var members []view.Member
-	for _, founder := range m.bootstrapMembers {
-		members = append(members, founder)
+	for _, member := range m.bootstrapMembers {
+		members = append(members, member)
 	}
 	s.configuration.confirmed = true
 	s.adoptView(now, view.Initial(s.random.Next()|1, members))
--- a/internal/mesh/control/propagation.go
+++ b/internal/mesh/control/propagation.go
@@ -19,8 +19,8 @@
 	silentAfter             = 7.0  // seconds without word of a proxy, on any server, after which its host gets no requests
 	pullHoldTimeout         = 0.7  // seconds after which a pull is answered even if the proxy lacks nothing
 	informTimeout           = 0.6  // seconds in contact after which a new server answers pulls with the records it has
-	maxHeldPulls            = 4096
-	maxSources              = 8192
+	maxHeldPulls            = 4096 // pulls that wait for a change
+	maxSources              = 8192 // sources that are tracked
 )
 
 // heldPull is a pull that waits for a change.
@@ -29,7 +29,7 @@
 	id    uint64
 	life  uint64
 	pull  *meshpb.Pull
-	until float64
+	until float64 // when the pull is answered at the latest
 }
 
 type propagation struct {
@@ -146,7 +146,7 @@
 	return sources
 }
 
-// hasUnaskedAccused reports whether there is an accused host of which the proxy has not been asked yet for its observations.
+// hasUnaskedAccused reports whether the proxy has yet to be asked for its observations of an accused host.
 func (s *Server) hasUnaskedAccused(pull *meshpb.Pull) bool {
 	return slices.ContainsFunc(s.ejections.accused, func(host string) bool {
 		return !slices.Contains(pull.Accused, host)
--- a/internal/mesh/control/server.go
+++ b/internal/mesh/control/server.go
@@ -152,6 +152,7 @@
 	}
 }
 
+// stampSender sets the epoch and the incarnation of a message, unless they are set already or the message answers a proxy.
 func (s *Server) stampSender(m *meshpb.Message) {
 	if m.Incarnation != 0 || m.Update != nil || m.Claimed != nil || m.Pong != nil || m.Lease != nil {
 		return
@@ -258,9 +259,10 @@
 	s.registers.Settle(now, m.Settle.Key, receipt, m.Settle.IfFree, s.claimAnswer(from, m, receipt.GetToken(), false))
 }
 
-func (s *Server) claimAnswer(from string, question *meshpb.Message, token uint64, withReceipt bool) func(register.State,
+// claimAnswer returns the function that answers a claim, or a settle if withReceipt is false.
+func (s *Server) claimAnswer(from string, request *meshpb.Message, token uint64, withReceipt bool) func(register.State,
 	*meshpb.Receipt) {
-	id, life := question.Id, question.Life
+	id, life := request.Id, request.Life
 	return func(state register.State, held *meshpb.Receipt) {
 		c := &meshpb.Claimed{State: state, Token: token}
 		switch {
--- a/internal/mesh/control/state.go
+++ b/internal/mesh/control/state.go
@@ -25,7 +25,7 @@
 	Violations map[invariant.Name]uint64 `json:"violations,omitempty"` // by invariant; any value above 0 is a fault
 }
 
-func (c *Counts) order(r OrderResult) {
+func (c *Counts) countOrder(r OrderResult) {
 	if c.Orders == nil {
 		c.Orders = map[string]uint64{}
 	}
