--- a/cmd/beechwing-control/calls.go
+++ b/cmd/beechwing-control/calls.go
@@ -165,7 +165,7 @@
 	page.Gauge("beechwing_control_epoch", float64(s.Epoch))
 	page.Gauge("beechwing_control_members", float64(len(s.Members)))
 	page.Gauge("beechwing_control_standbys", float64(len(s.Standbys)))
-	page.Gauge("beechwing_control_silent_members", float64(len(s.Silent)))
+	page.Gauge("beechwing_control_silent_members", float64(len(s.SilentMembers)))
 	page.Gauge("beechwing_control_last_contact_seconds", s.SinceContactSeconds)
 	disk := p.writer.Figures()
 	page.Flag("beechwing_control_disk_failing", disk.Condition != store.Healthy)
@@ -179,8 +179,8 @@
 	for _, a := range s.Assignments {
 		page.Gauge("beechwing_control_assignment_epoch", float64(a.Epoch), "carrier", a.Service)
 		page.Gauge("beechwing_control_assignment_members", float64(a.Members), "carrier", a.Service)
-		page.Gauge("beechwing_control_assignment_waiting", float64(len(a.Waiting)), "carrier", a.Service)
+		page.Gauge("beechwing_control_assignment_waiting", float64(len(a.AwaitedMembers)), "carrier", a.Service)
 	}
-	page.Gauge("beechwing_control_roll", float64(len(s.Roll)))
+	page.Gauge("beechwing_control_roll", float64(len(s.Records)))
 	page.Gauge("beechwing_control_silent", float64(len(s.SilentProxies)))
 }
--- a/internal/mesh/control/assignment.go
+++ b/internal/mesh/control/assignment.go
@@ -358,8 +358,8 @@
 	Epoch           uint64   `json:"epoch"` // fencing token of the grants
 	EpochAgeSeconds float64  `json:"epochSeconds"`
 	Members         int      `json:"members"`
-	Wanted          int      `json:"wanted"`     // number of members that follow from the hosts known here
-	Waiting         []string `json:"waitingFor"` // former members that have not released the ranges that they lost
+	TargetMembers   int      `json:"wanted"`     // number of members that follow from the hosts known here
+	AwaitedMembers  []string `json:"waitingFor"` // former members that have not released the ranges that they lost
 }
 
 // state returns a snapshot of the assignments as this server knows them, without a read of the registers.
@@ -370,7 +370,8 @@
 			continue
 		}
 		all = append(all, AssignmentState{Service: service, Epoch: known.epoch(), EpochAgeSeconds: now - known.epochAt,
-			Members: len(known.table.Members), Wanted: len(known.targetMembers), Waiting: known.table.AwaitedMembers()})
+			Members: len(known.table.Members), TargetMembers: len(known.targetMembers),
+			AwaitedMembers: known.table.AwaitedMembers()})
 	}
 	return all
 }
--- a/internal/mesh/control/model_orders_test.go
+++ b/internal/mesh/control/model_orders_test.go
@@ -86,8 +86,8 @@
 // The checker finds each kind of violation.
 func TestOrderCheckerFinds(t *testing.T) {
 	for _, c := range []struct {
-		kind string
-		tell func(h *orderHistory)
+		kind   string
+		record func(h *orderHistory)
 	}{
 		{"", func(h *orderHistory) {
 			h.answered(1, "order 1, text 0", OrderTaken)
@@ -116,7 +116,7 @@
 		}},
 	} {
 		h := newOrderHistory()
-		c.tell(h)
+		c.record(h)
 		if found := h.violation != nil; found != (c.kind != "") || found && !strings.HasPrefix(h.violation.Error(), c.kind) {
 			t.Errorf("found %v, want %q", h.violation, c.kind)
 		}
--- a/internal/mesh/control/state.go
+++ b/internal/mesh/control/state.go
@@ -17,7 +17,7 @@
 	Granted     uint64            `json:"granted"`
 	Settles     uint64            `json:"settles"`
 	Unsure      uint64            `json:"unsure"`    // claims and settles for which no quorum was found in time
-	Untouched   uint64            `json:"untouched"` // claims refused at once: no contact, no disk, or overload
+	Untouched   uint64            `json:"untouched"` // claims that were not started: no contact, no disk, or overload
 	Pulls       uint64            `json:"pulls"`
 	Orders      map[string]uint64 `json:"orders"` // by result
 	ViewChanges uint64            `json:"viewChanges"`
@@ -47,19 +47,19 @@
 	ForeignDisk         bool                   `json:"foreignDisk"`
 	DiskFailing         string                 `json:"diskFailing,omitempty"` // why the disk accepts no writes; empty: it does
 	Standbys            []string               `json:"standbys"`
-	Silent              []string               `json:"silentMembers"`
+	SilentMembers       []string               `json:"silentMembers"`
 	HeldVersion         uint64                 `json:"held"`
 	InForceVersion      uint64                 `json:"inForce"`
 	Registers           int                    `json:"registers"`
 	Keys                map[string]int         `json:"keys"`
 	OldestClaimSeconds  float64                `json:"oldestClaimSeconds"`
-	Changes             int                    `json:"changes"`
+	ChangesInProgress   int                    `json:"changes"`
 	HeldPulls           int                    `json:"heldPulls"`
 	EjectionLists       []*meshpb.EjectionList `json:"ejectionLists"`
 	SilentProxies       []string               `json:"silent"`
 	Assignments         []AssignmentState      `json:"assignments"`
 	Counts              Counts                 `json:"counts"`
-	Roll                []*meshpb.Record       `json:"roll"`
+	Records             []*meshpb.Record       `json:"roll"`
 }
 
 // State returns a snapshot of this server.
@@ -67,10 +67,9 @@
 	v := s.view()
 	state := State{Epoch: v.Epoch, Members: v.Members, Next: v.Next, Incarnation: s.self.Incarnation, Member: s.isMember(),
 		Voting: s.Voting(), InContact: s.inContact(now), SinceContactSeconds: -1, Behind: s.mayBeStale(now),
-		CaughtUp:    s.catchup.caughtUp,
-		ForeignDisk: s.membership.foreign, Standbys: sorted(s.membership.standbys), HeldVersion: s.configuration.heldVersion,
-		InForceVersion: s.configuration.chosenVersion(), HeldPulls: len(s.propagation.heldPulls),
-		EjectionLists: s.wireEjections(now),
+		CaughtUp: s.catchup.caughtUp, ForeignDisk: s.membership.foreign, Standbys: sorted(s.membership.standbys),
+		HeldVersion: s.configuration.heldVersion, InForceVersion: s.configuration.chosenVersion(),
+		HeldPulls: len(s.propagation.heldPulls), EjectionLists: s.wireEjections(now),
 		SilentProxies: s.silentSources(now), Assignments: s.assignments.state(now), Counts: s.counts}
 	if s.disk.failing {
 		state.DiskFailing = cmp.Or(s.disk.reason, "stalled")
@@ -80,21 +79,21 @@
 	}
 	for _, address := range v.Addresses() {
 		if address != s.options.Self && s.silent(now, address, replaceAfter) {
-			state.Silent = append(state.Silent, address)
+			state.SilentMembers = append(state.SilentMembers, address)
 		}
 	}
-	state.Registers, state.Changes = s.registers.Size()
+	state.Registers, state.ChangesInProgress = s.registers.Size()
 	state.Keys, state.OldestClaimSeconds = s.registers.StateCounts(now)
 	for _, r := range s.propagation.records {
 		if !r.IsTombstone() {
-			state.Roll = append(state.Roll, proto.Clone(r).(*meshpb.Record))
+			state.Records = append(state.Records, proto.Clone(r).(*meshpb.Record))
 		}
 	}
-	slices.SortFunc(state.Roll, func(a, b *meshpb.Record) int { return cmp.Compare(a.Source, b.Source) })
+	slices.SortFunc(state.Records, func(a, b *meshpb.Record) int { return cmp.Compare(a.Source, b.Source) })
 	state.Counts.Violations = s.checks.Counts()
 	state.Counts.Orders = map[string]uint64{}
-	for end, n := range s.counts.Orders {
-		state.Counts.Orders[end] = n
+	for result, n := range s.counts.Orders {
+		state.Counts.Orders[result] = n
 	}
 	return state
 }
--- a/internal/mesh/simulation/forgotten_test.go
+++ b/internal/mesh/simulation/forgotten_test.go
@@ -58,7 +58,7 @@
 func wantForgotten(t *testing.T, name string, w *World, proxies []*Proxy, out *Proxy) {
 	t.Helper()
 	for _, h := range w.Servers {
-		for _, r := range h.server.State(w.Now).Roll {
+		for _, r := range h.server.State(w.Now).Records {
 			if r.Source == out.addr {
 				t.Errorf("%s: server %s knows it", name, h.addr)
 			}
