--- a/internal/mesh/control/homed.go
+++ b/internal/mesh/control/homed.go
@@ -10,7 +10,8 @@
 
 // The home of a key is the member that normally proposes for it. After a change of view this server asks a majority of the
 // members for the keys from earlier epochs whose home it has become. It has to prepare ballots for these keys; claims of all
-// other keys take one round trip again (register.HomedKeyHashes). Until the answers are complete, all its claims take two round trips.
+// other keys take one round trip again (register.HomedKeyHashes). Until the answers are complete, all its claims take two round
+// trips.
 
 // homedRetryAfter is the number of seconds after which a member that has not answered is asked again, and one more member with
 // it. Larger: claims take two round trips for longer after a loss. Smaller: a busy member scans its registers twice.
