--- a/internal/places/callers.go
+++ b/internal/places/callers.go
@@ -24,7 +24,7 @@
 
 // group is a caller's connections of one kind. Book ranks groups by their size.
 type group struct {
-	seats chain[Seat]
+	seats chain[Conn]
 	rank  link[group]
 }
 
@@ -32,11 +32,11 @@
 // came first gives way first, whoever's it is.
 const ranked = 3
 
-var grouped = [kinds]int8{Lingering: -1, Silent: 0, Partial: -1, Trial: -1, Once: 1, Often: 2, Active: -1, Ending: -1,
-	Over: -1, Gone: -1}
+var grouped = [kinds]int8{StateLingering: -1, StateNew: 0, StatePartial: -1, StateTrial: -1, StateIdleOnce: 1, StateIdleReused: 2, StateActive: -1, StateClosing: -1,
+	StateOverLimit: -1, StateRemoved: -1}
 
 // origin is what counts as one caller: an IPv4 address, or the IPv6 network that a site gets (RFC 6177: a /64 at least).
-func (b *Book) origin(a netip.Addr) netip.Addr {
+func (b *ConnTable) origin(a netip.Addr) netip.Addr {
 	if !b.cfg.ByAddress {
 		return netip.Addr{}
 	}
@@ -49,14 +49,14 @@
 }
 
 // move puts a seat into the chains of its next kind.
-func (b *Book) move(now time.Duration, s *Seat, k Kind) {
+func (b *ConnTable) move(now time.Duration, s *Conn, k State) {
 	was := s.kind
-	if was != Gone {
+	if was != StateRemoved {
 		s.all.drop()
 		b.regroup(s, -1)
 	}
 	s.kind, s.since = k, now
-	if k != Gone {
+	if k != StateRemoved {
 		b.seats[k].push(&s.all, s)
 		b.regroup(s, 1)
 	}
@@ -64,12 +64,12 @@
 }
 
 // regroup takes a seat out of its caller's group or puts it there, and ranks the group anew.
-func (b *Book) regroup(s *Seat, way int) {
+func (b *ConnTable) regroup(s *Conn, way int) {
 	if s.caller == nil {
 		return
 	}
 	s.caller.age(s, way)
-	if s.kind == Ending {
+	if s.kind == StateClosing {
 		s.caller.ending += way
 	}
 	at := grouped[s.kind]
@@ -93,7 +93,7 @@
 }
 
 // age counts an idle connection of a crowd by the arrival at which it became idle, or takes it out of the count.
-func (c *caller) age(s *Seat, way int) {
+func (c *caller) age(s *Conn, way int) {
 	switch {
 	case way > 0 && (c.crowd == nil || !s.kind.Idle()), way < 0 && (c.crowd == nil || s.counts != c.crowd):
 		s.counts = nil
@@ -115,7 +115,7 @@
 // gather begins to judge a caller's idle connections, from the ones that it has.
 func (c *caller) gather() {
 	c.crowd = new(crowd)
-	for _, k := range []Kind{Once, Often} {
+	for _, k := range []State{StateIdleOnce, StateIdleReused} {
 		for l := c.groups[grouped[k]].seats.first; l != nil; l = l.next {
 			l.item.mark = c.arrivals
 			c.age(l.item, 1)
--- a/internal/places/kinds.go
+++ b/internal/places/kinds.go
@@ -1,40 +1,40 @@
 package places
 
-// Kind is what a connection is at. Those before Active can give way, in this order.
-type Kind uint8
+// State is what a connection is at. Those before Active can give way, in this order.
+type State uint8
 
 // The kinds.
 const (
-	Lingering Kind = iota // has its last answer, and may yet read it
-	Silent                // has brought nothing yet
-	Partial               // its first request has begun to come
-	Trial                 // idle, judged useless, and kept to see whether that is right
-	Once                  // idle after its only request
-	Often                 // idle after two requests or more
-	Active                // a further request is coming, or one is worked on
-	Ending                // told to end
-	Over                  // beyond the limit: gets an error for its first request
-	Gone                  // has left, or never came
+	StateLingering  State = iota // has its last answer, and may yet read it
+	StateNew                     // has brought nothing yet
+	StatePartial                 // its first request has begun to come
+	StateTrial                   // idle, judged useless, and kept to see whether that is right
+	StateIdleOnce                // idle after its only request
+	StateIdleReused              // idle after two requests or more
+	StateActive                  // a further request is coming, or one is worked on
+	StateClosing                 // told to end
+	StateOverLimit               // beyond the limit: gets an error for its first request
+	StateRemoved                 // has left, or never came
 	kinds
 )
 
 var kindNames = [kinds]string{"lingering", "silent", "partial", "trial", "idle, used once", "idle, used often", "active",
 	"ending", "over", "gone"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k State) String() string { return kindNames[k] }
 
 // Idle says whether no request of the connection is open, and it has had one.
-func (k Kind) Idle() bool { return k == Trial || k == Once || k == Often }
+func (k State) Idle() bool { return k == StateTrial || k == StateIdleOnce || k == StateIdleReused }
 
 // Cause is why a connection was told to end.
 type Cause uint8
 
 // The causes.
 const (
-	Full    Cause = iota // its place was wanted for another
-	Unused               // its caller opens others instead of using it
-	Timed                // it was idle, or brought nothing whole, for too long
-	Drained              // all of them end
+	CauseFull          Cause = iota // its place was wanted for another
+	CauseUnlikelyReuse              // its caller opens others instead of using it
+	CauseTimeout                    // it was idle, or brought nothing whole, for too long
+	CauseDrain                      // all of them end
 	causes
 )
 
--- a/internal/places/places.go
+++ b/internal/places/places.go
@@ -10,17 +10,17 @@
 
 // Config holds the limits. Times are those of each kind while at most half of the places are taken.
 type Config struct {
-	Most      int           // connections at once, those beyond it that get an error not counted
-	Fresh     time.Duration // from its coming, for a connection to bring its first request whole
-	Late      time.Duration // a first request that has begun to come is safe for this
-	Idle      time.Duration // between two requests
-	IdleLeast time.Duration // the same with all places taken; in between it falls in proportion
-	ByAddress bool          // each address is a caller of its own; otherwise all connections are one's, as of one application
+	MaxConns            int           // connections at once, those beyond it that get an error not counted
+	FirstRequestTimeout time.Duration // from its coming, for a connection to bring its first request whole
+	PartialProtection   time.Duration // a first request that has begun to come is safe for this
+	IdleTimeout         time.Duration // between two requests
+	MinIdleTimeout      time.Duration // the same with all places taken; in between it falls in proportion
+	ByAddress           bool          // each address is a caller of its own; otherwise all connections are one's, as of one application
 }
 
-// Seat is one connection's entry. Only the Book writes it.
-type Seat struct {
-	kind   Kind
+// Conn is one connection's entry. Only the Book writes it.
+type Conn struct {
+	kind   State
 	again  bool   // it has brought two requests or more
 	served bool   // it has brought a request
 	mark   uint32 // its caller's arrivals when it became idle
@@ -28,20 +28,20 @@
 	since  time.Duration
 	caller *caller
 	holder any
-	all    link[Seat] // among all of its kind, in the order in which they came to it
-	own    link[Seat] // among its caller's
+	all    link[Conn] // among all of its kind, in the order in which they came to it
+	own    link[Conn] // among its caller's
 }
 
-// Kind says what the connection is at.
-func (s *Seat) Kind() Kind { return s.kind }
+// State says what the connection is at.
+func (s *Conn) State() State { return s.kind }
 
-// Holder is what the connection was entered with.
-func (s *Seat) Holder() any { return s.holder }
+// Value is what the connection was entered with.
+func (s *Conn) Value() any { return s.holder }
 
-// Book holds all connections of callers. It is not safe for concurrent use.
-type Book struct {
+// ConnTable holds all connections of callers. It is not safe for concurrent use.
+type ConnTable struct {
 	cfg     Config
-	seats   [kinds]chain[Seat]
+	seats   [kinds]chain[Conn]
 	ranks   [ranked][classes]chain[group]
 	callers map[netip.Addr]*caller
 	open    int // that have places
@@ -51,30 +51,32 @@
 	once    reuse
 	often   reuse
 	skipped int     // judged useless since the last trial
-	named   []*Seat // told to end, and not yet handed out by Reap
-	figures Figures
+	named   []*Conn // told to end, and not yet handed out by Reap
+	figures Stats
 }
 
-// New makes an empty book.
-func New(cfg Config) *Book { return &Book{cfg: cfg, callers: map[netip.Addr]*caller{}} }
+// NewConnTable makes an empty book.
+func NewConnTable(cfg Config) *ConnTable {
+	return &ConnTable{cfg: cfg, callers: map[netip.Addr]*caller{}}
+}
 
 // Configure changes the limits, but for who counts as one caller. What is over a lowered one is named by Reap as soon as
 // it can give way.
-func (b *Book) Configure(cfg Config) {
+func (b *ConnTable) Configure(cfg Config) {
 	cfg.ByAddress = b.cfg.ByAddress
 	b.cfg = cfg
 }
 
-// SetMost changes the limit of connections alone.
-func (b *Book) SetMost(n int) { b.cfg.Most = n }
+// SetMaxConns changes the limit of connections alone.
+func (b *ConnTable) SetMaxConns(n int) { b.cfg.MaxConns = n }
 
-// Enter gives a connection that was accepted a place. If the limit is reached another makes room, which is named by Reap;
+// Add gives a connection that was accepted a place. If the limit is reached another makes room, which is named by Reap;
 // if none can, the connection is Over. holder is whatever the connection is to its holder.
-func (b *Book) Enter(now time.Duration, from netip.Addr, s *Seat, holder any) {
-	*s = Seat{kind: Gone, since: now, holder: holder}
-	if b.Count() >= b.cfg.Most && !b.makeRoom(now) {
-		b.figures.Refused++
-		b.move(now, s, Over)
+func (b *ConnTable) Add(now time.Duration, from netip.Addr, s *Conn, holder any) {
+	*s = Conn{kind: StateRemoved, since: now, holder: holder}
+	if b.Count() >= b.cfg.MaxConns && !b.makeRoom(now) {
+		b.figures.Rejected++
+		b.move(now, s, StateOverLimit)
 		return
 	}
 	from = b.origin(from)
@@ -89,26 +91,26 @@
 	}
 	b.open++
 	s.caller = c
-	b.move(now, s, Silent)
-	b.figures.Entered++
+	b.move(now, s, StateNew)
+	b.figures.Added++
 }
 
-// Begin marks the first byte of a request.
-func (b *Book) Begin(now time.Duration, s *Seat) {
+// RequestStarted marks the first byte of a request.
+func (b *ConnTable) RequestStarted(now time.Duration, s *Conn) {
 	switch {
-	case s.kind == Silent:
-		b.move(now, s, Partial)
+	case s.kind == StateNew:
+		b.move(now, s, StatePartial)
 	case s.kind.Idle():
 		b.usedAgain(s)
-		b.move(now, s, Active)
+		b.move(now, s, StateActive)
 	}
 }
 
-// Work marks a request that has come whole.
-func (b *Book) Work(now time.Duration, s *Seat) {
-	b.Begin(now, s)
-	if s.kind != Active && s.kind < Ending {
-		b.move(now, s, Active)
+// RequestReceived marks a request that has come whole.
+func (b *ConnTable) RequestReceived(now time.Duration, s *Conn) {
+	b.RequestStarted(now, s)
+	if s.kind != StateActive && s.kind < StateClosing {
+		b.move(now, s, StateActive)
 	}
 	s.again, s.served = s.served, true
 	if s.caller != nil && !s.again {
@@ -116,44 +118,44 @@
 	}
 }
 
-// Rest marks the end of a request on a connection that goes on.
-func (b *Book) Rest(now time.Duration, s *Seat) {
+// RequestDone marks the end of a request on a connection that goes on.
+func (b *ConnTable) RequestDone(now time.Duration, s *Conn) {
 	switch {
-	case s.kind == Ending: // told to end while it had a request in its socket; now it has none
+	case s.kind == StateClosing: // told to end while it had a request in its socket; now it has none
 		b.named = append(b.named, s)
 		return
-	case s.kind > Ending:
+	case s.kind > StateClosing:
 		return
 	}
 	s.served = true
 	s.mark = s.caller.arrivals
 	switch {
 	case b.drains:
-		b.name(now, s, Drained)
+		b.name(now, s, CauseDrain)
 	case s.again:
-		b.move(now, s, Often)
+		b.move(now, s, StateIdleReused)
 	default:
-		b.move(now, s, Once)
+		b.move(now, s, StateIdleOnce)
 	}
 }
 
 // Drain lets Reap name all connections on which no request is coming or worked on, and from now on each as it comes to
 // rest. It may be called again for those that have come since.
-func (b *Book) Drain(now time.Duration) { b.drains, b.drained = true, now }
+func (b *ConnTable) Drain(now time.Duration) { b.drains, b.drained = true, now }
 
-// Part makes every request the last of its connection, and lets idle connections wait for theirs until Drain.
-func (b *Book) Part() { b.parts = true }
+// CloseAfterResponse makes every request the last of its connection, and lets idle connections wait for theirs until Drain.
+func (b *ConnTable) CloseAfterResponse() { b.parts = true }
 
 // Linger marks a connection that has its last answer.
-func (b *Book) Linger(now time.Duration, s *Seat) {
-	if s.kind < Ending {
-		b.move(now, s, Lingering)
+func (b *ConnTable) Linger(now time.Duration, s *Conn) {
+	if s.kind < StateClosing {
+		b.move(now, s, StateLingering)
 	}
 }
 
-// Leave takes a connection that has ended out of the book.
-func (b *Book) Leave(s *Seat) {
-	if s.kind == Gone {
+// Remove takes a connection that has ended out of the book.
+func (b *ConnTable) Remove(s *Conn) {
+	if s.kind == StateRemoved {
 		return
 	}
 	if c := s.caller; c != nil {
@@ -162,7 +164,7 @@
 			delete(b.callers, c.from)
 		}
 	}
-	b.move(0, s, Gone)
+	b.move(0, s, StateRemoved)
 	if c := s.caller; c != nil && c.open <= fewOwn/2 {
 		c.crowd = nil
 	}
@@ -170,7 +172,9 @@
 }
 
 // Count is how many connections hold places and were not told to end.
-func (b *Book) Count() int { return b.open - b.seats[Ending].length }
+func (b *ConnTable) Count() int { return b.open - b.seats[StateClosing].length }
 
-// Last says whether the connection ends with the request at hand.
-func (b *Book) Last(s *Seat) bool { return b.drains || b.parts || s.kind >= Ending }
+// ClosesAfterRequest says whether the connection ends with the request at hand.
+func (b *ConnTable) ClosesAfterRequest(s *Conn) bool {
+	return b.drains || b.parts || s.kind >= StateClosing
+}
--- a/internal/places/places_test.go
+++ b/internal/places/places_test.go
@@ -20,8 +20,8 @@
 }
 
 func testConfig(most int, byAddress bool) Config {
-	return Config{Most: most, Fresh: 2 * time.Second, Late: 50 * time.Millisecond, Idle: 30 * time.Second,
-		IdleLeast: 2 * time.Second, ByAddress: byAddress}
+	return Config{MaxConns: most, FirstRequestTimeout: 2 * time.Second, PartialProtection: 50 * time.Millisecond, IdleTimeout: 30 * time.Second,
+		MinIdleTimeout: 2 * time.Second, ByAddress: byAddress}
 }
 
 func address(n int) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}) }
@@ -29,14 +29,14 @@
 // world drives a Book as connections would, and checks after every step what must always hold.
 type world struct {
 	t     *rapid.T
-	b     *Book
+	b     *ConnTable
 	now   time.Duration
-	seats []*Seat
-	told  map[*Seat]bool
+	seats []*Conn
+	told  map[*Conn]bool
 }
 
-func (w *world) pick(want ...Kind) *Seat {
-	var of []*Seat
+func (w *world) pick(want ...State) *Conn {
+	var of []*Conn
 	for _, s := range w.seats {
 		if slices.Contains(want, s.kind) {
 			of = append(of, s)
@@ -50,40 +50,40 @@
 
 // reap takes what the book names. Only a connection that could give way may be among it.
 func (w *world) reap(n int) {
-	before := map[*Seat]Kind{}
+	before := map[*Conn]State{}
 	for _, s := range w.seats {
 		before[s] = s.kind
 	}
 	for _, s := range w.b.Reap(w.now, n) {
-		if before[s] == Active || before[s] >= Over || w.told[s] && before[s] != Ending {
+		if before[s] == StateActive || before[s] >= StateOverLimit || w.told[s] && before[s] != StateClosing {
 			w.t.Fatalf("named from %v", before[s])
 		}
 		w.told[s] = true
 	}
 }
 
-func (w *world) leave(s *Seat) {
-	w.b.Leave(s)
-	w.seats = slices.DeleteFunc(w.seats, func(o *Seat) bool { return o == s })
+func (w *world) leave(s *Conn) {
+	w.b.Remove(s)
+	w.seats = slices.DeleteFunc(w.seats, func(o *Conn) bool { return o == s })
 	delete(w.told, s)
 }
 
 func (w *world) enter(from netip.Addr) {
-	yields := w.pick(Lingering, Silent, Trial, Once, Often) != nil
-	s := new(Seat)
+	yields := w.pick(StateLingering, StateNew, StateTrial, StateIdleOnce, StateIdleReused) != nil
+	s := new(Conn)
 	held := w.b.Count()
-	w.b.Enter(w.now, from, s, nil)
+	w.b.Add(w.now, from, s, nil)
 	w.seats = append(w.seats, s)
-	if s.kind == Over && (yields || held < w.b.cfg.Most) {
-		w.t.Fatalf("turned down with %d of %d held and others to give way", held, w.b.cfg.Most)
+	if s.kind == StateOverLimit && (yields || held < w.b.cfg.MaxConns) {
+		w.t.Fatalf("turned down with %d of %d held and others to give way", held, w.b.cfg.MaxConns)
 	}
 }
 
 func (w *world) check() {
-	if w.b.Count() > w.b.cfg.Most && w.pick(Lingering, Silent, Trial, Once, Often) != nil {
+	if w.b.Count() > w.b.cfg.MaxConns && w.pick(StateLingering, StateNew, StateTrial, StateIdleOnce, StateIdleReused) != nil {
 		w.reap(1 << 20)
-		if w.b.Count() > w.b.cfg.Most && w.pick(Lingering, Silent, Trial, Once, Often) != nil {
-			w.t.Fatalf("%d held, %d allowed, and some could give way", w.b.Count(), w.b.cfg.Most)
+		if w.b.Count() > w.b.cfg.MaxConns && w.pick(StateLingering, StateNew, StateTrial, StateIdleOnce, StateIdleReused) != nil {
+			w.t.Fatalf("%d held, %d allowed, and some could give way", w.b.Count(), w.b.cfg.MaxConns)
 		}
 	}
 	var held [kinds]int
@@ -94,8 +94,8 @@
 			callers[s.caller]++
 		}
 	}
-	if held != w.b.Figures().Held {
-		w.t.Fatalf("held %v, figures %v", held, w.b.Figures().Held)
+	if held != w.b.Stats().Held {
+		w.t.Fatalf("held %v, figures %v", held, w.b.Stats().Held)
 	}
 	if len(callers) != len(w.b.callers) {
 		w.t.Fatalf("%d callers, %d kept", len(callers), len(w.b.callers))
@@ -105,7 +105,7 @@
 			w.t.Fatalf("a caller has %d, counted %d of which %d end", n, c.open, c.ending)
 		}
 	}
-	if trials := held[Trial]; trials > w.b.trials() {
+	if trials := held[StateTrial]; trials > w.b.trials() {
 		w.t.Fatalf("%d trials", trials)
 	}
 }
@@ -114,10 +114,10 @@
 // give way, the limit holds once what can give way has done so, and nothing is kept of callers that have left.
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, told: map[*Seat]bool{}}
-		w.b = New(testConfig(rapid.IntRange(1, 40).Draw(t, "most"), rapid.Bool().Draw(t, "by address")))
-		idle := []Kind{Trial, Once, Often}
-		on := func(f func(time.Duration, *Seat), kinds ...Kind) func(*rapid.T) {
+		w := &world{t: t, told: map[*Conn]bool{}}
+		w.b = NewConnTable(testConfig(rapid.IntRange(1, 40).Draw(t, "most"), rapid.Bool().Draw(t, "by address")))
+		idle := []State{StateTrial, StateIdleOnce, StateIdleReused}
+		on := func(f func(time.Duration, *Conn), kinds ...State) func(*rapid.T) {
 			return func(*rapid.T) {
 				if s := w.pick(kinds...); s != nil {
 					f(w.now, s)
@@ -126,12 +126,12 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"enter": func(t *rapid.T) { w.enter(address(rapid.IntRange(1, 3).Draw(t, "from"))) },
-			"begin": on(w.b.Begin, append(idle, Silent, Ending)...),
-			"work":  on(w.b.Work, Partial, Active, Over),
-			"first": on(w.b.Work, Silent),
-			"rest":  on(w.b.Rest, Active, Ending),
-			"stop":  on(w.b.Linger, Active, Partial),
-			"leave": on(func(_ time.Duration, s *Seat) { w.leave(s) }, Ending, Lingering, Once, Often, Silent, Over, Active),
+			"begin": on(w.b.RequestStarted, append(idle, StateNew, StateClosing)...),
+			"work":  on(w.b.RequestReceived, StatePartial, StateActive, StateOverLimit),
+			"first": on(w.b.RequestReceived, StateNew),
+			"rest":  on(w.b.RequestDone, StateActive, StateClosing),
+			"stop":  on(w.b.Linger, StateActive, StatePartial),
+			"leave": on(func(_ time.Duration, s *Conn) { w.leave(s) }, StateClosing, StateLingering, StateIdleOnce, StateIdleReused, StateNew, StateOverLimit, StateActive),
 			"reap":  func(t *rapid.T) { w.reap(rapid.IntRange(1, 100).Draw(t, "at most")) },
 			"wait":  func(t *rapid.T) { w.now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond },
 			"limit": func(t *rapid.T) { w.b.Configure(testConfig(rapid.IntRange(1, 40).Draw(t, "most"), false)) },
@@ -145,18 +145,18 @@
 }
 
 // once opens a connection, asks once and keeps it.
-func once(b *Book, now time.Duration, from netip.Addr) *Seat {
-	s := new(Seat)
-	b.Enter(now, from, s, nil)
-	b.Work(now, s)
-	b.Rest(now, s)
+func once(b *ConnTable, now time.Duration, from netip.Addr) *Conn {
+	s := new(Conn)
+	b.Add(now, from, s, nil)
+	b.RequestReceived(now, s)
+	b.RequestDone(now, s)
 	return s
 }
 
-func reap(b *Book, now time.Duration) (out []*Seat) {
+func reap(b *ConnTable, now time.Duration) (out []*Conn) {
 	for _, s := range b.Reap(now, 1<<20) {
 		out = append(out, s)
-		b.Leave(s)
+		b.Remove(s)
 	}
 	return out
 }
@@ -164,7 +164,7 @@
 // TestPassedOver: of connections that one caller asks once on and keeps, a handful and the trials stay; while as many that
 // are used again stay all; and once uses at a distance are seen, connections of that distance are kept.
 func TestPassedOver(t *testing.T) {
-	b := New(testConfig(160, false))
+	b := NewConnTable(testConfig(160, false))
 	now := time.Duration(0)
 	for range 1000 {
 		now += 10 * time.Millisecond
@@ -174,12 +174,12 @@
 	if n := b.Count(); n > 30 {
 		t.Errorf("%d connections that nobody uses again are held", n)
 	}
-	if f := b.Figures(); f.Ended[Full] > 0 {
-		t.Errorf("%d gave way to a full house", f.Ended[Full])
+	if f := b.Stats(); f.Closed[CauseFull] > 0 {
+		t.Errorf("%d gave way to a full house", f.Closed[CauseFull])
 	}
 
-	b = New(testConfig(160, false))
-	pool := make([]*Seat, 100)
+	b = NewConnTable(testConfig(160, false))
+	pool := make([]*Conn, 100)
 	for i := range pool {
 		pool[i] = once(b, now, address(1))
 	}
@@ -194,11 +194,11 @@
 		if pool[i].kind.Idle() {
 			kept++
 		} else {
-			pool[i] = new(Seat)
-			b.Enter(now, address(1), pool[i], nil)
+			pool[i] = new(Conn)
+			b.Add(now, address(1), pool[i], nil)
 		}
-		b.Work(now, pool[i])
-		b.Rest(now, pool[i])
+		b.RequestReceived(now, pool[i])
+		b.RequestDone(now, pool[i])
 		used++
 		reap(b, now)
 	}
@@ -209,15 +209,15 @@
 
 // TestByAddress: an address that opens hundreds loses its own, not those of others that have one or two each.
 func TestByAddress(t *testing.T) {
-	b := New(testConfig(100, true))
-	var desks []*Seat
+	b := NewConnTable(testConfig(100, true))
+	var desks []*Conn
 	for n := range 60 {
 		desks = append(desks, once(b, 0, address(100+n/2)))
 	}
 	for range 1000 {
 		once(b, time.Second, address(1))
-		s := new(Seat)
-		b.Enter(time.Second, address(2), s, nil)
+		s := new(Conn)
+		b.Add(time.Second, address(2), s, nil)
 		reap(b, time.Second)
 	}
 	for n, s := range desks {
@@ -229,20 +229,20 @@
 
 // TestStay: idle connections stay for less as places run out, with no step on the way.
 func TestStay(t *testing.T) {
-	b := New(testConfig(1000, true))
-	last := b.stay(Once)
-	if last != b.cfg.Idle {
+	b := NewConnTable(testConfig(1000, true))
+	last := b.stay(StateIdleOnce)
+	if last != b.cfg.IdleTimeout {
 		t.Fatalf("empty: %v", last)
 	}
 	for n := range 1000 {
 		once(b, 0, address(n))
-		is := b.stay(Once)
+		is := b.stay(StateIdleOnce)
 		if is > last || last-is > 60*time.Millisecond {
 			t.Fatalf("%d held: from %v to %v", n, last, is)
 		}
 		last = is
 	}
-	if last != b.cfg.IdleLeast {
+	if last != b.cfg.MinIdleTimeout {
 		t.Fatalf("full: %v", last)
 	}
 }
@@ -250,9 +250,9 @@
 // BenchmarkBook: what an operation costs is the same with few connections held as with many.
 func BenchmarkBook(bench *testing.B) {
 	for _, held := range []int{1000, 10000, 100000} {
-		fill := func(most int) (*Book, []*Seat) {
-			b := New(testConfig(most, true))
-			seats := make([]*Seat, held)
+		fill := func(most int) (*ConnTable, []*Conn) {
+			b := NewConnTable(testConfig(most, true))
+			seats := make([]*Conn, held)
 			for i := range seats {
 				seats[i] = once(b, 0, address(i%5000))
 			}
@@ -265,8 +265,8 @@
 			b, seats := fill(4 * held)
 			for i := 0; bench.Loop(); i++ {
 				s := seats[i%held]
-				b.Work(0, s)
-				b.Rest(0, s)
+				b.RequestReceived(0, s)
+				b.RequestDone(0, s)
 			}
 		})
 		bench.Run(name("evict"), func(bench *testing.B) {
@@ -274,7 +274,7 @@
 			for bench.Loop() {
 				once(b, 0, address(1))
 				for _, s := range b.Reap(0, 8) {
-					b.Leave(s)
+					b.Remove(s)
 				}
 			}
 		})
@@ -283,7 +283,7 @@
 			now := time.Hour
 			for bench.Loop() { // all are over; one is ended and another comes, over as well by the next look
 				for _, s := range b.Reap(now, 1) {
-					b.Leave(s)
+					b.Remove(s)
 				}
 				now += time.Hour
 				once(b, now, address(7))
--- a/internal/places/shares.go
+++ b/internal/places/shares.go
@@ -5,47 +5,47 @@
 
 // The sides.
 const (
-	Callers Side = iota
-	Nodes
+	ClientSide Side = iota
+	HostSide
 	sides
 )
 
 func (s Side) other() Side { return sides - 1 - s }
 
-// Shares divides a number of connections between two sides. Each has a least part that is always its own; what is beyond
+// SharedLimit divides a number of connections between two sides. Each has a least part that is always its own; what is beyond
 // both is whoever's needs it first, and comes back when its holder lets go of it. It is not safe for concurrent use.
-type Shares struct {
+type SharedLimit struct {
 	total int
 	least [sides]int
 	held  [sides]int
 	lacks [sides]bool // was refused since it last got one
 }
 
-// NewShares divides total. The two least parts together are at most that.
-func NewShares(total, leastCallers, leastNodes int) *Shares {
-	return &Shares{total: total, least: [sides]int{leastCallers, leastNodes}}
+// NewSharedLimit divides total. The two least parts together are at most that.
+func NewSharedLimit(total, leastCallers, leastNodes int) *SharedLimit {
+	return &SharedLimit{total: total, least: [sides]int{leastCallers, leastNodes}}
 }
 
 // Limit is how many connections a side may hold now.
-func (s *Shares) Limit(side Side) int {
+func (s *SharedLimit) Limit(side Side) int {
 	return s.total - max(s.least[side.other()], s.held[side.other()])
 }
 
-// Most is how many a side may ever hold.
-func (s *Shares) Most(side Side) int { return s.total - s.least[side.other()] }
+// MaxLimit is how many a side may ever hold.
+func (s *SharedLimit) MaxLimit(side Side) int { return s.total - s.least[side.other()] }
 
 // Claim notes that a side wants to hold n connections, and gives how many it may hold. It holds the less of the two from
 // then on, but never has to give up what it holds: a limit does not fall under that.
-func (s *Shares) Claim(side Side, n int) int {
+func (s *SharedLimit) Claim(side Side, n int) int {
 	limit := s.Limit(side)
 	s.held[side] = min(n, limit)
 	s.lacks[side] = n > limit
 	return limit
 }
 
-// Owes is how many connections a side holds beyond its own part while the other was refused one: what it should give back
+// Surplus is how many connections a side holds beyond its own part while the other was refused one: what it should give back
 // as soon as they are idle.
-func (s *Shares) Owes(side Side) int {
+func (s *SharedLimit) Surplus(side Side) int {
 	if !s.lacks[side.other()] {
 		return 0
 	}
--- a/internal/places/shares_test.go
+++ b/internal/places/shares_test.go
@@ -11,8 +11,8 @@
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		least := [sides]int{rapid.IntRange(0, 20).Draw(t, "callers"), rapid.IntRange(0, 20).Draw(t, "nodes")}
-		total := least[Callers] + least[Nodes] + rapid.IntRange(0, 20).Draw(t, "lent")
-		s := NewShares(total, least[Callers], least[Nodes])
+		total := least[ClientSide] + least[HostSide] + rapid.IntRange(0, 20).Draw(t, "lent")
+		s := NewSharedLimit(total, least[ClientSide], least[HostSide])
 		held := [sides]int{}
 		side := func(t *rapid.T) Side { return Side(rapid.IntRange(0, 1).Draw(t, "side")) }
 		t.Repeat(map[string]func(*rapid.T){
@@ -22,8 +22,8 @@
 					held[x]++
 				} else if held[x] < least[x] {
 					t.Fatalf("%v holds %d of its %d and gets no more", x, held[x], least[x])
-				} else if o := x.other(); held[o] > least[o] && s.Owes(o) != held[o]-least[o] {
-					t.Fatalf("the other holds %d, %d its own, and owes %d", held[o], least[o], s.Owes(o))
+				} else if o := x.other(); held[o] > least[o] && s.Surplus(o) != held[o]-least[o] {
+					t.Fatalf("the other holds %d, %d its own, and owes %d", held[o], least[o], s.Surplus(o))
 				}
 			},
 			"give": func(t *rapid.T) {
@@ -33,11 +33,11 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if held[Callers]+held[Nodes] > total {
+				if held[ClientSide]+held[HostSide] > total {
 					t.Fatalf("%v held of %d", held, total)
 				}
 				for x := range sides {
-					if s.Limit(x) < held[x] || s.Limit(x) > s.Most(x) || s.held[x] != held[x] {
+					if s.Limit(x) < held[x] || s.Limit(x) > s.MaxLimit(x) || s.held[x] != held[x] {
 						t.Fatalf("%v: limit %d, %d held", x, s.Limit(x), held[x])
 					}
 				}
--- a/internal/places/yield.go
+++ b/internal/places/yield.go
@@ -10,10 +10,10 @@
 const trialEvery = 8
 
 // trials bounds those kept so at a time.
-func (b *Book) trials() int { return max(1, b.cfg.Most/16) }
+func (b *ConnTable) trials() int { return max(1, b.cfg.MaxConns/16) }
 
 // arrive counts a connection's first request: each idle one of its caller's has been passed over once more.
-func (b *Book) arrive(now time.Duration, c *caller) {
+func (b *ConnTable) arrive(now time.Duration, c *caller) {
 	c.arrivals++
 	if c.crowd == nil {
 		return
@@ -23,12 +23,12 @@
 		b.often.reach(s, c.crowd.often.came(c.arrivals, s))
 	}
 	want := wantLow + (wantTop-wantLow)*b.press()
-	b.dismiss(now, c, Once, b.once.cut(want))
-	b.dismiss(now, c, Often, b.often.cut(want))
+	b.dismiss(now, c, StateIdleOnce, b.once.cut(want))
+	b.dismiss(now, c, StateIdleReused, b.often.cut(want))
 }
 
 // dismiss names a caller's idle connections that have been passed over cut times or more, but for a few trials.
-func (b *Book) dismiss(now time.Duration, c *caller, k Kind, cut uint32) {
+func (b *ConnTable) dismiss(now time.Duration, c *caller, k State, cut uint32) {
 	if cut == 0 {
 		return
 	}
@@ -37,17 +37,17 @@
 		if s == nil || c.arrivals-s.mark < cut || c.open-c.ending <= fewOwn {
 			return
 		}
-		if b.skipped++; b.skipped >= trialEvery && b.seats[Trial].length < b.trials() {
+		if b.skipped++; b.skipped >= trialEvery && b.seats[StateTrial].length < b.trials() {
 			b.skipped = 0
-			b.move(now, s, Trial)
+			b.move(now, s, StateTrial)
 			continue
 		}
-		b.name(now, s, Unused)
+		b.name(now, s, CauseUnlikelyReuse)
 	}
 }
 
 // usedAgain takes note that an idle connection has brought a further request.
-func (b *Book) usedAgain(s *Seat) {
+func (b *ConnTable) usedAgain(s *Conn) {
 	b.figures.Reused++
 	if s.caller.crowd == nil {
 		return
@@ -57,22 +57,22 @@
 	}
 }
 
-func (b *Book) reuseOf(s *Seat) *reuse {
+func (b *ConnTable) reuseOf(s *Conn) *reuse {
 	if s.again {
 		return &b.often
 	}
 	return &b.once
 }
 
-// Shed names the connection that is missed least, where something else than the limit is short.
-func (b *Book) Shed(now time.Duration) { b.makeRoom(now) }
+// Evict names the connection that is missed least, where something else than the limit is short.
+func (b *ConnTable) Evict(now time.Duration) { b.makeRoom(now) }
 
-// FreeTurn names a connection that is being read for little: one that has its last answer, or whose first request has been
+// EvictReading names a connection that is being read for little: one that has its last answer, or whose first request has been
 // coming for long.
-func (b *Book) FreeTurn(now time.Duration) {
-	for _, k := range []Kind{Lingering, Partial} {
+func (b *ConnTable) EvictReading(now time.Duration) {
+	for _, k := range []State{StateLingering, StatePartial} {
 		if s := b.least(now, k); s != nil {
-			b.name(now, s, Full)
+			b.name(now, s, CauseFull)
 			return
 		}
 	}
@@ -80,10 +80,10 @@
 
 // makeRoom names the connection that is missed least, if any can give way. The one told to end holds its descriptor for
 // a moment more, which is not counted.
-func (b *Book) makeRoom(now time.Duration) bool {
-	for k := Lingering; k < Active; k++ {
+func (b *ConnTable) makeRoom(now time.Duration) bool {
+	for k := StateLingering; k < StateActive; k++ {
 		if s := b.least(now, k); s != nil {
-			b.name(now, s, Full)
+			b.name(now, s, CauseFull)
 			return true
 		}
 	}
@@ -91,11 +91,11 @@
 }
 
 // least is the connection of a kind that gives way first: the oldest of a caller that holds most of that kind.
-func (b *Book) least(now time.Duration, k Kind) *Seat {
+func (b *ConnTable) least(now time.Duration, k State) *Conn {
 	g := grouped[k]
 	if g < 0 {
 		s := b.seats[k].front()
-		if k == Partial && s != nil && now-s.since < b.cfg.Late {
+		if k == StatePartial && s != nil && now-s.since < b.cfg.PartialProtection {
 			return nil
 		}
 		return s
@@ -109,31 +109,31 @@
 }
 
 // name tells a connection to end. From then on its place counts as free.
-func (b *Book) name(now time.Duration, s *Seat, why Cause) {
-	b.figures.Ended[why]++
-	b.move(now, s, Ending)
+func (b *ConnTable) name(now time.Duration, s *Conn, why Cause) {
+	b.figures.Closed[why]++
+	b.move(now, s, StateClosing)
 	b.named = append(b.named, s)
 }
 
 // Reap names up to n connections that are to end now. One that was named gets no further request, but for one that is
 // whole in its socket already.
-func (b *Book) Reap(now time.Duration, n int) []*Seat {
-	for b.Count() > b.cfg.Most && len(b.named) < n && b.makeRoom(now) {
+func (b *ConnTable) Reap(now time.Duration, n int) []*Conn {
+	for b.Count() > b.cfg.MaxConns && len(b.named) < n && b.makeRoom(now) {
 	}
-	for _, k := range []Kind{Lingering, Silent, Trial, Once, Often} {
+	for _, k := range []State{StateLingering, StateNew, StateTrial, StateIdleOnce, StateIdleReused} {
 		within := b.stay(k)
 		for s := b.seats[k].front(); s != nil && len(b.named) < n; s = b.seats[k].front() {
 			if b.drains && s.since <= b.drained {
-				b.name(now, s, Drained)
-			} else if k != Lingering && now-s.since >= within { // which its holder bounds
-				b.name(now, s, Timed)
+				b.name(now, s, CauseDrain)
+			} else if k != StateLingering && now-s.since >= within { // which its holder bounds
+				b.name(now, s, CauseTimeout)
 			} else {
 				break
 			}
 		}
 	}
 	n = min(n, len(b.named))
-	out := slices.DeleteFunc(b.named[:n:n], func(s *Seat) bool { return s.kind != Ending }) // has left by itself
+	out := slices.DeleteFunc(b.named[:n:n], func(s *Conn) bool { return s.kind != StateClosing }) // has left by itself
 	if b.named = b.named[n:]; len(b.named) == 0 {
 		b.named = nil
 	}
@@ -141,16 +141,16 @@
 }
 
 // press says how short places are: 0 up to half of them, 1 with all taken.
-func (b *Book) press() float64 {
-	return min(1, max(0, 2*float64(b.Count())/float64(max(1, b.cfg.Most))-1))
+func (b *ConnTable) press() float64 {
+	return min(1, max(0, 2*float64(b.Count())/float64(max(1, b.cfg.MaxConns))-1))
 }
 
 // stay is how long a connection may be of a kind. As in Envoy's overload manager ("scaled timeouts") idle ones stay for
 // less the fewer places are free, so that a full house is no step.
-func (b *Book) stay(k Kind) time.Duration {
-	if k == Silent {
-		return b.cfg.Fresh
+func (b *ConnTable) stay(k State) time.Duration {
+	if k == StateNew {
+		return b.cfg.FirstRequestTimeout
 	}
-	least := min(b.cfg.IdleLeast, b.cfg.Idle)
-	return b.cfg.Idle - time.Duration(b.press()*float64(b.cfg.Idle-least))
+	least := min(b.cfg.MinIdleTimeout, b.cfg.IdleTimeout)
+	return b.cfg.IdleTimeout - time.Duration(b.press()*float64(b.cfg.IdleTimeout-least))
 }
--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -46,8 +46,8 @@
 	wg             sync.WaitGroup // one per connection
 	mu             sync.Mutex     // guards what follows
 	open           int            // connections, including those over the limit that get an error response
-	connTable      *places.Book
-	admission      *places.Desk
+	connTable      *places.ConnTable
+	admission      *places.RequestQueue
 	warm           int  // idle connections that still have a goroutine and a reader
 	sheddingLogged bool // the log says that requests are refused unread
 	limitLogged    bool // the log says that the connection limit is reached
@@ -58,7 +58,7 @@
 	machineMax         int // connections that descriptors and memory allow
 	maxConns           int // connections allowed: machineMax or the configured limit, if that is lower
 	byAddress          bool
-	admission          places.DeskConfig
+	admission          places.RequestQueueConfig
 	goroutinePerParked bool // each parked connection has a goroutine instead of an epoll registration
 	maxWarm            int  // most connections that may stay unparked for a moment after a request
 }
@@ -67,8 +67,8 @@
 	bufs *wire.Pool, n *nameIndex, t timing, log *zap.Logger) (*frontend, error) {
 	f := &frontend{ln: ln, log: log, budget: r, closeIdleHostConns: closeIdleHostConns, owner: o, bufs: bufs, times: t,
 		limits: l, start: time.Now(), slotFreed: make(chan struct{}, 1), maintenanceDue: make(chan struct{}, 1),
-		closed: make(chan struct{}), stopped: make(chan struct{}), admission: places.NewDesk(l.admission),
-		connTable: places.New(connTableConfig(l, t))}
+		closed: make(chan struct{}), stopped: make(chan struct{}), admission: places.NewRequestQueue(l.admission),
+		connTable: places.NewConnTable(connTableConfig(l, t))}
 	f.names.Store(n)
 	r.onHostShortage = func() { signal(f.maintenanceDue) }
 	wake := func(holder any) { f.wake(holder.(*clientConn)) }
@@ -87,7 +87,7 @@
 	defer timer.Stop()
 	for {
 		f.mu.Lock()
-		free := f.open < min(f.limits.maxConns, f.budget.limit(places.Callers))+overflowConns
+		free := f.open < min(f.limits.maxConns, f.budget.limit(places.ClientSide))+overflowConns
 		f.mu.Unlock()
 		if free {
 			return true
@@ -103,8 +103,8 @@
 }
 
 func connTableConfig(l frontendLimits, t timing) places.Config {
-	return places.Config{Most: l.maxConns, Fresh: t.firstRequestTimeout, Late: t.lateGrace, Idle: t.idleTimeout,
-		IdleLeast: t.idleTimeoutFull, ByAddress: l.byAddress}
+	return places.Config{MaxConns: l.maxConns, FirstRequestTimeout: t.firstRequestTimeout, PartialProtection: t.lateGrace, IdleTimeout: t.idleTimeout,
+		MinIdleTimeout: t.idleTimeoutFull, ByAddress: l.byAddress}
 }
 
 // configure applies the configured connection settings. Connections beyond a lowered limit are closed as soon as they
@@ -139,7 +139,7 @@
 		// The process may run out of descriptors in ways that the limits do not cover. An idle connection is worth
 		// less than a new one, so one is closed.
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			f.updateTable(f.connTable.Shed)
+			f.updateTable(f.connTable.Evict)
 		}
 		time.Sleep(acceptRetryDelay)
 	}
@@ -158,9 +158,9 @@
 	f.updateTable(func(now time.Duration) {
 		f.open++
 		f.updateLimit(1)
-		f.connTable.Enter(now, sourceIP(c), &cl.entry, cl)
+		f.connTable.Add(now, sourceIP(c), &cl.entry, cl)
 		f.logLimit(&cl.entry)
-		over = cl.entry.Kind() == places.Over
+		over = cl.entry.State() == places.StateOverLimit
 	})
 	if over || !f.park(cl) {
 		c.SetReadDeadline(cl.accepted.Add(f.times.firstRequestTimeout))
@@ -176,23 +176,23 @@
 	if limit < count+extra {
 		signal(f.maintenanceDue) // idle connections to hosts may be closed to free some budget
 	}
-	f.connTable.SetMost(min(f.limits.maxConns, limit))
+	f.connTable.SetMaxConns(min(f.limits.maxConns, limit))
 }
 
 // logLimit logs when the connection limit is reached, and when usage has fallen well below it. The caller holds mu.
-func (f *frontend) logLimit(s *places.Seat) {
-	over := s.Kind() == places.Over
+func (f *frontend) logLimit(s *places.Conn) {
+	over := s.State() == places.StateOverLimit
 	if !over && !f.limitLogged {
 		return
 	}
-	switch figures := f.connTable.Figures(); {
+	switch figures := f.connTable.Stats(); {
 	case over && !f.limitLogged:
 		f.limitLogged = true
 		f.log.Warn("connections of clients: limit reached with none idle, new ones get an error",
-			zap.Int("limit", figures.Most), zap.Int("active", figures.Held[places.Active]))
-	case f.limitLogged && figures.Press < 0.8:
+			zap.Int("limit", figures.MaxConns), zap.Int("active", figures.Held[places.StateActive]))
+	case f.limitLogged && figures.Pressure < 0.8:
 		f.limitLogged = false
-		f.log.Info("connections of clients: below the limit again", zap.Uint64("turned down", figures.Refused))
+		f.log.Info("connections of clients: below the limit again", zap.Uint64("turned down", figures.Rejected))
 	}
 }
 
@@ -225,7 +225,7 @@
 	selected := f.connTable.Reap(now, n)
 	idle := make([]*clientConn, 0, len(selected))
 	for _, s := range selected {
-		c := s.Holder().(*clientConn)
+		c := s.Value().(*clientConn)
 		if c.parked {
 			c.parked = false
 			idle = append(idle, c)
@@ -244,7 +244,9 @@
 }
 
 // closeAfterResponses makes every response from now on the last of its connection. Idle connections stay open.
-func (f *frontend) closeAfterResponses() { f.updateTable(func(time.Duration) { f.connTable.Part() }) }
+func (f *frontend) closeAfterResponses() {
+	f.updateTable(func(time.Duration) { f.connTable.CloseAfterResponse() })
+}
 
 // drain makes every response from now on the last of its connection and closes idle connections. It is called again
 // once no new connections can arrive.
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -25,15 +25,15 @@
 	conn         net.Conn
 	accepted     time.Time
 	meter        wire.Meter
-	br           *bufio.Reader  // nil while the connection is parked
-	hasRequested bool           // a complete request has been received
-	graceUsed    bool           // the deadline of the current request has been extended by the grace time
-	verdict      places.Verdict // for the current request
-	queueTime    time.Duration  // time that the current request waited before it was read
+	br           *bufio.Reader   // nil while the connection is parked
+	hasRequested bool            // a complete request has been received
+	graceUsed    bool            // the deadline of the current request has been extended by the grace time
+	verdict      places.Decision // for the current request
+	queueTime    time.Duration   // time that the current request waited before it was read
 
 	// Guarded by front.mu.
-	entry     places.Seat
-	admission places.Turn
+	entry     places.Conn
+	admission places.QueueEntry
 	pollEntry park.Spot
 	parked    bool
 	warm      bool // counted in front.warm
@@ -61,7 +61,7 @@
 
 // updateState applies a state change of the connection to the connection table, and bounds the reads in the new
 // state.
-func (c *clientConn) updateState(apply func(now time.Duration, s *places.Seat), readTimeout time.Duration) {
+func (c *clientConn) updateState(apply func(now time.Duration, s *places.Conn), readTimeout time.Duration) {
 	c.front.updateTable(func(now time.Duration) {
 		c.endWarm()
 		c.setReadTimeout(readTimeout)
@@ -97,13 +97,13 @@
 	if c.verdict == places.Refuse { // the refused requests queued behind this one have waited long enough
 		within = min(within, t.refuseTimeout)
 	}
-	c.updateState(c.front.connTable.Begin, within)
+	c.updateState(c.front.connTable.RequestStarted, within)
 }
 
 // markReceived records that a request is complete. From here on only the deadline of the request applies.
 func (c *clientConn) markReceived() {
 	c.hasRequested, c.graceUsed = true, false
-	c.updateState(c.front.connTable.Work, 0)
+	c.updateState(c.front.connTable.RequestReceived, 0)
 }
 
 // markIdle records the end of a request. If not too many connections are warm and no request is queued, the goroutine
@@ -119,7 +119,7 @@
 			within = f.times.warmWait
 		}
 		c.setReadTimeout(within)
-		f.connTable.Rest(now, &c.entry)
+		f.connTable.RequestDone(now, &c.entry)
 	})
 }
 
@@ -127,18 +127,18 @@
 func (c *clientConn) isLast() bool {
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
-	return c.front.connTable.Last(&c.entry)
+	return c.front.connTable.ClosesAfterRequest(&c.entry)
 }
 
 // overLimit reports whether the connection was accepted beyond the connection limit.
 func (c *clientConn) overLimit() bool {
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
-	return c.entry.Kind() == places.Over
+	return c.entry.State() == places.StateOverLimit
 }
 
 // serve reads and processes requests until nothing arrives for a moment or the connection ends.
-func (c *clientConn) serve(v places.Verdict, waited time.Duration) {
+func (c *clientConn) serve(v places.Decision, waited time.Duration) {
 	c.br = c.front.bufs.Reader(&c.meter)
 	c.verdict, c.queueTime = v, waited
 	c.setReadTimeout(c.front.times.firstRequestTimeout) // the old deadline may have passed
--- a/internal/proxy/client_test.go
+++ b/internal/proxy/client_test.go
@@ -290,7 +290,7 @@
 	readResponse(t, bufio.NewReader(idle))
 	h.requests.next(t, "the first request of the idle connection")
 	io.WriteString(begun, "GET /api HTTP/1.1\r\n")
-	for g.p.front.stats().Places.Held[places.Partial] == 0 { // until the partial request is read
+	for g.p.front.stats().Places.Held[places.StatePartial] == 0 { // until the partial request is read
 		time.Sleep(time.Millisecond)
 	}
 	for _, c := range []struct {
--- a/internal/proxy/connbudget.go
+++ b/internal/proxy/connbudget.go
@@ -16,7 +16,7 @@
 // should return borrowed ones.
 type connBudget struct {
 	mu             sync.Mutex
-	shares         *places.Shares
+	shares         *places.SharedLimit
 	hosts          int             // connections to hosts
 	waiters        []chan struct{} // attempts that wait for a connection, oldest first
 	onHostShortage func()          // called when clients hold connections that hosts need; must not block
@@ -24,14 +24,14 @@
 
 func newConnBudget(l Limits) *connBudget {
 	total, clients, hosts := l.connectionShares()
-	return &connBudget{shares: places.NewShares(total, clients, hosts), onHostShortage: func() {}}
+	return &connBudget{shares: places.NewSharedLimit(total, clients, hosts), onHostShortage: func() {}}
 }
 
 // claimClients records how many connections clients hold or need, and returns how many they may hold.
 func (r *connBudget) claimClients(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	limit := r.shares.Claim(places.Callers, n)
+	limit := r.shares.Claim(places.ClientSide, n)
 	r.grantWaiters()
 	return limit
 }
@@ -48,10 +48,10 @@
 func (r *connBudget) excess(side places.Side) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if side == places.Callers {
-		return min(len(r.waiters), r.shares.Owes(side))
+	if side == places.ClientSide {
+		return min(len(r.waiters), r.shares.Surplus(side))
 	}
-	return min(maxHostCloses, r.shares.Owes(side))
+	return min(maxHostCloses, r.shares.Surplus(side))
 }
 
 // hostCount returns the number of connections to hosts.
@@ -70,7 +70,7 @@
 
 // growHosts reserves one more connection to a host. The caller holds mu.
 func (r *connBudget) growHosts() bool {
-	if r.shares.Claim(places.Nodes, r.hosts+1) <= r.hosts {
+	if r.shares.Claim(places.HostSide, r.hosts+1) <= r.hosts {
 		r.onHostShortage()
 		return false
 	}
@@ -101,7 +101,7 @@
 	}
 	r.waiters = slices.Delete(r.waiters, i, i+1)
 	if len(r.waiters) == 0 {
-		r.shares.Claim(places.Nodes, r.hosts) // withdraws the claim for one more
+		r.shares.Claim(places.HostSide, r.hosts) // withdraws the claim for one more
 	}
 	return false
 }
@@ -111,7 +111,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hosts--
-	r.shares.Claim(places.Nodes, r.hosts)
+	r.shares.Claim(places.HostSide, r.hosts)
 	r.grantWaiters()
 }
 
--- a/internal/proxy/connection_stats.go
+++ b/internal/proxy/connection_stats.go
@@ -13,39 +13,39 @@
 
 // connectionStats are statistics of client connections, for the log.
 type connectionStats struct {
-	Places places.Figures     // connections by state, and their ends by cause
-	Desk   places.DeskFigures // admission of requests
-	Warm   int                // idle connections that still have a goroutine, not yet parked
-	Limit  int                // of client connections, by the operator's limit and the connections to hosts
-	Hosts  int                // connections to hosts
+	Places places.Stats             // connections by state, and their ends by cause
+	Desk   places.RequestQueueStats // admission of requests
+	Warm   int                      // idle connections that still have a goroutine, not yet parked
+	Limit  int                      // of client connections, by the operator's limit and the connections to hosts
+	Hosts  int                      // connections to hosts
 }
 
 // stats returns the current connection statistics.
 func (f *frontend) stats() connectionStats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return connectionStats{Places: f.connTable.Figures(), Desk: f.admission.Figures(), Warm: f.warm,
-		Limit: min(f.limits.maxConns, f.budget.limit(places.Callers)), Hosts: f.budget.hostCount()}
+	return connectionStats{Places: f.connTable.Stats(), Desk: f.admission.Stats(), Warm: f.warm,
+		Limit: min(f.limits.maxConns, f.budget.limit(places.ClientSide)), Hosts: f.budget.hostCount()}
 }
 
 // MarshalLogObject writes the statistics as log attributes. Counters run from the start of the process.
 func (g connectionStats) MarshalLogObject(e zapcore.ObjectEncoder) error {
 	for k, n := range g.Places.Held {
 		if n > 0 {
-			e.AddInt(places.Kind(k).String(), n)
+			e.AddInt(places.State(k).String(), n)
 		}
 	}
-	for c, n := range g.Places.Ended {
+	for c, n := range g.Places.Closed {
 		if n > 0 {
 			e.AddUint64("ended: "+places.Cause(c).String(), n)
 		}
 	}
 	e.AddInt("limit", g.Limit)
-	e.AddFloat64("press", g.Places.Press)
-	e.AddInt("callers", g.Places.Callers)
-	e.AddUint64("entered", g.Places.Entered)
+	e.AddFloat64("press", g.Places.Pressure)
+	e.AddInt("callers", g.Places.Clients)
+	e.AddUint64("entered", g.Places.Added)
 	e.AddUint64("reused", g.Places.Reused)
-	e.AddUint64("turned down", g.Places.Refused)
+	e.AddUint64("turned down", g.Places.Rejected)
 	e.AddInt("requests at work", g.Desk.Serving)
 	e.AddInt("requests waiting", g.Desk.Waiting)
 	e.AddUint64("requests refused unread", g.Desk.Refused)
--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -23,7 +23,7 @@
 func (f *frontend) park(c *clientConn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if c.entry.Kind() >= places.Ending {
+	if c.entry.State() >= places.StateClosing {
 		return false
 	}
 	if err := f.poller.Arm(&c.pollEntry, c.conn, c); err != nil {
@@ -47,7 +47,7 @@
 
 // serveOrQueue serves a connection that has something to read, or adds it to the admission queue. The caller holds mu.
 func (f *frontend) serveOrQueue(now time.Duration, c *clientConn) {
-	if f.admission.Come(now, &c.admission, c) == places.Wait {
+	if f.admission.Enqueue(now, &c.admission, c) == places.Wait {
 		signal(f.maintenanceDue)
 		return
 	}
@@ -66,15 +66,15 @@
 }
 
 // logShedding logs when requests begin to be refused unread and when none waits any more. The caller holds mu.
-func (f *frontend) logShedding(v places.Verdict) {
+func (f *frontend) logShedding(v places.Decision) {
 	if v != places.Refuse && !f.sheddingLogged {
 		return
 	}
-	switch d := f.admission.Figures(); {
+	switch d := f.admission.Stats(); {
 	case v == places.Refuse && !f.sheddingLogged:
 		f.sheddingLogged = true
 		f.log.Warn("requests are refused unread: more arrived at once than can be processed", zap.Int("at work", d.Serving),
-			zap.Int("of", d.Most), zap.Int("waiting", d.Waiting))
+			zap.Int("of", d.MaxServing), zap.Int("waiting", d.Waiting))
 	case f.sheddingLogged && d.Waiting == 0 && d.Refusing == 0:
 		f.sheddingLogged = false
 		f.log.Info("request queue is empty again, no requests are refused", zap.Uint64("refused", d.Refused))
@@ -88,7 +88,7 @@
 	f.bufs.PutReader(c.br)
 	c.br = nil
 	f.mu.Lock()
-	f.admission.Leave(&c.admission)
+	f.admission.Remove(&c.admission)
 	f.serveQueued(f.now())
 	f.mu.Unlock()
 	if !keepOpen || !f.park(c) {
@@ -117,7 +117,7 @@
 	f.mu.Lock()
 	f.open--
 	f.poller.Leave(&c.pollEntry)
-	f.connTable.Leave(&c.entry)
+	f.connTable.Remove(&c.entry)
 	f.budget.claimClients(f.connTable.Count())
 	f.mu.Unlock()
 	signal(f.slotFreed)
@@ -139,7 +139,7 @@
 		case <-f.maintenanceDue:
 		case <-timer.C:
 		}
-		if n := f.budget.excess(places.Nodes); n > 0 {
+		if n := f.budget.excess(places.HostSide); n > 0 {
 			f.closeIdleHostConns(n)
 		}
 		f.shedForHosts()
@@ -170,7 +170,7 @@
 	}
 	c.due = now.Add(quietInterval)
 	g := f.stats().Places
-	n := g.Entered + g.Reused
+	n := g.Added + g.Reused
 	if n-c.seen < quietMaxRequests && n-c.released > burstMinRequests {
 		c.released = n
 		go debug.FreeOSMemory() // in a goroutine: the call blocks until it is done, and the maintenance loop must go on
@@ -183,14 +183,14 @@
 	next := maintenanceInterval
 	f.updateTable(func(now time.Duration) {
 		f.serveQueued(now)
-		d := f.admission.Figures()
+		d := f.admission.Stats()
 		if d.Waiting == 0 {
 			return
 		}
 		next = queueInterval
-		if d.Serving == d.Most { // clients that send request heads slowly must not block clients that send them at once
+		if d.Serving == d.MaxServing { // clients that send request heads slowly must not block clients that send them at once
 			for range min(d.Waiting, maxInlineCloses) {
-				f.connTable.FreeTurn(now)
+				f.connTable.EvictReading(now)
 			}
 		}
 	})
@@ -199,13 +199,13 @@
 
 // shedForHosts closes idle client connections, where clients hold borrowed connections that hosts need.
 func (f *frontend) shedForHosts() {
-	n := f.budget.excess(places.Callers)
+	n := f.budget.excess(places.ClientSide)
 	if n == 0 {
 		return
 	}
 	f.updateTable(func(now time.Duration) {
 		for range n {
-			f.connTable.Shed(now)
+			f.connTable.Evict(now)
 		}
 	})
 }
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -51,7 +51,7 @@
 // parkedConns returns the number of idle connections without a goroutine.
 func (g *testProxy) parkedConns() int {
 	f := g.p.front.stats()
-	return f.Places.Held[places.Once] + f.Places.Held[places.Often] + f.Places.Held[places.Trial] - f.Warm - f.Desk.Serving
+	return f.Places.Held[places.StateIdleOnce] + f.Places.Held[places.StateIdleReused] + f.Places.Held[places.StateTrial] - f.Warm - f.Desk.Serving
 }
 
 func (g *testProxy) waitUntil(what string, true func() bool) {
@@ -151,7 +151,7 @@
 	s := newFakeBalancer()
 	s.onRequest = sendsOnceTo("h1")
 	g := startOneHost(t, h, s.install, callersByAddress, func(p *Proxy) { p.cfg.Limits.MemoryMB = 1 }) // three requests at once
-	most := g.p.front.stats().Desk.Most
+	most := g.p.front.stats().Desk.MaxServing
 	busy := make([]net.Conn, most)
 	for i := range busy {
 		busy[i] = g.dial()
@@ -184,14 +184,14 @@
 	h.requests.next(t, "its first request")
 	f := g.p.front
 	f.mu.Lock() // delays the processing of the wake-up for the request
-	held := f.connTable.Held(places.Once)
+	held := f.connTable.Oldest(places.StateIdleOnce)
 	io.WriteString(c, requestText("write", "x"))
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if bytes, _ := wire.Arrived(held.Holder().(*clientConn).conn); bytes {
+		if bytes, _ := wire.Arrived(held.Value().(*clientConn).conn); bytes {
 			break
 		}
 	}
-	f.connTable.Shed(f.now())
+	f.connTable.Evict(f.now())
 	f.unlockAndClose(f.now(), maxInlineCloses)
 	if a := readResponse(t, bufio.NewReader(c)); a.status != http.StatusOK || !a.closes {
 		t.Fatalf("response %+v", a)
@@ -209,7 +209,7 @@
 	f := g.p.front
 	f.updateTable(func(now time.Duration) {
 		c := connTableConfig(f.limits, f.times)
-		c.Idle, c.IdleLeast = 0, 0
+		c.IdleTimeout, c.MinIdleTimeout = 0, 0
 		f.connTable.Configure(c)
 	})
 	g.shutDown()
@@ -220,7 +220,7 @@
 			t.Fatalf("request %d got status %d", i, a.status)
 		}
 	}
-	g.waitUntil("the idle connections are closed", func() bool { return f.stats().Places.Callers <= 1 })
+	g.waitUntil("the idle connections are closed", func() bool { return f.stats().Places.Clients <= 1 })
 	g.stop()
 }
 
@@ -253,7 +253,7 @@
 	}
 	core, logs := observer.New(zap.WarnLevel)
 	l := failingListener{ln, make(chan struct{}), make(eventChan[bool], 1)}
-	f, err := newFrontend(l, frontendLimits{machineMax: 4, maxConns: 4, admission: places.DeskConfig{Most: 1, Burst: 1, Pace: 1}},
+	f, err := newFrontend(l, frontendLimits{machineMax: 4, maxConns: 4, admission: places.RequestQueueConfig{MaxServing: 1, Burst: 1, Rate: 1}},
 		newConnBudget(Limits{Sockets: 100}), nil, nil, wire.NewPool(), nil, testTiming(), zap.New(core))
 	if err != nil {
 		t.Fatal(err)
@@ -264,9 +264,9 @@
 	f.wg.Add(1)
 	f.updateTable(func(now time.Duration) {
 		f.open++
-		f.connTable.Enter(now, sourceIP(near), &idle.entry, idle)
-		f.connTable.Work(now, &idle.entry)
-		f.connTable.Rest(now, &idle.entry)
+		f.connTable.Add(now, sourceIP(near), &idle.entry, idle)
+		f.connTable.RequestReceived(now, &idle.entry)
+		f.connTable.RequestDone(now, &idle.entry)
 		idle.parked = true
 	})
 	accepted := make(eventChan[bool], 1)
@@ -305,7 +305,7 @@
 	g.openIdleConns(50)
 	busy := g.dial()
 	io.WriteString(busy, requestText("write", "x", "X-Remaining: 9000m"))
-	g.waitUntil("its request is being processed", func() bool { return g.p.front.stats().Places.Held[places.Active] == 1 })
+	g.waitUntil("its request is being processed", func() bool { return g.p.front.stats().Places.Held[places.StateActive] == 1 })
 	path := filepath.Join(t.TempDir(), "site.toml")
 	reread := func() (*Config, error) {
 		c := *g.p.cfg
@@ -315,7 +315,7 @@
 	}
 	g.p.cfg.reload = reread
 	os.WriteFile(path, []byte("[connections]\ncallers = \"address\"\nlimit = -5\n"), 0o600)
-	if err := g.p.reloadConfig(); err == nil || g.p.front.stats().Places.Most < 50 {
+	if err := g.p.reloadConfig(); err == nil || g.p.front.stats().Places.MaxConns < 50 {
 		t.Fatalf("after a broken file: %v", err)
 	}
 	os.WriteFile(path, []byte("[connections]\ncallers = \"address\"\nlimit = 10\n"), 0o600)
@@ -353,11 +353,11 @@
 		if !budget.tryAcquireHost() && !budget.awaitHost(t.Context(), testTimeout) {
 			t.Fatalf("no connection to a host could be reserved; %d reserved, %+v", budget.hostCount(), g.p.front.stats())
 		}
-		if held := g.p.front.stats(); budget.hostCount()+held.Places.Held[places.Once] > total {
+		if held := g.p.front.stats(); budget.hostCount()+held.Places.Held[places.StateIdleOnce] > total {
 			t.Fatalf("%d to hosts, %+v", budget.hostCount(), held)
 		}
 	}
-	if n := g.p.front.stats().Places.Ended[places.Full]; n == 0 {
+	if n := g.p.front.stats().Places.Closed[places.CauseFull]; n == 0 {
 		t.Error("no client connection was closed")
 	}
 	for budget.hostCount() > 0 {
@@ -373,11 +373,11 @@
 		p.cfg.Limits.MemoryMB = 1
 		p.times.firstRequestTimeout = testTimeout
 	})
-	most := g.p.front.stats().Desk.Most
+	most := g.p.front.stats().Desk.MaxServing
 	for range most {
 		io.WriteString(g.dial(), "GET /api HTTP/1.1\r\n")
 	}
-	g.waitUntil("the concurrency limit is reached", func() bool { return g.p.front.stats().Places.Held[places.Partial] == most })
+	g.waitUntil("the concurrency limit is reached", func() bool { return g.p.front.stats().Places.Held[places.StatePartial] == most })
 	for n := range 5 {
 		if a := g.raw(requestText("write", "x")); a.status != http.StatusOK {
 			t.Fatalf("request %d got status %d: %+v", n, a.status, g.p.front.stats())
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -80,7 +80,7 @@
 func (c *clientConn) extendRead(until time.Time) {
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
-	if c.entry.Kind() < places.Ending {
+	if c.entry.State() < places.StateClosing {
 		c.conn.SetReadDeadline(until)
 	}
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -96,7 +96,7 @@
 		return
 	}
 	p.front.names.Store(change.names)
-	p.front.updateTable(func(time.Duration) { p.front.admission.Patient(maxQueueWait(next.Classes)) })
+	p.front.updateTable(func(time.Duration) { p.front.admission.SetMaxWait(maxQueueWait(next.Classes)) })
 	p.owner.discovery.configure(current, next)
 	p.log.Info("settings in force", zap.Strings("classes", change.names.classNames), zap.Int("proxies", next.Balancers))
 }
