--- a/internal/budget/questions.go
+++ b/internal/budget/questions.go
@@ -27,13 +27,13 @@
 	defaultWithin = 10 * time.Second
 )
 
-// Questions says how a proxy asks discovery for changes of the list. It holds a watch as long as discovery keeps up. In a
+// QueryPacer says how a proxy asks discovery for changes of the list. It holds a watch as long as discovery keeps up. In a
 // large fleet a change ends all watches together, and all ask again at once: a discovery that works through calls in turn
 // then answers each after its caller has given up, and goes on so for as long as calls come at that rate. Once calls are
 // slow or fail, each proxy makes calls that do not wait instead, with pauses, as often as discovery bears.
 //
 // One goroutine uses it.
-type Questions struct {
+type QueryPacer struct {
 	few         bool
 	polls       bool
 	failed      bool // the last call
@@ -41,31 +41,31 @@
 	random      *rand.Rand
 }
 
-// NewQuestions begins for one of so many proxies; 0 or less: their number is not known, and they are taken for few. within
+// NewQueryPacer begins for one of so many proxies; 0 or less: their number is not known, and they are taken for few. within
 // is the time after which a list that was not asked for counts as known; 0: 10 s.
-func NewQuestions(proxies int, within time.Duration, seed uint64) *Questions {
+func NewQueryPacer(proxies int, within time.Duration, seed uint64) *QueryPacer {
 	if within <= 0 {
 		within = defaultWithin
 	}
-	q := &Questions{few: proxies <= few, within: within, random: rand.New(rand.NewPCG(seed, 1))}
+	q := &QueryPacer{few: proxies <= few, within: within, random: rand.New(rand.NewPCG(seed, 1))}
 	if !q.few {
 		q.gap = min(q.part(mostGap/2), time.Duration(float64(proxies)/assumedRate*float64(time.Second)))
 	}
 	return q
 }
 
-func (q *Questions) part(share float64) time.Duration {
+func (q *QueryPacer) part(share float64) time.Duration {
 	return time.Duration(share * float64(q.within))
 }
 
-// Polls says whether to ask now and then, in place of a watch.
-func (q *Questions) Polls() bool { return q.polls }
+// Polling says whether to ask now and then, in place of a watch.
+func (q *QueryPacer) Polling() bool { return q.polls }
 
-// Waited takes an answered watch. Whether it has waited for a change or for its turn cannot be told.
-func (q *Questions) Waited() { q.failed = false }
+// WatchAnswered takes an answered watch. Whether it has waited for a change or for its turn cannot be told.
+func (q *QueryPacer) WatchAnswered() { q.failed = false }
 
-// Answered takes an answered call that need not have waited, and how long it took.
-func (q *Questions) Answered(took time.Duration) {
+// PollAnswered takes an answered call that need not have waited, and how long it took.
+func (q *QueryPacer) PollAnswered(took time.Duration) {
 	q.failed = false
 	switch {
 	case q.few:
@@ -81,8 +81,8 @@
 	}
 }
 
-// Failed takes a call that was not answered, or with an error.
-func (q *Questions) Failed() {
+// CallFailed takes a call that was not answered, or with an error.
+func (q *QueryPacer) CallFailed() {
 	q.failed = true
 	if !q.few {
 		q.polls = true
@@ -90,12 +90,14 @@
 	}
 }
 
-// First is how long to wait before the first call of a proxy that starts with a list that may serve. Proxies that were
+// FirstDelay is how long to wait before the first call of a proxy that starts with a list that may serve. Proxies that were
 // killed together are started together.
-func (q *Questions) First() time.Duration { return time.Duration(q.random.Float64() * float64(q.gap)) }
+func (q *QueryPacer) FirstDelay() time.Duration {
+	return time.Duration(q.random.Float64() * float64(q.gap))
+}
 
-// Pause is how long to wait before the next call. It varies, so that proxies that were told together come apart.
-func (q *Questions) Pause() time.Duration {
+// NextDelay is how long to wait before the next call. It varies, so that proxies that were told together come apart.
+func (q *QueryPacer) NextDelay() time.Duration {
 	if !q.polls {
 		return 0
 	}
--- a/internal/budget/questions_test.go
+++ b/internal/budget/questions_test.go
@@ -21,7 +21,7 @@
 
 // asker is one proxy: its list, and when it got it.
 type asker struct {
-	*Questions
+	*QueryPacer
 	w       *town
 	version int
 	told    time.Duration
@@ -38,12 +38,12 @@
 	if turn-began > w.patience {
 		w.After(w.patience, func() {
 			w.fails++
-			a.Failed()
-			w.After(time.Second+a.Pause(), a.ask)
+			a.CallFailed()
+			w.After(time.Second+a.NextDelay(), a.ask)
 		})
 		return
 	}
-	watches := !a.Polls()
+	watches := !a.Polling()
 	var answer func()
 	answer = func() {
 		if watches && a.version == w.version {
@@ -54,11 +54,11 @@
 		a.version = w.version
 		a.oldest, a.told = max(a.oldest, w.Now()-a.told), w.Now()
 		if watches {
-			a.Waited()
+			a.WatchAnswered()
 		} else {
-			a.Answered(w.Now() - began)
+			a.PollAnswered(w.Now() - began)
 		}
-		w.After(a.Pause(), a.ask)
+		w.After(a.NextDelay(), a.ask)
 	}
 	w.After(turn-w.Now(), answer)
 }
@@ -73,9 +73,9 @@
 	change()
 	all := make([]*asker, proxies)
 	for i := range all {
-		a := &asker{Questions: NewQuestions(told, 10*time.Second, uint64(i)), w: w}
+		a := &asker{QueryPacer: NewQueryPacer(told, 10*time.Second, uint64(i)), w: w}
 		all[i] = a
-		w.After(a.First(), a.ask)
+		w.After(a.FirstDelay(), a.ask)
 	}
 	w.Run(settled)
 	w.ok, w.fails = 0, 0
@@ -109,20 +109,20 @@
 // TestQuickDiscovery: a discovery that keeps up is watched, and what was crowded for a while is watched again.
 func TestQuickDiscovery(t *testing.T) {
 	w, all := fleet(80, 80, 100*time.Microsecond)
-	if w.fails > 0 || all[0].Polls() {
-		t.Errorf("%d failed, polls: %t", w.fails, all[0].Polls())
+	if w.fails > 0 || all[0].Polling() {
+		t.Errorf("%d failed, polls: %t", w.fails, all[0].Polling())
 	}
-	q := NewQuestions(80, 0, 1)
-	q.Failed()
-	if p := q.Pause(); !q.Polls() || p <= 0 || p > 5*time.Second {
-		t.Errorf("after a failure: polls %t, pause %v", q.Polls(), p)
+	q := NewQueryPacer(80, 0, 1)
+	q.CallFailed()
+	if p := q.NextDelay(); !q.Polling() || p <= 0 || p > 5*time.Second {
+		t.Errorf("after a failure: polls %t, pause %v", q.Polling(), p)
 	}
-	for n := 0; q.Polls(); n++ {
-		if q.Answered(time.Millisecond); n > 100 {
+	for n := 0; q.Polling(); n++ {
+		if q.PollAnswered(time.Millisecond); n > 100 {
 			t.Fatal("polls for ever")
 		}
 	}
-	if p := q.Pause(); p != 0 {
+	if p := q.NextDelay(); p != 0 {
 		t.Errorf("pause %v in a watch", p)
 	}
 }
@@ -130,11 +130,11 @@
 // TestFewProxies: nothing ever makes a few proxies wait, nor those that were not told how many they are.
 func TestFewProxies(t *testing.T) {
 	for _, n := range []int{-1, 0, 1, 4, few} {
-		q := NewQuestions(n, 10*time.Second, 1)
-		q.Failed()
-		q.Answered(time.Minute)
-		if q.Polls() || q.Pause() != 0 || q.First() != 0 {
-			t.Errorf("%d proxies: polls %t", n, q.Polls())
+		q := NewQueryPacer(n, 10*time.Second, 1)
+		q.CallFailed()
+		q.PollAnswered(time.Minute)
+		if q.Polling() || q.NextDelay() != 0 || q.FirstDelay() != 0 {
+			t.Errorf("%d proxies: polls %t", n, q.Polling())
 		}
 	}
 }
--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -9,44 +9,44 @@
 	"beechwing/balancer"
 )
 
-// Most is how many hosts a set holds.
-const Most = 4096
+// MaxHosts is how many hosts a set holds.
+const MaxHosts = 4096
 
 // ErrFull says that a set holds as many hosts as it may.
 var ErrFull = errors.New("too many hosts are out")
 
 // Entry is what is known of a host that was taken out. Times are Unix seconds.
 type Entry struct {
-	Out  float64 `json:"out"`            // when it was taken out
-	Back float64 `json:"back,omitempty"` // when it was put back; 0: it is out
+	CordonedAt   float64 `json:"out"`            // when it was taken out
+	UncordonedAt float64 `json:"back,omitempty"` // when it was put back; 0: it is out
 }
 
 // Set holds hosts by the name that discovery gives them.
 type Set map[string]Entry
 
-// Out says whether a host is out.
-func (s Set) Out(id string) bool {
+// Cordoned says whether a host is out.
+func (s Set) Cordoned(id string) bool {
 	e, known := s[id]
-	return known && e.Back == 0
+	return known && e.UncordonedAt == 0
 }
 
-// Take gives the set with a host taken out at now. One that is out stays as it is.
-func (s Set) Take(id string, now float64) (Set, error) {
+// Cordon gives the set with a host taken out at now. One that is out stays as it is.
+func (s Set) Cordon(id string, now float64) (Set, error) {
 	switch {
-	case s.Out(id):
+	case s.Cordoned(id):
 		return s, nil
-	case len(s) >= Most:
+	case len(s) >= MaxHosts:
 		return s, ErrFull
 	}
-	return s.with(id, Entry{Out: now}), nil
+	return s.with(id, Entry{CordonedAt: now}), nil
 }
 
-// PutBack gives the set with a host put back at now, however often it was taken out.
-func (s Set) PutBack(id string, now float64) Set {
-	if !s.Out(id) {
+// Uncordon gives the set with a host put back at now, however often it was taken out.
+func (s Set) Uncordon(id string, now float64) Set {
+	if !s.Cordoned(id) {
 		return s
 	}
-	return s.with(id, Entry{Out: s[id].Out, Back: now})
+	return s.with(id, Entry{CordonedAt: s[id].CordonedAt, UncordonedAt: now})
 }
 
 func (s Set) with(id string, e Entry) Set {
@@ -56,10 +56,10 @@
 	return next
 }
 
-// Tidy gives the set without hosts that have been back for longer than coldFor seconds: they are like any other.
-func (s Set) Tidy(now, coldFor float64) Set {
+// Prune gives the set without hosts that have been back for longer than coldFor seconds: they are like any other.
+func (s Set) Prune(now, coldFor float64) Set {
 	next := maps.Clone(s)
-	maps.DeleteFunc(next, func(_ string, e Entry) bool { return e.Back != 0 && now > e.Back+coldFor })
+	maps.DeleteFunc(next, func(_ string, e Entry) bool { return e.UncordonedAt != 0 && now > e.UncordonedAt+coldFor })
 	if len(next) == len(s) {
 		return s
 	}
@@ -72,10 +72,10 @@
 	e, known := s[id]
 	switch {
 	case !known:
-	case e.Back == 0 && h.Status == balancer.Ready:
+	case e.UncordonedAt == 0 && h.Status == balancer.Ready:
 		h.Status = balancer.Draining
-	case e.Back != 0 && h.Started <= e.Out:
-		h.Started = e.Back
+	case e.UncordonedAt != 0 && h.Started <= e.CordonedAt:
+		h.Started = e.UncordonedAt
 	}
 	return h
 }
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -22,17 +22,17 @@
 			id, was, before := rapid.SampledFrom(ids).Draw(t, "host"), set, len(set)
 			switch rapid.IntRange(0, 2).Draw(t, "call") {
 			case 0:
-				set, _ = set.Take(id, now)
+				set, _ = set.Cordon(id, now)
 				if a, known := told[id]; !known || a.back != 0 {
 					told[id] = account{out: now}
 				}
 			case 1:
-				set = set.PutBack(id, now)
+				set = set.Uncordon(id, now)
 				if a, known := told[id]; known && a.back == 0 {
 					told[id] = account{a.out, now}
 				}
 			default:
-				set = set.Tidy(now, coldFor)
+				set = set.Prune(now, coldFor)
 			}
 			if len(was) != before {
 				t.Fatal("an older set has changed")
@@ -40,8 +40,8 @@
 			for _, id := range ids {
 				a, known := told[id]
 				isOut := known && a.back == 0
-				if set.Out(id) != isOut {
-					t.Fatalf("%s out: %v, want %v", id, set.Out(id), isOut)
+				if set.Cordoned(id) != isOut {
+					t.Fatalf("%s out: %v, want %v", id, set.Cordoned(id), isOut)
 				}
 				status := rapid.SampledFrom([]balancer.Status{balancer.Ready, balancer.Draining, balancer.Removed}).Draw(t, "state")
 				started := rapid.SampledFrom([]float64{0, a.out, a.out + 0.05, now}).Draw(t, "started")
@@ -66,10 +66,10 @@
 // TestFull: a set is bounded, and one more is an error that changes nothing.
 func TestFull(t *testing.T) {
 	s := Set{}
-	for n := range Most {
-		s[string(rune(n))+"x"] = Entry{Out: 1}
+	for n := range MaxHosts {
+		s[string(rune(n))+"x"] = Entry{CordonedAt: 1}
 	}
-	if next, err := s.Take("one more", 2); err != ErrFull || next.Out("one more") {
+	if next, err := s.Cordon("one more", 2); err != ErrFull || next.Cordoned("one more") {
 		t.Fatalf("%v", err)
 	}
 }
--- a/internal/park/park.go
+++ b/internal/park/park.go
@@ -28,17 +28,17 @@
 
 const batch = 128 // reports taken at a time
 
-// Spot is what a connection is to a Lot. Its zero value has not been parked yet.
-type Spot struct {
+// Registration is what a connection is to a Lot. Its zero value has not been parked yet.
+type Registration struct {
 	raw syscall.RawConn
 	id  uint64 // 0: not known to the lot
 }
 
-// WatcherStack is the memory that a waiting goroutine takes, in bytes.
-const WatcherStack = 4 << 10
+// WatcherStackBytes is the memory that a waiting goroutine takes, in bytes.
+const WatcherStackBytes = 4 << 10
 
-// Lot watches parked connections.
-type Lot struct {
+// Poller watches parked connections.
+type Poller struct {
 	epoll *os.File // nil: a goroutine watches each connection
 	raw   syscall.RawConn
 	wake  func(any)
@@ -49,12 +49,14 @@
 	most    int // that holders has held; a map keeps the room for them
 }
 
-// NewWatchers makes a lot in which a goroutine waits for each connection. It calls wake with the holder of each that has
+// NewGoroutinePoller makes a lot in which a goroutine waits for each connection. It calls wake with the holder of each that has
 // something to read, has ended, or has failed.
-func NewWatchers(wake func(holder any)) *Lot { return &Lot{wake: wake, holders: map[uint64]any{}} }
+func NewGoroutinePoller(wake func(holder any)) *Poller {
+	return &Poller{wake: wake, holders: map[uint64]any{}}
+}
 
-// New makes a lot with an epoll instance, of which Run reports as NewWatchers describes.
-func New(wake func(holder any)) (*Lot, error) {
+// NewEpollPoller makes a lot with an epoll instance, of which Run reports as NewWatchers describes.
+func NewEpollPoller(wake func(holder any)) (*Poller, error) {
 	fd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
@@ -64,7 +66,7 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	l := &Lot{epoll: os.NewFile(uintptr(fd), "epoll"), wake: wake, holders: map[uint64]any{}}
+	l := &Poller{epoll: os.NewFile(uintptr(fd), "epoll"), wake: wake, holders: map[uint64]any{}}
 	if l.raw, err = l.epoll.SyscallConn(); err != nil {
 		l.epoll.Close()
 		return nil, fmt.Errorf("epoll: %w", err)
@@ -73,14 +75,14 @@
 }
 
 // Close ends Run. Nothing may be parked after it. A goroutine that watches ends with its connection.
-func (l *Lot) Close() {
+func (l *Poller) Close() {
 	if l.epoll != nil {
 		l.epoll.Close()
 	}
 }
 
 // Run reports until Close, where there is an epoll instance.
-func (l *Lot) Run() {
+func (l *Poller) Run() {
 	if l.epoll == nil {
 		return
 	}
@@ -102,7 +104,7 @@
 }
 
 // report wakes who parked a connection, unless it has left since.
-func (l *Lot) report(id uint64) {
+func (l *Poller) report(id uint64) {
 	l.mu.Lock()
 	holder := l.holders[id]
 	l.mu.Unlock()
@@ -113,7 +115,7 @@
 
 // watch waits for a connection to have something to read. It looks itself before it waits: the runtime tells of what comes,
 // not of what is there.
-func (l *Lot) watch(raw syscall.RawConn, id uint64) {
+func (l *Poller) watch(raw syscall.RawConn, id uint64) {
 	var b [1]byte
 	raw.Read(func(fd uintptr) bool {
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -124,7 +126,7 @@
 
 // Arm parks a connection until its next report. What has come already is reported at once. Where c has no descriptor, or
 // the kernel refuses to watch it, the error says so and the connection is not parked.
-func (l *Lot) Arm(s *Spot, c net.Conn, holder any) error {
+func (l *Poller) Arm(s *Registration, c net.Conn, holder any) error {
 	op := unix.EPOLL_CTL_MOD
 	if s.raw == nil {
 		sc, ok := c.(syscall.Conn)
@@ -141,7 +143,7 @@
 		if err := c.SetReadDeadline(time.Time{}); err != nil { // the last read's may be over
 			return fmt.Errorf("park: %w", err)
 		}
-		l.Leave(s) // a goroutine that still has to report the time before reports to nobody
+		l.Remove(s) // a goroutine that still has to report the time before reports to nobody
 		l.enter(s, holder)
 		go l.watch(s.raw, s.id)
 		return nil
@@ -160,7 +162,7 @@
 	return nil
 }
 
-func (l *Lot) enter(s *Spot, holder any) {
+func (l *Poller) enter(s *Registration, holder any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastID++
@@ -169,9 +171,9 @@
 	l.most = max(l.most, len(l.holders))
 }
 
-// Leave forgets a connection that is closed; the kernel has forgotten it by then. What many of them needed is given back
+// Remove forgets a connection that is closed; the kernel has forgotten it by then. What many of them needed is given back
 // once few are left.
-func (l *Lot) Leave(s *Spot) {
+func (l *Poller) Remove(s *Registration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.holders, s.id)
--- a/internal/park/park_test.go
+++ b/internal/park/park_test.go
@@ -32,13 +32,13 @@
 	t.Run("watchers", func(t *testing.T) { test(t, true) })
 }
 
-func newLot(t *testing.T, watchers bool) (*Lot, net.Listener, chan any) {
+func newLot(t *testing.T, watchers bool) (*Poller, net.Listener, chan any) {
 	t.Helper()
 	woken := make(chan any, 4096)
 	wake := func(holder any) { woken <- holder }
-	l, err := NewWatchers(wake), error(nil)
+	l, err := NewGoroutinePoller(wake), error(nil)
 	if !watchers {
-		l, err = New(wake)
+		l, err = NewEpollPoller(wake)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 		"reset":      func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 	} {
 		near, far := pair(t, ln)
-		var s Spot
+		var s Registration
 		if err := l.Arm(&s, near, name); err != nil {
 			t.Fatal(err)
 		}
@@ -93,7 +93,7 @@
 		}
 		next(t, woken)
 		near.Close()
-		l.Leave(&s)
+		l.Remove(&s)
 	}
 	if len(woken) > 0 || len(l.holders) > 0 {
 		t.Fatalf("%d reports too many, %d kept", len(woken), len(l.holders))
@@ -106,7 +106,7 @@
 func testWave(t *testing.T, watchers bool) {
 	const many = 1000
 	l, ln, woken := newLot(t, watchers)
-	near, far, spots := make([]net.Conn, many), make([]net.Conn, many), make([]Spot, many)
+	near, far, spots := make([]net.Conn, many), make([]net.Conn, many), make([]Registration, many)
 	for i := range many {
 		near[i], far[i] = pair(t, ln)
 		if err := l.Arm(&spots[i], near[i], i); err != nil {
@@ -126,7 +126,7 @@
 	}
 	for i := range many {
 		near[i].Close()
-		l.Leave(&spots[i])
+		l.Remove(&spots[i])
 	}
 	if len(l.holders) > 0 || l.most > batch {
 		t.Fatalf("%d kept, room for %d", len(l.holders), l.most)
@@ -144,10 +144,10 @@
 	defer other.Close()
 	defer pipe.Close()
 	for _, c := range []net.Conn{near, pipe} {
-		var s Spot
+		var s Registration
 		if err := l.Arm(&s, c, 1); err == nil {
 			t.Errorf("%T parked", c)
 		}
-		l.Leave(&s)
+		l.Remove(&s)
 	}
 }
--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -38,7 +38,7 @@
 	closeIdleHostConns func(int)
 	start              time.Time     // zero point of the times passed to connTable and admission
 	slotFreed          chan struct{} // wakes an accept loop that waits for capacity
-	poller             *park.Lot     // wakes parked connections
+	poller             *park.Poller  // wakes parked connections
 	maintenanceDue     chan struct{} // wakes the maintenance loop
 	closed             chan struct{} // closed together with the listener; ends an accept loop that waits for capacity
 	stopped            chan struct{} // ends the maintenance loop
@@ -73,11 +73,11 @@
 	r.onHostShortage = func() { signal(f.maintenanceDue) }
 	wake := func(holder any) { f.wake(holder.(*clientConn)) }
 	if l.goroutinePerParked {
-		f.poller = park.NewWatchers(wake)
+		f.poller = park.NewGoroutinePoller(wake)
 		return f, nil
 	}
 	var err error
-	f.poller, err = park.New(wake)
+	f.poller, err = park.NewEpollPoller(wake)
 	return f, err
 }
 
--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -42,7 +42,7 @@
 
 func newAdminCalls(p *Proxy) *adminCalls {
 	check := func(s cordon.Set) error {
-		if len(s) > cordon.Most {
+		if len(s) > cordon.MaxHosts {
 			return cordon.ErrFull
 		}
 		return nil
@@ -119,10 +119,10 @@
 // processes.
 func (s *adminCalls) TakeOut(ctx context.Context, id string) (string, error) {
 	return s.updateCordoned(ctx, id, func(set cordon.Set, now float64) (cordon.Set, string, error) {
-		if set.Out(id) {
+		if set.Cordoned(id) {
 			return set, "it was out already", nil
 		}
-		next, err := set.Take(id, now)
+		next, err := set.Cordon(id, now)
 		return next, "out", err
 	})
 }
@@ -130,10 +130,10 @@
 // PutBack uncordons a host.
 func (s *adminCalls) PutBack(ctx context.Context, id string) (string, error) {
 	return s.updateCordoned(ctx, id, func(set cordon.Set, now float64) (cordon.Set, string, error) {
-		if !set.Out(id) {
+		if !set.Cordoned(id) {
 			return set, "it was not out", nil
 		}
-		return set.PutBack(id, now), "back", nil
+		return set.Uncordon(id, now), "back", nil
 	})
 }
 
@@ -160,7 +160,7 @@
 	if err != nil {
 		return "", err
 	}
-	if next = next.Tidy(now, s.p.activeConfig.Load().ColdFor); len(cordon.Changed(current, next)) > 0 {
+	if next = next.Prune(now, s.p.activeConfig.Load().ColdFor); len(cordon.Changed(current, next)) > 0 {
 		if err := s.file.Write(next); err != nil {
 			return "", err
 		}
@@ -184,7 +184,7 @@
 	if err := s.p.owner.postAndWait(ctx, q, q.done); err != nil {
 		return err
 	}
-	if !*q.known && !s.cordoned.Out(id) {
+	if !*q.known && !s.cordoned.Cordoned(id) {
 		return fmt.Errorf("%w: %.64q is not in the host list", ops.ErrUnknown, id)
 	}
 	return nil
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -34,7 +34,7 @@
 	// Guarded by front.mu.
 	entry     places.Conn
 	admission places.QueueEntry
-	pollEntry park.Spot
+	pollEntry park.Registration
 	parked    bool
 	warm      bool // counted in front.warm
 }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -206,5 +206,5 @@
 
 // allowWatchers reports whether there is enough memory for one waiting goroutine per client connection.
 func (l Limits) allowWatchers(clients int) bool {
-	return float64(clients*park.WatcherStack) <= watcherMemoryShare*float64(l.MemoryMB)*(1<<20)
+	return float64(clients*park.WatcherStackBytes) <= watcherMemoryShare*float64(l.MemoryMB)*(1<<20)
 }
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -42,9 +42,9 @@
 	zones         *zoneTable
 	times         timing
 	watchWait     time.Duration
-	budget        *budget.Questions // pauses between calls; used by the goroutine of run only
-	hasWatched    bool              // a watch has been started before
-	failing       bool              // calls fail, and this has been logged
+	budget        *budget.QueryPacer // pauses between calls; used by the goroutine of run only
+	hasWatched    bool               // a watch has been started before
+	failing       bool               // calls fail, and this has been logged
 	log           *zap.Logger
 	post          func(event)
 	watchRequests chan struct{} // requests for a watch; holds at most one
@@ -70,7 +70,7 @@
 		wait = maxWatchWait
 	}
 	d.watchWait = min(max(wait, minWatchWait), maxWatchWait)
-	d.budget = budget.NewQuestions(c.Balancers, seconds(c.AskWithin), c.Seed)
+	d.budget = budget.NewQueryPacer(c.Balancers, seconds(c.AskWithin), c.Seed)
 }
 
 // configure applies changed settings. If they affect the calls to discovery, a new session starts, and as in setAddr the
@@ -171,9 +171,9 @@
 // to deliver soon count as known to the proxy.
 func (d *discovery) watchList(ctx context.Context) {
 	conn, err := (*discoveryConn)(nil), error(nil)
-	wait, pause := immediateWait, d.budget.Pause()
+	wait, pause := immediateWait, d.budget.NextDelay()
 	if d.hasList && !d.hasWatched { // a proxy without a list must not wait before its first call
-		pause = d.budget.First()
+		pause = d.budget.FirstDelay()
 	}
 	d.hasWatched = true
 	for err == nil {
@@ -188,7 +188,7 @@
 			err = d.watchCall(conn, wait)
 		}
 		silent := errors.Is(err, os.ErrDeadlineExceeded) && wait == d.watchWait
-		wait, pause = d.watchWait, d.budget.Pause()
+		wait, pause = d.watchWait, d.budget.NextDelay()
 		if pause > 0 {
 			wait = immediateWait // so that the response time shows how long the call queues at discovery
 			if err == nil {
@@ -275,7 +275,7 @@
 	if err == nil || ctx.Err() != nil {
 		return
 	}
-	d.budget.Failed()
+	d.budget.CallFailed()
 	if !d.failing {
 		d.failing = true
 		d.log.Warn("calls for the list fail, the last one serves on", zap.Error(err))
@@ -318,9 +318,9 @@
 		kind = balancer.ListFull
 	}
 	if wait > immediateWait {
-		d.budget.Waited()
+		d.budget.WatchAnswered()
 	} else {
-		d.budget.Answered(time.Since(began))
+		d.budget.PollAnswered(time.Since(began))
 	}
 	if d.failing {
 		d.failing = false
--- a/internal/proxy/host_registry.go
+++ b/internal/proxy/host_registry.go
@@ -52,13 +52,13 @@
 // isKnown reports whether a host is in the list or cordoned.
 func (r *hostRegistry) isKnown(name string) bool {
 	_, known := r.entries[name]
-	return known || r.cordoned.Out(name)
+	return known || r.cordoned.Cordoned(name)
 }
 
 // cordonedCount returns the number of hosts that are ready in the list but cordoned.
 func (r *hostRegistry) cordonedCount() (n int) {
 	for name := range r.cordoned {
-		if e, known := r.entries[name]; known && e.host.Status == balancer.Ready && r.cordoned.Out(name) {
+		if e, known := r.entries[name]; known && e.host.Status == balancer.Ready && r.cordoned.Cordoned(name) {
 			n++
 		}
 	}
--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -116,7 +116,7 @@
 	c.conn.Close()
 	f.mu.Lock()
 	f.open--
-	f.poller.Leave(&c.pollEntry)
+	f.poller.Remove(&c.pollEntry)
 	f.connTable.Remove(&c.entry)
 	f.budget.claimClients(f.connTable.Count())
 	f.mu.Unlock()
