--- a/internal/park/park_test.go
+++ b/internal/park/park_test.go
@@ -8,146 +8,148 @@
 	"go.uber.org/goleak"
 )
 
-const patience = 40 * time.Second
+const reportTimeout = 40 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// pair is a connection from both ends.
-func pair(t *testing.T, ln net.Listener) (near, far net.Conn) {
+// pair returns both ends of a TCP connection.
+func pair(t *testing.T, ln net.Listener) (server, client net.Conn) {
 	t.Helper()
-	far, err := net.Dial("tcp", ln.Addr().String())
+	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if near, err = ln.Accept(); err != nil {
+	if server, err = ln.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { near.Close(); far.Close() })
-	return near, far
+	t.Cleanup(func() { server.Close(); client.Close() })
+	return server, client
 }
 
-// both runs a test with either way to wait.
-func both(t *testing.T, test func(*testing.T, bool)) {
+// withBothPollers runs a test with each kind of Poller.
+func withBothPollers(t *testing.T, test func(*testing.T, bool)) {
 	t.Run("epoll", func(t *testing.T) { test(t, false) })
-	t.Run("watchers", func(t *testing.T) { test(t, true) })
+	t.Run("goroutines", func(t *testing.T) { test(t, true) })
 }
 
-func newLot(t *testing.T, watchers bool) (*Poller, net.Listener, chan any) {
+func newPoller(t *testing.T, goroutines bool) (*Poller, net.Listener, chan any) {
 	t.Helper()
-	woken := make(chan any, 4096)
-	wake := func(holder any) { woken <- holder }
-	l, err := NewGoroutinePoller(wake), error(nil)
-	if !watchers {
-		l, err = NewEpollPoller(wake)
+	ready := make(chan any, 4096)
+	onReady := func(value any) { ready <- value }
+	poller, err := NewGoroutinePoller(onReady), error(nil)
+	if !goroutines {
+		poller, err = NewEpollPoller(onReady)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan struct{})
-	go func() { l.Run(); close(ended) }()
+	go func() { poller.Run(); close(ended) }()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		ln.Close()
-		l.Close()
+		poller.Close()
 		<-ended
 	})
-	return l, ln, woken
+	return poller, ln, ready
 }
 
-func next(t *testing.T, woken chan any) any {
+func nextReport(t *testing.T, ready chan any) any {
 	t.Helper()
 	select {
-	case h := <-woken:
-		return h
-	case <-time.After(patience):
-		t.Fatal("no report")
+	case value := <-ready:
+		return value
+	case <-time.After(reportTimeout):
+		t.Fatal("no report within the timeout")
 		return nil
 	}
 }
 
-// TestReports: bytes, an end, a half-close and a reset are each reported, once for each Arm, also where they came first.
-func TestReports(t *testing.T) { both(t, testReports) }
+// TestReports checks that data, a close, a half-close and a reset are reported once for each Arm, including what happened
+// before the call of Arm.
+func TestReports(t *testing.T) { withBothPollers(t, testReports) }
 
-func testReports(t *testing.T, watchers bool) {
-	l, ln, woken := newLot(t, watchers)
+func testReports(t *testing.T, goroutines bool) {
+	poller, ln, ready := newPoller(t, goroutines)
 	for name, act := range map[string]func(net.Conn){
 		"bytes":      func(c net.Conn) { c.Write([]byte("x")) },
-		"end":        func(c net.Conn) { c.Close() },
+		"close":      func(c net.Conn) { c.Close() },
 		"half-close": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
 		"reset":      func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 	} {
-		near, far := pair(t, ln)
-		var s Registration
-		if err := l.Arm(&s, near, name); err != nil {
+		server, client := pair(t, ln)
+		var r Registration
+		if err := poller.Arm(&r, server, name); err != nil {
 			t.Fatal(err)
 		}
-		act(far)
-		if h := next(t, woken); h != name {
-			t.Fatalf("%v reported, not %s", h, name)
+		act(client)
+		if value := nextReport(t, ready); value != name {
+			t.Fatalf("report of %v, want %s", value, name)
 		}
-		if err := l.Arm(&s, near, name); err != nil { // it is still readable
+		if err := poller.Arm(&r, server, name); err != nil { // the connection is still readable
 			t.Fatal(err)
 		}
-		next(t, woken)
-		near.Close()
-		l.Remove(&s)
+		nextReport(t, ready)
+		server.Close()
+		poller.Remove(&r)
 	}
-	if len(woken) > 0 || len(l.holders) > 0 {
-		t.Fatalf("%d reports too many, %d kept", len(woken), len(l.holders))
+	if len(ready) > 0 || len(poller.registered) > 0 {
+		t.Fatalf("%d unexpected reports, %d registrations kept", len(ready), len(poller.registered))
 	}
 }
 
-// TestWave: a thousand connections that wake together are each reported once, and once they have left nothing is kept.
-func TestWave(t *testing.T) { both(t, testWave) }
+// TestWave checks that a thousand connections that become ready together are each reported once, and that nothing is kept
+// of them after Remove.
+func TestWave(t *testing.T) { withBothPollers(t, testWave) }
 
-func testWave(t *testing.T, watchers bool) {
+func testWave(t *testing.T, goroutines bool) {
 	const many = 1000
-	l, ln, woken := newLot(t, watchers)
-	near, far, spots := make([]net.Conn, many), make([]net.Conn, many), make([]Registration, many)
+	poller, ln, ready := newPoller(t, goroutines)
+	server, client, registrations := make([]net.Conn, many), make([]net.Conn, many), make([]Registration, many)
 	for i := range many {
-		near[i], far[i] = pair(t, ln)
-		if err := l.Arm(&spots[i], near[i], i); err != nil {
+		server[i], client[i] = pair(t, ln)
+		if err := poller.Arm(&registrations[i], server[i], i); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, c := range far {
+	for _, c := range client {
 		c.Write([]byte("x"))
 	}
 	seen := map[any]bool{}
 	for range many {
-		h := next(t, woken)
-		if seen[h] {
-			t.Fatalf("%v twice", h)
+		value := nextReport(t, ready)
+		if seen[value] {
+			t.Fatalf("connection %v reported twice", value)
 		}
-		seen[h] = true
+		seen[value] = true
 	}
 	for i := range many {
-		near[i].Close()
-		l.Remove(&spots[i])
+		server[i].Close()
+		poller.Remove(&registrations[i])
 	}
-	if len(l.holders) > 0 || l.most > batch {
-		t.Fatalf("%d kept, room for %d", len(l.holders), l.most)
+	if len(poller.registered) > 0 || poller.peak > eventBatch {
+		t.Fatalf("%d registrations kept, peak size %d after Remove", len(poller.registered), poller.peak)
 	}
 }
 
-// TestClosed: a connection that is closed cannot be parked, and what has no descriptor cannot either.
-func TestClosed(t *testing.T) { both(t, testClosed) }
+// TestClosed checks that Arm fails for a closed connection and for one without a descriptor.
+func TestClosed(t *testing.T) { withBothPollers(t, testClosed) }
 
-func testClosed(t *testing.T, watchers bool) {
-	l, ln, _ := newLot(t, watchers)
-	near, _ := pair(t, ln)
-	near.Close()
+func testClosed(t *testing.T, goroutines bool) {
+	poller, ln, _ := newPoller(t, goroutines)
+	server, _ := pair(t, ln)
+	server.Close()
 	pipe, other := net.Pipe()
 	defer other.Close()
 	defer pipe.Close()
-	for _, c := range []net.Conn{near, pipe} {
-		var s Registration
-		if err := l.Arm(&s, c, 1); err == nil {
-			t.Errorf("%T parked", c)
+	for _, c := range []net.Conn{server, pipe} {
+		var r Registration
+		if err := poller.Arm(&r, c, 1); err == nil {
+			t.Errorf("Arm of an unusable %T succeeded", c)
 		}
-		l.Remove(&s)
+		poller.Remove(&r)
 	}
 }
