--- a/internal/budget/query_pacer_test.go
+++ b/internal/budget/query_pacer_test.go
@@ -87,8 +87,8 @@
 
 // TestCrowdedDiscovery starts a fleet together, with a discovery service that can answer far fewer calls than the changes
 // would cause. All proxies must receive updates and few calls may fail, even if the configured number of proxies is half or
-// double the real one. A fleet that is configured as small only watches, and at least half of its calls must fail, which verifies that the
-// test overloads discovery.
+// double the real one. A fleet that is configured as small only watches. At least half of its calls must fail, which shows
+// that the test overloads discovery.
 func TestCrowdedDiscovery(t *testing.T) {
 	for _, configured := range []int{40, 80, 160} {
 		d, all := runFleet(80, configured, 60*time.Millisecond)
--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -1,5 +1,9 @@
-// Package cordon decides what hosts taken out by hand look like to the module: the set of them, merged with what
-// discovery lists. It does no I/O; a Set is never changed once made, so that it may be shared.
+// Package cordon tracks the hosts that operators have cordoned, which are hosts that take no new requests until an operator
+// uncordons them. Its type Set holds these hosts. Set.Merge combines a Set with the entries of discovery's host list, and the
+// result is what the load balancer (package balancer) is given.
+//
+// The package does no I/O. The methods of Set return a changed copy and never modify their receiver, so a Set may be shared
+// between goroutines.
 package cordon
 
 import (
@@ -9,28 +13,28 @@
 	"beechwing/balancer"
 )
 
-// MaxHosts is how many hosts a set holds.
+// MaxHosts is the largest number of hosts in a Set.
 const MaxHosts = 4096
 
-// ErrFull says that a set holds as many hosts as it may.
+// ErrFull is returned when a Set already holds MaxHosts hosts.
 var ErrFull = errors.New("too many hosts are out")
 
-// Entry is what is known of a host that was taken out. Times are Unix seconds.
+// Entry describes a host that has been cordoned. Times are in Unix seconds.
 type Entry struct {
-	CordonedAt   float64 `json:"out"`            // when it was taken out
-	UncordonedAt float64 `json:"back,omitempty"` // when it was put back; 0: it is out
+	CordonedAt   float64 `json:"out"`
+	UncordonedAt float64 `json:"back,omitempty"` // 0: still cordoned
 }
 
-// Set holds hosts by the name that discovery gives them.
+// Set holds the hosts that have been cordoned, including hosts uncordoned since, by their name in discovery.
 type Set map[string]Entry
 
-// Cordoned says whether a host is out.
+// Cordoned reports whether a host is cordoned.
 func (s Set) Cordoned(id string) bool {
 	e, known := s[id]
 	return known && e.UncordonedAt == 0
 }
 
-// Cordon gives the set with a host taken out at now. One that is out stays as it is.
+// Cordon returns the set with a host cordoned at now. The entry of a host that is already cordoned does not change.
 func (s Set) Cordon(id string, now float64) (Set, error) {
 	switch {
 	case s.Cordoned(id):
@@ -41,7 +45,7 @@
 	return s.with(id, Entry{CordonedAt: now}), nil
 }
 
-// Uncordon gives the set with a host put back at now, however often it was taken out.
+// Uncordon returns the set with a host uncordoned at now. One call is enough, however often the host was cordoned.
 func (s Set) Uncordon(id string, now float64) Set {
 	if !s.Cordoned(id) {
 		return s
@@ -56,18 +60,20 @@
 	return next
 }
 
-// Prune gives the set without hosts that have been back for longer than coldFor seconds: they are like any other.
-func (s Set) Prune(now, coldFor float64) Set {
+// Prune returns the set without the hosts that were uncordoned more than coldSeconds ago. These hosts have warmed up, and
+// need no entry any more.
+func (s Set) Prune(now, coldSeconds float64) Set {
 	next := maps.Clone(s)
-	maps.DeleteFunc(next, func(_ string, e Entry) bool { return e.UncordonedAt != 0 && now > e.UncordonedAt+coldFor })
+	maps.DeleteFunc(next, func(_ string, e Entry) bool { return e.UncordonedAt != 0 && now > e.UncordonedAt+coldSeconds })
 	if len(next) == len(s) {
 		return s
 	}
 	return next
 }
 
-// Merge gives a host's entry in the list as the module is to see it. The stricter word on its state wins. A host that is
-// back was restarted while it was out, and is cold also where the list has not told of that yet.
+// Merge returns a host's list entry with the cordon applied. A cordoned host is draining, unless discovery has removed it. An
+// uncordoned host is assumed to have restarted while it was cordoned, and counts as cold from the time of uncordoning, even
+// if the list does not show the restart yet.
 func (s Set) Merge(id string, h balancer.Host) balancer.Host {
 	e, known := s[id]
 	switch {
@@ -80,7 +86,7 @@
 	return h
 }
 
-// Changed lists the hosts of which two sets differ.
+// Changed returns the hosts whose entries differ between two sets.
 func Changed(a, b Set) []string {
 	var ids []string
 	for id, e := range a {
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -8,52 +8,52 @@
 	"beechwing/balancer"
 )
 
-// TestSet plays random calls and compares with a plain account of them: out is out however often it was called for and
-// whatever the list says, one call back undoes all, who is back is cold since then unless the list tells of a later start,
-// and no set that was given out ever changes.
+// TestSet makes random calls and compares the Set with a simple model. A cordoned host is never ready, however often it was
+// cordoned and whatever the list says. One Uncordon undoes all calls of Cordon. An uncordoned host is cold from then on,
+// unless the list shows a later start. No Set changes after it was returned.
 func TestSet(t *testing.T) {
-	type account struct{ out, back float64 }
+	type modelEntry struct{ cordonedAt, uncordonedAt float64 }
 	rapid.Check(t, func(t *rapid.T) {
-		const coldFor = 9.0
+		const coldSeconds = 9.0
 		ids := []string{"a", "b", "c"}
-		told, set, now := map[string]account{}, Set(nil), 100.0
+		model, set, now := map[string]modelEntry{}, Set(nil), 100.0
 		for range rapid.IntRange(1, 30).Draw(t, "calls") {
 			now += rapid.Float64Range(0.1, 5).Draw(t, "pause")
-			id, was, before := rapid.SampledFrom(ids).Draw(t, "host"), set, len(set)
+			id, previous, size := rapid.SampledFrom(ids).Draw(t, "host"), set, len(set)
 			switch rapid.IntRange(0, 2).Draw(t, "call") {
 			case 0:
 				set, _ = set.Cordon(id, now)
-				if a, known := told[id]; !known || a.back != 0 {
-					told[id] = account{out: now}
+				if e, known := model[id]; !known || e.uncordonedAt != 0 {
+					model[id] = modelEntry{cordonedAt: now}
 				}
 			case 1:
 				set = set.Uncordon(id, now)
-				if a, known := told[id]; known && a.back == 0 {
-					told[id] = account{a.out, now}
+				if e, known := model[id]; known && e.uncordonedAt == 0 {
+					model[id] = modelEntry{e.cordonedAt, now}
 				}
 			default:
-				set = set.Prune(now, coldFor)
+				set = set.Prune(now, coldSeconds)
 			}
-			if len(was) != before {
-				t.Fatal("an older set has changed")
+			if len(previous) != size {
+				t.Fatal("a call has changed the set that it was made on")
 			}
 			for _, id := range ids {
-				a, known := told[id]
-				isOut := known && a.back == 0
-				if set.Cordoned(id) != isOut {
-					t.Fatalf("%s out: %v, want %v", id, set.Cordoned(id), isOut)
+				e, known := model[id]
+				cordoned := known && e.uncordonedAt == 0
+				if set.Cordoned(id) != cordoned {
+					t.Fatalf("%s cordoned: %v, want %v", id, set.Cordoned(id), cordoned)
 				}
-				status := rapid.SampledFrom([]balancer.Status{balancer.Ready, balancer.Draining, balancer.Removed}).Draw(t, "state")
-				started := rapid.SampledFrom([]float64{0, a.out, a.out + 0.05, now}).Draw(t, "started")
+				status := rapid.SampledFrom([]balancer.Status{balancer.Ready, balancer.Draining, balancer.Removed}).Draw(t, "status")
+				started := rapid.SampledFrom([]float64{0, e.cordonedAt, e.cordonedAt + 0.05, now}).Draw(t, "started")
 				got := set.Merge(id, balancer.Host{Status: status, Started: started})
 				want := balancer.Host{Status: status, Started: started}
 				switch {
-				case isOut && status == balancer.Ready:
+				case cordoned && status == balancer.Ready:
 					want.Status = balancer.Draining
-				case known && !isOut && now <= a.back+coldFor && started <= a.out:
-					want.Started = a.back
-				case known && !isOut && now > a.back+coldFor:
-					want.Started = got.Started // cold long ago or not: both are warm by now
+				case known && !cordoned && now <= e.uncordonedAt+coldSeconds && started <= e.cordonedAt:
+					want.Started = e.uncordonedAt
+				case known && !cordoned && now > e.uncordonedAt+coldSeconds:
+					want.Started = got.Started // the host is warm by now, so either start is right
 				}
 				if got != want {
 					t.Fatalf("%s merged to %+v, want %+v", id, got, want)
@@ -63,13 +63,13 @@
 	})
 }
 
-// TestFull: a set is bounded, and one more is an error that changes nothing.
+// TestFull checks that Cordon on a full Set returns ErrFull and does not cordon the host.
 func TestFull(t *testing.T) {
 	s := Set{}
 	for n := range MaxHosts {
 		s[string(rune(n))+"x"] = Entry{CordonedAt: 1}
 	}
 	if next, err := s.Cordon("one more", 2); err != ErrFull || next.Cordoned("one more") {
-		t.Fatalf("%v", err)
+		t.Fatalf("Cordon on a full set: error %v, or the host was cordoned", err)
 	}
 }
