--- a/internal/proxy/accept.go
+++ b/internal/proxy/accept.go
@@ -103,8 +103,8 @@
 }
 
 func connTableConfig(l frontendLimits, t timing) places.Config {
-	return places.Config{MaxConns: l.maxConns, FirstRequestTimeout: t.firstRequestTimeout, PartialProtection: t.lateGrace, IdleTimeout: t.idleTimeout,
-		MinIdleTimeout: t.idleTimeoutFull, ByAddress: l.byAddress}
+	return places.Config{MaxConns: l.maxConns, FirstRequestTimeout: t.firstRequestTimeout, PartialProtection: t.lateGrace,
+		IdleTimeout: t.idleTimeout, MinIdleTimeout: t.idleTimeoutFull, ByAddress: l.byAddress}
 }
 
 // configure applies the configured connection settings. Connections beyond a lowered limit are closed as soon as they
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -51,7 +51,8 @@
 // parkedConns returns the number of idle connections without a goroutine.
 func (g *testProxy) parkedConns() int {
 	f := g.p.front.stats()
-	return f.Places.Held[places.StateIdleOnce] + f.Places.Held[places.StateIdleReused] + f.Places.Held[places.StateTrial] - f.Warm - f.Desk.Serving
+	return f.Places.Held[places.StateIdleOnce] + f.Places.Held[places.StateIdleReused] + f.Places.Held[places.StateTrial] -
+		f.Warm - f.Desk.Serving
 }
 
 func (g *testProxy) waitUntil(what string, true func() bool) {
@@ -253,7 +254,8 @@
 	}
 	core, logs := observer.New(zap.WarnLevel)
 	l := failingListener{ln, make(chan struct{}), make(eventChan[bool], 1)}
-	f, err := newFrontend(l, frontendLimits{machineMax: 4, maxConns: 4, admission: places.RequestQueueConfig{MaxServing: 1, Burst: 1, Rate: 1}},
+	f, err := newFrontend(l, frontendLimits{machineMax: 4, maxConns: 4,
+		admission: places.RequestQueueConfig{MaxServing: 1, Burst: 1, Rate: 1}},
 		newConnBudget(Limits{Sockets: 100}), nil, nil, wire.NewPool(), nil, testTiming(), zap.New(core))
 	if err != nil {
 		t.Fatal(err)
@@ -377,7 +379,9 @@
 	for range most {
 		io.WriteString(g.dial(), "GET /api HTTP/1.1\r\n")
 	}
-	g.waitUntil("the concurrency limit is reached", func() bool { return g.p.front.stats().Places.Held[places.StatePartial] == most })
+	g.waitUntil("the concurrency limit is reached", func() bool {
+		return g.p.front.stats().Places.Held[places.StatePartial] == most
+	})
 	for n := range 5 {
 		if a := g.raw(requestText("write", "x")); a.status != http.StatusOK {
 			t.Fatalf("request %d got status %d: %+v", n, a.status, g.p.front.stats())
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -153,8 +153,9 @@
 	return frontendLimits{machineMax: clients, maxConns: clientLimit(clients, p.cfg.Site.Connections),
 		byAddress: p.cfg.Site.Connections.Callers == site.Address, maxWarm: max(1, requests/4),
 		goroutinePerParked: p.cfg.Limits.allowWatchers(clients),
-		admission: places.RequestQueueConfig{MaxServing: requests, MaxRefusing: overflowConns, MaxWait: maxQueueWait(p.cfg.Balancer.Classes),
-			Rate: admissionRate(p.cfg.Limits.Cores), Burst: min(requests, admissionBurst)}}
+		admission: places.RequestQueueConfig{MaxServing: requests, MaxRefusing: overflowConns,
+			MaxWait: maxQueueWait(p.cfg.Balancer.Classes),
+			Rate:    admissionRate(p.cfg.Limits.Cores), Burst: min(requests, admissionBurst)}}
 }
 
 // Requests are admitted by a token bucket: admissionBurst at once and then a number per second that depends on the cores.
