--- a/internal/places/evict.go
+++ b/internal/places/evict.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// trialEvery is the number of connections found unlikely to be reused of which one is kept open as a trial. Without trials,
-// a wrong estimate would never be corrected, as a closed connection cannot be reused.
+// One in trialEvery connections that are unlikely to be reused is kept open as a trial. Without trials, a wrong estimate would
+// never be corrected, because a closed connection cannot be reused.
 const trialEvery = 8
 
 // maxTrials is the number of connections that may be in StateTrial at once.
 func (t *ConnTable) maxTrials() int { return max(1, t.cfg.MaxConns/16) }
 
 // recordArrival counts the first request of a client's connection. It increases the distance of each of the client's idle
-// connections by one, and closes those that are unlikely to be reused.
+// connections by one, and marks for closing those that are unlikely to be reused.
 func (t *ConnTable) recordArrival(now time.Duration, cl *client) {
 	cl.arrivals++
 	if cl.idleCounts == nil {
@@ -112,7 +112,8 @@
 	return nil
 }
 
-// markClosing marks a connection for closing, and queues it for Reap. From then on it does not count towards the limit.
+// markClosing marks a connection for closing, and queues it for Reap. From then on Count does not include the
+// connection.
 func (t *ConnTable) markClosing(now time.Duration, c *Conn, cause Cause) {
 	t.stats.Closed[cause]++
 	t.setState(now, c, StateClosing)
--- a/internal/places/list.go
+++ b/internal/places/list.go
@@ -1,7 +1,7 @@
 package places
 
-// list is an intrusive doubly linked list: the nodes are fields of the items, so that adding and removing an item needs
-// neither an allocation nor a search.
+// list is an intrusive doubly linked list. The nodes are fields of the items, so adding and removing an item needs neither an
+// allocation nor a search.
 type list[T any] struct {
 	first, last *node[T]
 	length      int
--- a/internal/places/request_queue.go
+++ b/internal/places/request_queue.go
@@ -21,9 +21,9 @@
 	Burst       int           // requests admitted at once after a pause
 }
 
-// RequestQueue decides which connections with a request to read are served, and which are refused. It protects against more
-// requests than there is memory for, and against bursts so sudden that hardly any request would finish in time if all were
-// started. A waiting connection needs no buffer. RequestQueue is not safe for concurrent use.
+// RequestQueue decides which connections with a request to read are served, and which are refused. It limits how many
+// requests are processed at once, because each needs memory for its buffers. It also limits the rate, because in a sudden
+// burst hardly any request would finish in time if all were started. A waiting connection needs no buffer. RequestQueue is not safe for concurrent use.
 type RequestQueue struct {
 	cfg        RequestQueueConfig
 	tokens     float64       // requests that may be admitted now: a token bucket (RFC 2697, section 3)
@@ -65,8 +65,7 @@
 	e.decision = Serve
 }
 
-// Enqueue asks for a slot, and returns Serve or Wait. An entry that waits is returned by Next later, as the value given
-// here.
+// Enqueue asks for a slot, and returns Serve or Wait. Next later returns the value of a waiting entry.
 func (q *RequestQueue) Enqueue(now time.Duration, e *QueueEntry, value any) Decision {
 	*e = QueueEntry{value: value, enqueuedAt: now, decision: Wait, enqueued: true}
 	if q.waiting.length == 0 && q.canServe(now) {
