--- a/internal/places/request_queue.go
+++ b/internal/places/request_queue.go
@@ -23,7 +23,8 @@
 
 // RequestQueue decides which connections with a request to read are served, and which are refused. It limits how many
 // requests are processed at once, because each needs memory for its buffers. It also limits the rate, because in a sudden
-// burst hardly any request would finish in time if all were started. A waiting connection needs no buffer. RequestQueue is not safe for concurrent use.
+// burst hardly any request would finish in time if all were started. A waiting connection needs no buffer. RequestQueue is
+// not safe for concurrent use.
 type RequestQueue struct {
 	cfg        RequestQueueConfig
 	tokens     float64       // requests that may be admitted now: a token bucket (RFC 2697, section 3)
