--- a/cmd/beechwing-control/calls.go
+++ b/cmd/beechwing-control/calls.go
@@ -167,7 +167,7 @@
 	page.Gauge("beechwing_control_standbys", float64(len(s.Standbys)))
 	page.Gauge("beechwing_control_silent_members", float64(len(s.Silent)))
 	page.Gauge("beechwing_control_last_contact_seconds", s.ContactAge)
-	disk := p.writer.Figures()
+	disk := p.writer.Stats()
 	page.Flag("beechwing_control_disk_failing", disk.Condition != store.Healthy)
 	page.Gauge("beechwing_control_disk_waiting", float64(disk.Values), "what", "values")
 	page.Gauge("beechwing_control_disk_waiting", float64(disk.Messages), "what", "messages")
--- a/cmd/beechwing-control/disk.go
+++ b/cmd/beechwing-control/disk.go
@@ -69,21 +69,21 @@
 // newWriter makes the part that writes to the disk, and sends what waited for it.
 func (p *program) newWriter(k kept) *store.Writer[transport.Send] {
 	return store.NewWriter(store.Options[transport.Send]{
-		Keeper:  timedKeeper{k.store, p},
-		Names:   slices.Collect(maps.Keys(k.values)),
-		Now:     p.clock.Now,
-		Release: func(after []transport.Send) { p.timed(workRelease, func(float64) { p.send(after) }) },
-		Changed: p.diskChanged,
+		Store:            timedKeeper{k.store, p},
+		Names:            slices.Collect(maps.Keys(k.values)),
+		Now:              p.clock.Now,
+		Release:          func(after []transport.Send) { p.timed(workRelease, func(float64) { p.send(after) }) },
+		ConditionChanged: p.diskChanged,
 	})
 }
 
 // diskChanged says that the disk fails, or takes writes again.
-func (p *program) diskChanged(c store.Change) {
+func (p *program) diskChanged(c store.ConditionChange) {
 	failing := c.Condition != store.Healthy
 	if failing {
-		p.log.Error("disk", "condition", c.Condition, "why", c.Why)
+		p.log.Error("disk", "condition", c.Condition, "why", c.Reason)
 	} else {
 		p.log.Info("disk", "condition", c.Condition)
 	}
-	p.with(func(now float64) { p.server.DiskState(now, failing, c.Why) })
+	p.with(func(now float64) { p.server.DiskState(now, failing, c.Reason) })
 }
--- a/cmd/beechwing-control/load.go
+++ b/cmd/beechwing-control/load.go
@@ -69,7 +69,7 @@
 	if first || given == 0 && !isBusy(recent, passed) {
 		return
 	}
-	disk := p.writer.Figures()
+	disk := p.writer.Stats()
 	p.log.Info("load", "seconds", fmt.Sprintf("%.2f", passed), "busy", fmt.Sprintf("%.2f", workload.Seconds(recent)/passed), "unsure", given,
 		"registers", registers, "changes", changes, "disk", disk.Condition, "diskValues", disk.Values, "diskMessages", disk.Messages,
 		"diskDropped", disk.Dropped, "work", workload.Text(recent))
--- a/internal/mesh/store/figures_test.go
+++ b/internal/mesh/store/bench_test.go
@@ -16,7 +16,7 @@
 	claimBytes   = 100
 )
 
-// routesText is a configuration of 400 routes.
+// routesText returns a configuration with 400 routes.
 func routesText(edition int) []byte {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"edition":"r%d","itineraries":[`, edition)
@@ -28,8 +28,8 @@
 	return []byte(text.String())
 }
 
-// BenchmarkStart gives the bytes on disk after changes of the configuration, and with keys, and how long a
-// start takes on them: to read, and to begin the next generation. Run it by itself on a disk, with
+// BenchmarkStart reports the bytes on disk after many changes of the configuration, or with many keys, and how
+// long a start takes with them: to read them, and to write the next generation. Run it alone on a disk, with
 // -benchtime 5x.
 func BenchmarkStart(b *testing.B) {
 	for _, changes := range []int{10, 100, 1000} {
@@ -44,7 +44,8 @@
 	}
 }
 
-// changeRoutes writes a configuration as the control plane does: its text, then that it is in force.
+// changeRoutes writes configurations as the control plane does: first the text, then the note that it is in
+// force.
 func changeRoutes(s *Store, changes int) error {
 	for edition := range changes {
 		if err := s.Write([]Put{{"charter", routesText(edition)}}); err != nil {
--- a/internal/mesh/store/codec.go
+++ b/internal/mesh/store/codec.go
@@ -16,59 +16,59 @@
 )
 
 const (
-	wholeMark = "~whole" // sorts behind all names; written last into a new generation
-	headBytes = 8        // of a value in its slot: checksum, sequence
-	slots     = 2        // of a name
+	completionMark = "~whole" // sorts after all names; written last into a new generation
+	headerBytes    = 8        // header of a value in its slot: checksum and sequence number
+	slots          = 2        // slots of each name
 
 	bufferBytes = 64 << 10
 )
 
-// record is one value as it lies in a file.
+// record is one value as stored in a file.
 type record struct {
 	name  string
 	seq   uint32
-	value []byte // empty: the name was taken away
+	value []byte // empty: the name was removed
 }
 
-// slot is the key under which a record lies.
-func (r record) slot() string { return r.name + slotNames[r.seq%slots] }
+// slot returns the key that a record is stored under.
+func (r record) slot() string { return r.name + slotSuffixes[r.seq%slots] }
 
-// size is how many bytes a record is counted for.
-func (r record) size() int64 { return int64(headBytes + len(r.name) + len(r.value)) }
+// size returns the bytes that a record counts for.
+func (r record) size() int64 { return int64(headerBytes + len(r.name) + len(r.value)) }
 
 func (r record) text() string {
-	buf := make([]byte, headBytes, headBytes+len(r.value))
+	buf := make([]byte, headerBytes, headerBytes+len(r.value))
 	binary.BigEndian.PutUint32(buf[4:], r.seq)
 	buf = append(buf, r.value...)
 	binary.BigEndian.PutUint32(buf, crc32.ChecksumIEEE(buf[4:]))
 	return string(buf)
 }
 
-// parseRecord reads what lies in a slot; ok is false where that was torn, or is no record.
+// parseRecord decodes the content of a slot; ok is false if the slot is torn or holds no record.
 func parseRecord(key, text string) (r record, ok bool) {
-	name := strings.TrimSuffix(strings.TrimSuffix(key, slotNames[0]), slotNames[1])
-	if len(name) == len(key) || len(text) < headBytes {
+	name := strings.TrimSuffix(strings.TrimSuffix(key, slotSuffixes[0]), slotSuffixes[1])
+	if len(name) == len(key) || len(text) < headerBytes {
 		return record{}, false
 	}
-	head, rest := []byte(text[:headBytes]), []byte(text[4:])
-	if crc32.ChecksumIEEE(rest) != binary.BigEndian.Uint32(head) {
+	header, rest := []byte(text[:headerBytes]), []byte(text[4:])
+	if crc32.ChecksumIEEE(rest) != binary.BigEndian.Uint32(header) {
 		return record{}, false
 	}
-	return record{name, binary.BigEndian.Uint32(head[4:]), rest[headBytes-4:]}, true
+	return record{name, binary.BigEndian.Uint32(header[4:]), rest[headerBytes-4:]}, true
 }
 
-// mark is the text of the whole mark: how many bytes come before it in the file, and their checksum.
+// mark is the content of a completion mark: the number of bytes before it in the file, and their checksum.
 type mark struct {
 	size     int64
 	checksum uint32
 }
 
-// slotNames end the keys of a name's slots.
-var slotNames = [slots]string{"/0", "/1"}
+// slotSuffixes are appended to a name to form the keys of its slots.
+var slotSuffixes = [slots]string{"/0", "/1"}
 
 const (
 	markFormat = "%d %08x"
-	oldMark    = "1" // of generations written before marks had a checksum
+	legacyMark = "1" // mark of generations written before marks had a checksum
 )
 
 func (m mark) text() string { return fmt.Sprintf(markFormat, m.size, m.checksum) }
@@ -78,14 +78,15 @@
 	return m, err
 }
 
-// codec turns pairs of key and text into the bytes of buntdb's log, and back. It reads with a buntdb in memory: buntdb's own files are of no use on a disk that fails, as it passes over an error of their sync
-// and panics where it can't cut a torn end.
+// codec encodes key-text pairs in the format of buntdb's log and decodes them. It decodes with an in-memory
+// buntdb. buntdb's own file handling is unsuitable for a failing disk: it ignores an error of its sync, and
+// panics if it cannot truncate a torn end.
 type codec struct {
 	db     *buntdb.DB
 	reader *bufio.Reader
 	writer *bufio.Writer
 
-	command []byte // room for one
+	command []byte // reusable buffer for one command
 }
 
 func newCodec() (*codec, error) {
@@ -100,8 +101,8 @@
 	return c.db.Update(func(tx *buntdb.Tx) error { return tx.DeleteAll() })
 }
 
-// encode writes pairs to w in the order of their keys, as buntdb does when it saves itself. It does not go through a database: of a small
-// machine's processor that took most of the time of a write.
+// encode writes pairs to w in the order of their keys, as buntdb does when it saves itself. It bypasses the
+// database, which took most of the time of a write on a small machine's processor.
 func (c *codec) encode(w io.Writer, pairs map[string]string) error {
 	c.writer.Reset(w)
 	for _, key := range slices.Sorted(maps.Keys(pairs)) {
@@ -113,7 +114,7 @@
 	return c.writer.Flush()
 }
 
-// appendSet appends one command of buntdb's log: an array of three strings, each with its length before it.
+// appendSet appends one "set" command of buntdb's log: an array of three strings, each preceded by its length.
 func appendSet(buf []byte, key, text string) []byte {
 	buf = append(buf, "*3\r\n$3\r\nset\r\n"...)
 	for _, s := range []string{key, text} {
@@ -126,14 +127,14 @@
 	return buf
 }
 
-// decode reads pairs up to the first bytes that make no sense, and gives those that hold at that point in
+// decode reads pairs up to the first invalid bytes, and passes the pairs that are set at that point to visit in
 // the order of their keys.
-func (c *codec) decode(r io.Reader, each func(key, text string)) error {
+func (c *codec) decode(r io.Reader, visit func(key, text string)) error {
 	c.reader.Reset(r)
-	_ = c.db.Load(c.reader) // what came before the first senseless byte is in the database
+	_ = c.db.Load(c.reader) // the database holds all pairs before the first invalid byte
 	err := c.db.View(func(tx *buntdb.Tx) error {
 		return tx.Ascend("", func(key, text string) bool {
-			each(key, text)
+			visit(key, text)
 			return true
 		})
 	})
--- a/internal/mesh/store/codec_test.go
+++ b/internal/mesh/store/codec_test.go
@@ -9,7 +9,7 @@
 	"github.com/tidwall/buntdb"
 )
 
-// savedByBuntdb are the bytes that buntdb saves of some pairs.
+// savedByBuntdb returns the bytes that buntdb saves for some pairs.
 func savedByBuntdb(t *testing.T, pairs map[string]string) []byte {
 	t.Helper()
 	db, err := buntdb.Open(":memory:")
@@ -35,7 +35,8 @@
 	return saved.Bytes()
 }
 
-// What is written is what buntdb itself would save, whatever the bytes, and is read back as it was.
+// The encoder must write exactly what buntdb itself would save, whatever bytes the values hold, and decode must
+// read the same pairs back.
 func TestEncodesAsBuntdbDoes(t *testing.T) {
 	pairs := map[string]string{"": "", "empty": "", "lines/0": "a\r\n$3\r\nset\r\n", "zero/1": "\x00\xff\x00", "large": string(make([]byte, 3*bufferBytes))}
 	for i := range 300 {
@@ -58,6 +59,6 @@
 		t.Fatal(err)
 	}
 	if !maps.Equal(read, pairs) {
-		t.Errorf("%d pairs are read back of %d", len(read), len(pairs))
+		t.Errorf("read back %d pairs of %d", len(read), len(pairs))
 	}
 }
--- a/internal/mesh/store/disk.go
+++ b/internal/mesh/store/disk.go
@@ -8,38 +8,37 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Disk is the folder that a store lies in. Tests put one in its place that fails, or loses power, at a
-// chosen step.
+// Disk is the directory of a store. Tests replace it by one that fails or loses power at a chosen step.
 type Disk interface {
-	// Names lists the files. A folder that does not exist has none.
+	// Names lists the files. A directory that does not exist has none.
 	Names() ([]string, error)
 	// Open opens a file for reading.
 	Open(name string) (io.ReadCloser, error)
-	// Create makes an empty file, and the folder if it does not exist. The name may be lost with power
-	// before Sync.
+	// Create creates an empty file, and the directory if it does not exist. Before Sync a power loss may undo
+	// the creation.
 	Create(name string) (File, error)
-	// Remove takes a file away. It may be there again after a loss of power before Sync.
+	// Remove removes a file. Before Sync a power loss may undo the removal.
 	Remove(name string) error
-	// Sync returns once the names that were made and removed will outlast a loss of power.
+	// Sync makes the creations and removals so far durable.
 	Sync() error
 }
 
-// File is a file that is being written, from its start to its end.
+// File is a file that is written sequentially.
 type File interface {
 	io.WriteCloser
-	// Sync returns once the bytes written so far will outlast a loss of power.
+	// Sync makes the bytes written so far durable.
 	Sync() error
 	// Truncate cuts the file to its first size bytes.
 	Truncate(size int64) error
 }
 
-// folder is the Disk of the operating system.
-type folder struct {
+// directory is a Disk in the file system of the operating system.
+type directory struct {
 	path     string
-	unsynced []string // folders in which a folder has been made since they were synced
+	unsynced []string // directories with subdirectories that were created since the last sync
 }
 
-func (f *folder) Names() ([]string, error) {
+func (f *directory) Names() ([]string, error) {
 	entries, err := os.ReadDir(f.path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -51,24 +50,24 @@
 	return names, err
 }
 
-func (f *folder) Open(name string) (io.ReadCloser, error) {
+func (f *directory) Open(name string) (io.ReadCloser, error) {
 	return os.Open(filepath.Join(f.path, name))
 }
 
-func (f *folder) Create(name string) (File, error) {
-	if err := f.make(f.path); err != nil {
+func (f *directory) Create(name string) (File, error) {
+	if err := f.makeDir(f.path); err != nil {
 		return nil, err
 	}
 	return os.Create(filepath.Join(f.path, name))
 }
 
-// make makes a folder and those above it, and notes where the new names stand.
-func (f *folder) make(path string) error {
+// makeDir creates a directory and its parents, and records the parents that need a sync.
+func (f *directory) makeDir(path string) error {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		return nil
 	}
 	parent := filepath.Dir(path)
-	if err := f.make(parent); err != nil {
+	if err := f.makeDir(parent); err != nil {
 		return err
 	}
 	if err := os.Mkdir(path, 0o755); err != nil {
@@ -78,19 +77,19 @@
 	return nil
 }
 
-func (f *folder) Remove(name string) error { return os.Remove(filepath.Join(f.path, name)) }
+func (f *directory) Remove(name string) error { return os.Remove(filepath.Join(f.path, name)) }
 
-func (f *folder) Sync() error {
+func (f *directory) Sync() error {
 	for len(f.unsynced) > 0 {
-		if err := syncFolder(f.unsynced[0]); err != nil {
+		if err := syncDir(f.unsynced[0]); err != nil {
 			return err
 		}
 		f.unsynced = f.unsynced[1:]
 	}
-	return syncFolder(f.path)
+	return syncDir(f.path)
 }
 
-func syncFolder(path string) error {
+func syncDir(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
 		return err
--- a/internal/mesh/store/faults_test.go
+++ b/internal/mesh/store/faults_test.go
@@ -10,28 +10,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// memoryDisk is a Disk in memory that fails at a chosen step and records every step, so that power can be
-// lost at any of them.
+// memoryDisk is a Disk in memory. It fails at chosen steps and records every step, so that a power loss can be
+// simulated at any of them.
 type memoryDisk struct {
 	names    map[string]*memoryFile
 	steps    []step
-	fail     map[int]fault // by the number of the step
-	capacity int           // bytes of all files; 0: no bound
+	fail     map[int]fault // faults by step number
+	capacity int           // limit on the bytes of all files; 0: no limit
 	readFail error
 }
 
 type memoryFile struct {
-	disk     *memoryDisk
-	id       int
-	content  []byte
-	doubtful bool // a sync failed: later ones keep nothing and say nothing, as the kernel's do
+	disk       *memoryDisk
+	id         int
+	content    []byte
+	syncFailed bool // a sync failed; like the kernel's, later syncs persist nothing and return no error
 }
 
 type fault int
 
 const (
 	ioError    fault = iota + 1 // nothing is done
-	shortWrite                  // half of the bytes are written, then the disk is full; other steps do nothing
+	shortWrite                  // a write stores half of its bytes, then the disk is full; other steps do nothing
 )
 
 type stepKind int
@@ -43,8 +43,8 @@
 	stepSync
 	stepRemove
 	stepSyncNames
-	stepPromised // a Write has returned without an error
-	stepNone     // nothing was done
+	stepAcknowledged // a Write returned without an error
+	stepNone         // nothing was done
 )
 
 // step is one change of a memoryDisk.
@@ -54,7 +54,7 @@
 	file   int
 	text   []byte
 	size   int64
-	number int // of the batch promised
+	number int // of the acknowledged batch
 }
 
 func newMemoryDisk(files map[string][]byte) *memoryDisk {
@@ -69,7 +69,7 @@
 	return d
 }
 
-// take notes a step, and says whether it fails.
+// take records a step, or returns the error of the fault that is set for it.
 func (d *memoryDisk) take(s step) error {
 	f := d.fail[len(d.steps)]
 	if f == 0 {
@@ -150,12 +150,12 @@
 }
 
 func (f *memoryFile) Sync() error {
-	if f.doubtful {
+	if f.syncFailed {
 		f.disk.steps = append(f.disk.steps, step{kind: stepNone})
 		return nil
 	}
 	err := f.disk.take(step{kind: stepSync, file: f.id})
-	f.doubtful = err != nil
+	f.syncFailed = err != nil
 	return err
 }
 
@@ -169,28 +169,27 @@
 
 func (f *memoryFile) Close() error { return nil }
 
-// wreck is a disk at the moment at which power is lost: what is kept for certain, and what may be kept or
-// lost.
-type wreck struct {
+// crashState is a disk at the moment of a power loss: what is durable, and what may be kept or lost.
+type crashState struct {
 	synced  map[int][]byte // content of the files at their last sync
-	newest  map[int][]byte // and as the process saw it
-	names   map[string]int // at the last sync of the folder
-	pending []step         // names made and removed since
-	last    int            // the file written last
+	written map[int][]byte // content of the files as the process saw it
+	names   map[string]int // directory entries at the last sync of the directory
+	pending []step         // names created and removed since
+	last    int            // the file that was written last
 }
 
-func wreckAfter(steps []step) *wreck {
-	w := &wreck{synced: map[int][]byte{}, newest: map[int][]byte{}, names: map[string]int{}, last: -1}
+func crashAfter(steps []step) *crashState {
+	w := &crashState{synced: map[int][]byte{}, written: map[int][]byte{}, names: map[string]int{}, last: -1}
 	for _, s := range steps {
 		switch s.kind {
 		case stepCreate:
 			w.pending = append(w.pending, s)
 		case stepWrite:
-			w.newest[s.file], w.last = append(slices.Clip(w.newest[s.file]), s.text...), s.file
+			w.written[s.file], w.last = append(slices.Clip(w.written[s.file]), s.text...), s.file
 		case stepTruncate:
-			w.newest[s.file] = w.newest[s.file][:s.size]
+			w.written[s.file] = w.written[s.file][:s.size]
 		case stepSync:
-			w.synced[s.file] = w.newest[s.file]
+			w.synced[s.file] = w.written[s.file]
 		case stepRemove:
 			w.pending = append(w.pending, s)
 		case stepSyncNames:
@@ -211,9 +210,9 @@
 	}
 }
 
-// nameSets gives all sets of names that may be left: every change since the last sync of the folder is kept
-// or lost by itself.
-func (w *wreck) nameSets() (sets []map[string]int) {
+// nameSets returns all sets of names that may remain: each change since the last sync of the directory is kept
+// or lost independently.
+func (w *crashState) nameSets() (sets []map[string]int) {
 	for choice := range 1 << len(w.pending) {
 		names := maps.Clone(w.names)
 		for i, change := range w.pending {
@@ -226,42 +225,42 @@
 	return sets
 }
 
-// contents gives what may be left of the file written last: cut at every byte, or every stride, that was
-// not synced, such a cut filled up with zeros, and all of it with a hole.
-func (w *wreck) contents(stride int) (all [][]byte) {
-	newest, synced := w.newest[w.last], len(w.synced[w.last])
-	for cut := synced; cut < len(newest); cut += stride {
-		left := bytes.Clone(newest[:cut])
-		all = append(all, left, append(slices.Clip(left), make([]byte, len(newest)-cut)...))
+// contents returns what may remain of the file that was written last: its unsynced part cut at every stride-th
+// byte, each such cut filled up with zeros, and the complete file with a hole.
+func (w *crashState) contents(stride int) (all [][]byte) {
+	written, synced := w.written[w.last], len(w.synced[w.last])
+	for cut := synced; cut < len(written); cut += stride {
+		left := bytes.Clone(written[:cut])
+		all = append(all, left, append(slices.Clip(left), make([]byte, len(written)-cut)...))
 		if stride == 1 && cut%holeEvery != 0 {
 			continue
 		}
-		hole := bytes.Clone(newest)
+		hole := bytes.Clone(written)
 		clear(hole[cut:min(cut+holeBytes, len(hole))])
 		all = append(all, hole)
 	}
-	return append(all, newest)
+	return append(all, written)
 }
 
 const (
-	holeBytes = 5 // fits into the value of a name that was taken away
-	holeEvery = 4 // bytes from one hole to the next, so they overlap
+	holeBytes = 5 // fits into the value of a removed name
+	holeEvery = 4 // bytes from one hole to the next; less than holeBytes, so that holes overlap
 )
 
-// disks gives the files of every disk that may be found after the loss of power.
-func (w *wreck) disks(stride int) (all []map[string][]byte) {
+// disks returns the files of every disk state that may be found after the power loss.
+func (w *crashState) disks(stride int) (all []map[string][]byte) {
 	for _, names := range w.nameSets() {
 		for _, content := range w.contents(stride) {
 			files := map[string][]byte{}
 			for name, id := range names {
-				files[name] = w.newest[id]
+				files[name] = w.written[id]
 				if id == w.last {
 					files[name] = content
 				}
 			}
 			all = append(all, files)
-			for name, id := range names { // the other files as they were at their last sync
-				if id == w.last || len(w.synced[id]) == len(w.newest[id]) {
+			for name, id := range names { // the other files as of their last sync
+				if id == w.last || len(w.synced[id]) == len(w.written[id]) {
 					continue
 				}
 				other := maps.Clone(files)
@@ -273,4 +272,4 @@
 	return all
 }
 
-var errRead = errors.New("read error of the disk")
+var errRead = errors.New("disk read error")
--- a/internal/mesh/store/generation.go
+++ b/internal/mesh/store/generation.go
@@ -13,12 +13,12 @@
 const (
 	fileFormat  = "store-%08d.bunt"
 	filePattern = "store-%d.bunt"
-	chunkBytes  = 128 << 10 // of a new generation that are put into the form of the log at once
+	chunkBytes  = 128 << 10 // bytes of a new generation that are encoded at once
 )
 
 func fileName(generation int) string { return fmt.Sprintf(fileFormat, generation) }
 
-// generations lists the generations on a disk, whole or not, oldest first.
+// generations returns the numbers of all generations on a disk in ascending order, complete or not.
 func generations(disk Disk) (all []int, err error) {
 	names, err := disk.Names()
 	if err != nil {
@@ -34,10 +34,10 @@
 	return all, nil
 }
 
-// readGeneration reads a generation; whole says whether it had been written in full before it was used.
-// Bytes that make no sense end it: they belong to a batch whose sync never returned, as every one before it
-// was synced before the next began.
-func readGeneration(disk Disk, code *codec, g int) (records map[string]record, whole bool, err error) {
+// readGeneration reads a generation; complete reports whether all of its initial content had been written.
+// Reading stops at the first invalid bytes. They belong to a batch whose sync never returned, as each batch is
+// synced before the next one begins.
+func readGeneration(disk Disk, code *codec, g int) (records map[string]record, complete bool, err error) {
 	file, err := disk.Open(fileName(g))
 	if err != nil {
 		return nil, false, errors.Wrap(err, "store")
@@ -47,7 +47,7 @@
 	records = map[string]record{}
 	var marked string
 	err = code.decode(source, func(key, text string) {
-		if key == wholeMark {
+		if key == completionMark {
 			marked = text
 		} else if r, ok := parseRecord(key, text); ok && r.seq > records[r.name].seq {
 			records[r.name] = r
@@ -56,13 +56,13 @@
 	if err = errors.CombineErrors(source.err, err); err != nil {
 		return nil, false, errors.Wrap(err, "store")
 	}
-	if whole, err = checkMark(disk, g, marked); err != nil {
+	if complete, err = checkMark(disk, g, marked); err != nil {
 		return nil, false, errors.Wrap(err, "store")
 	}
-	return records, whole, nil
+	return records, complete, nil
 }
 
-// errorReader remembers an error of reading, which would pass for the end of the file otherwise.
+// errorReader remembers a read error, which decode would otherwise take for the end of the file.
 type errorReader struct {
 	from io.Reader
 	err  error
@@ -76,10 +76,10 @@
 	return n, err
 }
 
-// checkMark says whether all that stands before a generation's mark is there as it was written. A loss of
-// power may keep the mark and lose some of what was written before it.
-func checkMark(disk Disk, g int, text string) (whole bool, err error) {
-	if text == oldMark {
+// checkMark reports whether everything before a generation's completion mark is as it was written. A power loss
+// may keep the mark and lose some of the bytes written before it.
+func checkMark(disk Disk, g int, text string) (complete bool, err error) {
+	if text == legacyMark {
 		return true, nil
 	}
 	expected, err := parseMark(text)
@@ -96,7 +96,7 @@
 	return mark{size, sum.Sum32()} == expected, err
 }
 
-// contentWriter writes to a file and keeps count and checksum of what was written.
+// contentWriter writes to a file and keeps the size and checksum of the bytes written.
 type contentWriter struct {
 	to io.Writer
 	mark
@@ -109,9 +109,9 @@
 	return n, err
 }
 
-// writeContent writes all records, without the mark that says so. As long as the mark isn't there the file
-// counts for nothing. After each chunk it says that it gets on.
-func writeContent(to io.Writer, code *codec, records map[string]record, getsOn func()) (mark, error) {
+// writeContent writes all records but not the completion mark. Until the mark is written, the file counts as
+// incomplete. progress is called after each chunk.
+func writeContent(to io.Writer, code *codec, records map[string]record, progress func()) (mark, error) {
 	w := &contentWriter{to: to}
 	pairs, bytes := map[string]string{}, int64(0)
 	for _, name := range slices.Sorted(maps.Keys(records)) {
@@ -123,7 +123,7 @@
 		if err := code.encode(w, pairs); err != nil {
 			return mark{}, err
 		}
-		getsOn()
+		progress()
 		pairs, bytes = map[string]string{}, 0
 	}
 	err := code.encode(w, pairs)
--- a/internal/mesh/store/power_test.go
+++ b/internal/mesh/store/power_test.go
@@ -8,27 +8,27 @@
 	"testing"
 )
 
-// day is a day of writes on a disk that may fail. Every value says which batch it came with.
-type day struct {
+// scenario is a sequence of writes on a disk that may fail. Every value names the batch that it came with.
+type scenario struct {
 	disk    *memoryDisk
 	store   *Store
 	batch   int
-	history []map[string]string // of each batch, from 0: what it puts; an empty value takes the name away
+	history []map[string]string // for each batch, from 0: the values it puts; an empty value removes the name
 }
 
-// newDay begins on a disk that holds a generation already.
-func newDay(t *testing.T, fail map[int]fault) *day {
+// newScenario starts on a disk that already holds a generation.
+func newScenario(t *testing.T, fail map[int]fault) *scenario {
 	t.Helper()
 	before := newMemoryDisk(nil)
 	s, _, _ := openMemory(t, before)
 	write(t, s, Put{"a", []byte("batch 0")}, Put{"gone", []byte("batch 0")})
 	s.Close()
-	d := &day{history: []map[string]string{{"a": "batch 0", "gone": "batch 0"}}}
-	d.disk = newMemoryDisk(filesOf(before))
-	d.disk.fail = fail
-	d.disk.steps = append(d.disk.steps, step{kind: stepPromised, number: 0})
-	d.store, _, _ = openMemory(t, d.disk)
-	return d
+	sc := &scenario{history: []map[string]string{{"a": "batch 0", "gone": "batch 0"}}}
+	sc.disk = newMemoryDisk(filesOf(before))
+	sc.disk.fail = fail
+	sc.disk.steps = append(sc.disk.steps, step{kind: stepAcknowledged, number: 0})
+	sc.store, _, _ = openMemory(t, sc.disk)
+	return sc
 }
 
 func filesOf(d *memoryDisk) map[string][]byte {
@@ -48,79 +48,79 @@
 	return s, values, found
 }
 
-// open opens a disk with the codec of the day's store: one for each of thousands of disks takes a second to
-// go.
-func (d *day) open(t *testing.T, disk Disk) (*Store, map[string][]byte, bool) {
+// open opens a disk with the codec of the scenario's store. Closing a codec of its own for each of thousands of
+// disks would take a second.
+func (sc *scenario) open(t *testing.T, disk Disk) (*Store, map[string][]byte, bool) {
 	t.Helper()
-	s, values, found, err := openWith(disk, d.store.code)
+	s, values, found, err := openWith(disk, sc.store.code)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s, values, found
 }
 
-// write tries a batch; names that end in "-" are taken away.
-func (d *day) write(names ...string) {
-	d.batch++
-	puts, said := []Put{}, map[string]string{}
+// write attempts a batch; names that end in "-" are removed.
+func (sc *scenario) write(names ...string) {
+	sc.batch++
+	puts, values := []Put{}, map[string]string{}
 	for _, name := range names {
-		value := fmt.Sprintf("batch %d", d.batch)
+		value := fmt.Sprintf("batch %d", sc.batch)
 		if trimmed, gone := strings.CutSuffix(name, "-"); gone {
 			name, value = trimmed, ""
 		}
-		said[name] = value
+		values[name] = value
 		puts = append(puts, Put{name, []byte(value)})
 	}
-	d.history = append(d.history, said)
-	if d.store.Write(puts) == nil {
-		d.disk.steps = append(d.disk.steps, step{kind: stepPromised, number: d.batch})
+	sc.history = append(sc.history, values)
+	if sc.store.Write(puts) == nil {
+		sc.disk.steps = append(sc.disk.steps, step{kind: stepAcknowledged, number: sc.batch})
 	}
 }
 
-// play is what happens on every day: names come, change and go, twice in a batch as well, and a generation
-// is replaced.
-func (d *day) play() {
-	d.write("a", "b")
-	d.write("a", "gone-")
-	d.write("a", "c")
-	d.store.turn()
-	d.write("b-", "gone")
-	d.write("a", "b")
-	d.write("b")
-	d.write("b-") // an older value of it stands in the other slot
+// run performs the writes that all scenarios share: names are added, changed and removed, also twice in one
+// batch, and a generation is replaced.
+func (sc *scenario) run() {
+	sc.write("a", "b")
+	sc.write("a", "gone-")
+	sc.write("a", "c")
+	sc.store.compact()
+	sc.write("b-", "gone")
+	sc.write("a", "b")
+	sc.write("b")
+	sc.write("b-") // an older value of the name is in the other slot
 }
 
-// promised are the batches that were promised within steps.
-func promised(steps []step) map[int]bool {
+// acknowledged returns the batches that were acknowledged within steps.
+func acknowledged(steps []step) map[int]bool {
 	batches := map[int]bool{}
 	for _, s := range steps {
-		if s.kind == stepPromised {
+		if s.kind == stepAcknowledged {
 			batches[s.number] = true
 		}
 	}
 	return batches
 }
 
-// allowed says whether a name may have a value after a loss of power: the last one promised, or one that
-// was tried later.
-func (d *day) allowed(name, value string, promised map[int]bool) bool {
-	for b := len(d.history) - 1; b >= 0; b-- {
-		said, ok := d.history[b][name]
-		if ok && said == value {
+// allowed reports whether a name may have a value after a power loss: the last one that was acknowledged, or
+// one that was attempted later.
+func (sc *scenario) allowed(name, value string, acknowledged map[int]bool) bool {
+	for b := len(sc.history) - 1; b >= 0; b-- {
+		values, ok := sc.history[b][name]
+		if ok && values == value {
 			return true
 		}
-		if ok && promised[b] {
+		if ok && acknowledged[b] {
 			return false
 		}
 	}
 	return value == ""
 }
 
-// check opens each disk that may be left by a loss of power after some steps, and writes to it.
-func (d *day) check(t *testing.T, seen map[string]bool, steps []step, stride int) (opened int) {
+// check opens each disk state that a power loss after some steps may leave, and writes to it.
+func (sc *scenario) check(t *testing.T, seen map[string]bool, steps []step, stride int) (opened int) {
 	t.Helper()
-	kept := promised(steps)
-	for _, files := range wreckAfter(steps).disks(stride) {
+	kept := acknowledged(steps)
+	for _, files := range crashAfter(steps).disks(stride) {
 		key := fmt.Sprint(len(kept))
 		for _, name := range slices.Sorted(maps.Keys(files)) {
 			key += name + string(files[name])
@@ -131,60 +131,61 @@
 		seen[key] = true
 		opened++
 		disk := newMemoryDisk(files)
-		s, values, found := d.open(t, disk)
+		s, values, found := sc.open(t, disk)
 		if !found {
-			t.Fatalf("after %d steps, promised %v: no store in %q", len(steps), kept, files)
+			t.Fatalf("after %d steps, acknowledged %v: no store in %q", len(steps), kept, files)
 		}
 		for _, name := range []string{"a", "b", "c", "gone"} {
-			if value := string(values[name]); !d.allowed(name, value, kept) {
-				t.Fatalf("after %d steps, promised %v: %s is %q in %q", len(steps), kept, name, value, files)
+			if value := string(values[name]); !sc.allowed(name, value, kept) {
+				t.Fatalf("after %d steps, acknowledged %v: %s is %q in %q", len(steps), kept, name, value, files)
 			}
 		}
 		write(t, s, Put{"a", []byte("later")})
-		_, again, _ := d.open(t, disk)
+		_, again, _ := sc.open(t, disk)
 		values["a"] = []byte("later")
 		if !maps.EqualFunc(again, values, slices.Equal) {
-			t.Fatalf("after %d steps: written behind it, read back %q", len(steps), again)
+			t.Fatalf("after %d steps: read back %q after a later write", len(steps), again)
 		}
 	}
 	return opened
 }
 
-// Steps of the day at which a fault leaves most behind.
+// Steps of the scenario at which a fault leaves most behind.
 const (
-	tornAppend = 15 // the third batch
-	folderSync = 22 // as the second generation of the day has its mark
+	tornAppend    = 15 // the third batch
+	directorySync = 22 // when the second generation of the scenario has its completion mark
 )
 
-// Power is lost at every byte of every step of a day, without faults and with one of each kind at the steps
-// that leave most behind; names that were made and removed are kept or lost by themselves.
+// Simulates a power loss at every byte of every step, without faults and with one fault of each kind at the
+// steps where it leaves most behind. Names that were created and removed are kept or lost independently.
+// Acknowledged values must survive, and the store must accept writes afterwards.
 func TestPowerLossAtEveryByte(t *testing.T) {
 	opened := 0
-	for _, fail := range []map[int]fault{nil, {tornAppend: shortWrite}, {folderSync: ioError}} {
-		d, seen := newDay(t, fail), map[string]bool{}
-		from := len(d.disk.steps)
-		d.play()
-		for n := from; n <= len(d.disk.steps); n++ {
-			opened += d.check(t, seen, d.disk.steps[:n], 1)
+	for _, fail := range []map[int]fault{nil, {tornAppend: shortWrite}, {directorySync: ioError}} {
+		sc, seen := newScenario(t, fail), map[string]bool{}
+		from := len(sc.disk.steps)
+		sc.run()
+		for n := from; n <= len(sc.disk.steps); n++ {
+			opened += sc.check(t, seen, sc.disk.steps[:n], 1)
 		}
 	}
 	t.Logf("%d disks opened", opened)
 }
 
-// A fault at each step of a day, alone and with another one two steps later, of each kind; then power is
-// lost at every step from there on, with cuts at some bytes.
+// Injects a fault of each kind at each step, alone and with another one two steps later. Power is then lost at
+// every later step, with the unsynced bytes cut at some places.
 func TestPowerLossAfterEveryFault(t *testing.T) {
-	plain := newDay(t, nil)
+	plain := newScenario(t, nil)
 	from := len(plain.disk.steps)
-	plain.play()
+	plain.run()
 	opened := 0
 	for at := from; at < len(plain.disk.steps)+4; at++ {
 		for _, kind := range []fault{ioError, shortWrite} {
 			for _, fail := range []map[int]fault{{at: kind}, {at: kind, at + 2: kind}} {
-				d, seen := newDay(t, fail), map[string]bool{}
-				d.play()
-				for n := at; n <= len(d.disk.steps); n++ {
-					opened += d.check(t, seen, d.disk.steps[:n], 61)
+				sc, seen := newScenario(t, fail), map[string]bool{}
+				sc.run()
+				for n := at; n <= len(sc.disk.steps); n++ {
+					opened += sc.check(t, seen, sc.disk.steps[:n], 61)
 				}
 			}
 		}
@@ -192,35 +193,35 @@
 	t.Logf("%d disks opened", opened)
 }
 
-// After any fault the next write succeeds, and the store holds what was promised and nothing of a batch
-// that failed.
+// After any single fault the next write must succeed, and the store must hold the acknowledged batches and
+// nothing of a failed one.
 func TestStoreIsConsistentAfterEveryFault(t *testing.T) {
-	plain := newDay(t, nil)
+	plain := newScenario(t, nil)
 	from := len(plain.disk.steps)
-	plain.play()
+	plain.run()
 	for at := from; at < len(plain.disk.steps); at++ {
 		for _, kind := range []fault{ioError, shortWrite} {
-			d := newDay(t, map[int]fault{at: kind})
-			d.play()
-			d.disk.fail = nil
+			sc := newScenario(t, map[int]fault{at: kind})
+			sc.run()
+			sc.disk.fail = nil
 			expected := map[string]string{}
-			kept := promised(d.disk.steps)
-			for b, puts := range d.history {
+			kept := acknowledged(sc.disk.steps)
+			for b, puts := range sc.history {
 				if kept[b] {
 					maps.Copy(expected, puts)
 				}
 			}
 			maps.DeleteFunc(expected, func(_, value string) bool { return value == "" })
-			write(t, d.store, Put{"last", []byte("x")})
+			write(t, sc.store, Put{"last", []byte("x")})
 			expected["last"] = "x"
-			_, values, _ := openMemory(t, d.disk)
+			_, values, _ := openMemory(t, sc.disk)
 			for name, value := range expected {
 				if string(values[name]) != value {
-					t.Fatalf("fault %d at step %d: %s is %q, not %q", kind, at, name, values[name], value)
+					t.Fatalf("fault %d at step %d: %s is %q, want %q", kind, at, name, values[name], value)
 				}
 			}
 			if len(values) != len(expected) {
-				t.Fatalf("fault %d at step %d: %q, not %q", kind, at, values, expected)
+				t.Fatalf("fault %d at step %d: %q, want %q", kind, at, values, expected)
 			}
 		}
 	}
--- a/internal/mesh/store/queue.go
+++ b/internal/mesh/store/queue.go
@@ -5,66 +5,67 @@
 	"slices"
 )
 
-// Seconds.
+// All times are in seconds.
 const (
-	retryFirst  = 0.25 // after a failed write; twice as long after each that fails again
-	retryMost   = 2.0  // every attempt on a full disk may write all that is live
-	messageWait = 1.0  // until its write begins: a message is dropped then, as its asker has gone elsewhere
-	messageLate = 5.0  // until its write returns: the same
+	initialRetryDelay = 0.25 // delay after a failed write; doubled after each further failure
+	maxRetryDelay     = 2.0  // upper bound of the delay; each attempt on a full disk may write all live values
+	maxMessageWait    = 1.0  // until its write begins, else a message is dropped: its requester has gone elsewhere
+	maxMessageAge     = 5.0  // until its write returns, else a message is dropped for the same reason
 )
 
-// queue is what waits for the disk, as a state machine: the newest value of each name, and the messages
-// that may go once all values put before them are synced.
+// queue is the state machine of a Writer. It holds the newest value of each queued name, and the messages that
+// may be released once all values queued before them are synced.
 type queue[M any] struct {
-	waiting batch[M]
-	writing *batch[M]           // nil: no write is on its way
-	ran     running             // how long this process has run
-	moved   float64             // how long it had run when the write began, or got on
-	longest float64             // seconds, while this process ran, that the write did not get on
-	opened  bool                // a write has succeeded: what the store was opened with is on the disk for good
-	kept    map[string]struct{} // names that are on the disk
-	retryAt float64
-	pause   float64 // after the next failure
-	dropped uint64
-	health  health
+	waiting        batch[M]
+	writing        *batch[M]           // nil: no write is in progress
+	runClock       runClock            // time for which this process has been running
+	progressAt     float64             // reading of runClock when the write began or last made progress
+	longestStall   float64             // longest time without progress of the current write, in seconds of runClock
+	firstWriteDone bool                // a write has succeeded, so the values read by Open are durable
+	stored         map[string]struct{} // names that are on the disk
+	retryAt        float64
+	retryDelay     float64 // delay after the next failure
+	dropped        uint64
+	health         health
 }
 
-// batch is what is written at once.
+// batch is the values of one write and the messages that wait for it.
 type batch[M any] struct {
-	puts  map[string][]byte
-	after []message[M]
+	puts     map[string][]byte
+	messages []message[M]
 }
 
 type message[M any] struct {
-	content M
-	since   float64
+	content  M
+	queuedAt float64
 }
 
 func newQueue[M any](names []string) *queue[M] {
-	q := &queue[M]{kept: map[string]struct{}{}, pause: retryFirst}
+	q := &queue[M]{stored: map[string]struct{}{}, retryDelay: initialRetryDelay}
 	q.waiting.puts = map[string][]byte{}
 	for _, name := range names {
-		q.kept[name] = struct{}{}
+		q.stored[name] = struct{}{}
 	}
 	return q
 }
 
-// add queues values, and messages that wait for these and all before them.
-func (q *queue[M]) add(now float64, puts []Put, after []M) {
+// add queues values, and messages that wait for these and for all values queued before.
+func (q *queue[M]) add(now float64, puts []Put, messages []M) {
 	for _, p := range puts {
 		q.waiting.puts[p.Name] = p.Value
-		if q.unknown(p.Name) {
+		if q.removesUnknown(p.Name) {
 			delete(q.waiting.puts, p.Name)
 		}
 	}
-	for _, m := range after {
-		q.waiting.after = append(q.waiting.after, message[M]{m, now})
+	for _, m := range messages {
+		q.waiting.messages = append(q.waiting.messages, message[M]{m, now})
 	}
 }
 
-// unknown says that a name is to be taken away that the disk has never had. There is nothing to write then;
-// names that come and go while the disk takes no writes would fill the memory otherwise.
-func (q *queue[M]) unknown(name string) bool {
+// removesUnknown reports whether the queued value of a name is a removal and the name has never been on the
+// disk. There is nothing to write then. Keeping such removals would let memory grow without bound when names
+// come and go while the disk accepts no writes.
+func (q *queue[M]) removesUnknown(name string) bool {
 	value, waits := q.waiting.puts[name]
 	if !waits || len(value) > 0 {
 		return false
@@ -74,21 +75,21 @@
 			return false
 		}
 	}
-	_, kept := q.kept[name]
-	return !kept
+	_, stored := q.stored[name]
+	return !stored
 }
 
-// begin gives what is to be written now; ok says whether there is anything to do. Without values there may
-// be messages that need no write: write is false then.
+// begin returns the batch to write now; ok reports whether there is anything to do. If only messages are queued
+// that need no write, write is false.
 func (q *queue[M]) begin(now float64) (puts []Put, write, ok bool) {
 	if q.writing != nil || now < q.retryAt {
 		return nil, false, false
 	}
-	write = !q.opened || len(q.waiting.puts) > 0
-	if !write && len(q.waiting.after) == 0 {
+	write = !q.firstWriteDone || len(q.waiting.puts) > 0
+	if !write && len(q.waiting.messages) == 0 {
 		return nil, false, false
 	}
-	q.writing, q.moved, q.longest = &batch[M]{q.waiting.puts, q.waiting.after}, q.ran.at(now), 0
+	q.writing, q.progressAt, q.longestStall = &batch[M]{q.waiting.puts, q.waiting.messages}, q.runClock.elapsed(now), 0
 	q.waiting = batch[M]{puts: map[string][]byte{}}
 	for _, name := range slices.Sorted(maps.Keys(q.writing.puts)) {
 		puts = append(puts, Put{name, q.writing.puts[name]})
@@ -96,40 +97,41 @@
 	return puts, write, true
 }
 
-// progress notes that the write that was begun gets on: a large one takes its time on a busy processor, and the disk is none the worse.
+// progress records that the current write makes progress. A large write takes long on a busy processor although
+// the disk is healthy.
 func (q *queue[M]) progress(now float64) {
 	if q.writing == nil {
 		return
 	}
-	ran := q.ran.at(now)
-	q.longest = max(q.longest, ran-q.moved)
-	q.moved = ran
+	ran := q.runClock.elapsed(now)
+	q.longestStall = max(q.longestStall, ran-q.progressAt)
+	q.progressAt = ran
 }
 
-// end notes how the write that was begun ended, and gives the messages that may go now, in the order in
-// which they came.
+// end records the result of the current write and returns the messages that may be released, in the order in
+// which they were added.
 func (q *queue[M]) end(now float64, wrote bool, err error) (release []M) {
 	done := q.writing
 	q.progress(now)
 	q.writing = nil
 	if err != nil {
-		q.health.failed(now, err)
-		q.putBack(now, done)
+		q.health.writeFailed(now, err)
+		q.requeue(now, done)
 		return nil
 	}
 	if wrote {
-		q.opened, q.pause = true, retryFirst
-		q.health.wrote(now, q.longest)
+		q.firstWriteDone, q.retryDelay = true, initialRetryDelay
+		q.health.writeSucceeded(now, q.longestStall)
 	}
 	for name, value := range done.puts {
 		if len(value) == 0 {
-			delete(q.kept, name)
+			delete(q.stored, name)
 		} else {
-			q.kept[name] = struct{}{}
+			q.stored[name] = struct{}{}
 		}
 	}
-	for _, m := range done.after {
-		if now > m.since+messageLate {
+	for _, m := range done.messages {
+		if now > m.queuedAt+maxMessageAge {
 			q.dropped++
 			continue
 		}
@@ -138,32 +140,32 @@
 	return release
 }
 
-// putBack queues a failed batch again, before what has come since.
-func (q *queue[M]) putBack(now float64, failed *batch[M]) {
-	q.retryAt = now + q.pause
-	q.pause = min(2*q.pause, retryMost)
+// requeue queues a failed batch again, ahead of the values and messages queued since.
+func (q *queue[M]) requeue(now float64, failed *batch[M]) {
+	q.retryAt = now + q.retryDelay
+	q.retryDelay = min(2*q.retryDelay, maxRetryDelay)
 	newer := q.waiting.puts
 	q.waiting.puts = failed.puts
 	maps.Copy(q.waiting.puts, newer)
-	maps.DeleteFunc(q.waiting.puts, func(name string, _ []byte) bool { return q.unknown(name) })
-	q.waiting.after = append(failed.after, q.waiting.after...)
-	q.dropOld(now)
+	maps.DeleteFunc(q.waiting.puts, func(name string, _ []byte) bool { return q.removesUnknown(name) })
+	q.waiting.messages = append(failed.messages, q.waiting.messages...)
+	q.dropExpired(now)
 }
 
-// tick notes that time has passed.
+// tick records the passing of time, drops expired messages, and checks whether the current write has stalled.
 func (q *queue[M]) tick(now float64) {
-	q.ran.tick(now)
-	q.dropOld(now)
+	q.runClock.tick(now)
+	q.dropExpired(now)
 	if q.writing != nil {
-		q.health.waits(now, q.ran.at(now)-q.moved)
+		q.health.writePending(now, q.runClock.elapsed(now)-q.progressAt)
 	} else {
-		q.health.waits(now, 0)
+		q.health.writePending(now, 0)
 	}
 }
 
-func (q *queue[M]) dropOld(now float64) {
-	all := len(q.waiting.after)
-	old := func(m message[M]) bool { return now > m.since+messageWait }
-	q.waiting.after = slices.DeleteFunc(q.waiting.after, old)
-	q.dropped += uint64(all - len(q.waiting.after))
+func (q *queue[M]) dropExpired(now float64) {
+	all := len(q.waiting.messages)
+	old := func(m message[M]) bool { return now > m.queuedAt+maxMessageWait }
+	q.waiting.messages = slices.DeleteFunc(q.waiting.messages, old)
+	q.dropped += uint64(all - len(q.waiting.messages))
 }
--- a/internal/mesh/store/queue_test.go
+++ b/internal/mesh/store/queue_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// begun is a queue whose first write has succeeded.
-func begun(t *testing.T, names ...string) *queue[string] {
+// startedQueue returns a queue whose first write has succeeded.
+func startedQueue(t *testing.T, names ...string) *queue[string] {
 	t.Helper()
 	q := newQueue[string](names)
 	if puts, write, ok := q.begin(0); len(puts) != 0 || !write || !ok {
-		t.Fatal("the first write is begun without anything to write")
+		t.Fatal("the first write did not begin although it needs no values")
 	}
 	q.end(0, true, nil)
 	return q
@@ -26,7 +26,7 @@
 		got = append(got, p.Name+"="+string(p.Value))
 	}
 	if !ok || !slices.Equal(got, expected) {
-		t.Fatalf("at %v: began %v %v, not %v", now, ok, got, expected)
+		t.Fatalf("at %v: began %v %v, want %v", now, ok, got, expected)
 	}
 }
 
@@ -39,28 +39,29 @@
 
 func put(name, value string) []Put { return []Put{{name, []byte(value)}} }
 
-// Nothing that was read at the start is said again before the disk has taken a write.
+// Guards against acknowledging values that were only read at the start: they may not be durable, so messages
+// wait until the disk has taken a write.
 func TestMessagesWaitForTheFirstWrite(t *testing.T) {
 	q := newQueue[string]([]string{"a"})
 	q.add(0, nil, []string{"I have a"})
 	if _, write, ok := q.begin(0); !write || !ok {
-		t.Fatal("no write")
+		t.Fatal("the first write did not begin")
 	}
 	if got := q.end(0.1, true, syscall.ENOSPC); len(got) != 0 {
-		t.Fatalf("went after a failed write: %v", got)
+		t.Fatalf("released after a failed write: %v", got)
 	}
 	if _, write, ok := q.begin(0.5); !write || !ok {
-		t.Fatal("no other write")
+		t.Fatal("the failed write was not retried")
 	}
 	if got := q.end(0.6, true, nil); !slices.Equal(got, []string{"I have a"}) {
-		t.Fatalf("went: %v", got)
+		t.Fatalf("released: %v", got)
 	}
 }
 
-// What waits goes in one batch, the newest value of each name; messages go in order and only once all
-// values before them are synced, those without values as well.
+// All queued values go into one batch, with the newest value of each name. Messages are released in order and
+// only once all values queued before them are synced, also messages without values of their own.
 func TestMessagesWaitForValues(t *testing.T) {
-	q := begun(t)
+	q := startedQueue(t)
 	q.add(1, put("a", "1"), []string{"a is 1"})
 	expectBatch(t, q, 1, "a=1")
 	q.add(1.01, put("a", "2"), []string{"a is 2"})
@@ -69,11 +70,11 @@
 	q.add(1.04, nil, []string{"all is there"})
 	expectIdle(t, q, 1.05)
 	if got := q.end(1.1, true, nil); !slices.Equal(got, []string{"a is 1"}) {
-		t.Fatalf("went: %v", got)
+		t.Fatalf("released: %v", got)
 	}
 	expectBatch(t, q, 1.1, "a=3", "b=1")
 	if got := q.end(1.2, true, nil); !slices.Equal(got, []string{"a is 2", "all is there"}) {
-		t.Fatalf("went: %v", got)
+		t.Fatalf("released: %v", got)
 	}
 	expectIdle(t, q, 1.3)
 	q.add(1.4, nil, []string{"and nothing new"})
@@ -81,26 +82,26 @@
 		t.Fatal("a message without values needs no write")
 	}
 	if got := q.end(1.4, false, nil); !slices.Equal(got, []string{"and nothing new"}) {
-		t.Fatalf("went: %v", got)
+		t.Fatalf("released: %v", got)
 	}
 }
 
-// A batch that failed is tried again with what has come since, after pauses that grow to a bound; its
-// messages go first if it succeeds in time, and are dropped if not.
+// A failed batch is retried together with the values queued since, after delays that double up to a limit. Its
+// messages are released first if a retry succeeds in time, and dropped otherwise.
 func TestFailedBatchIsTriedAgain(t *testing.T) {
-	q := begun(t)
+	q := startedQueue(t)
 	q.add(1, append(put("a", "1"), put("b", "1")...), []string{"a is 1"})
 	expectBatch(t, q, 1, "a=1", "b=1")
 	q.add(1.01, put("a", "2"), []string{"a is 2"})
 	q.end(1.02, true, syscall.ENOSPC)
-	expectIdle(t, q, 1.02+retryFirst-0.01)
-	expectBatch(t, q, 1.02+retryFirst, "a=2", "b=1")
+	expectIdle(t, q, 1.02+initialRetryDelay-0.01)
+	expectBatch(t, q, 1.02+initialRetryDelay, "a=2", "b=1")
 	if got := q.end(1.3, true, nil); !slices.Equal(got, []string{"a is 1", "a is 2"}) {
-		t.Fatalf("went: %v", got)
+		t.Fatalf("released: %v", got)
 	}
 	q.add(2, put("c", "1"), []string{"c is 1"})
 	now := 2.0
-	for _, pause := range []float64{retryFirst, 2 * retryFirst, 4 * retryFirst, retryMost, retryMost} {
+	for _, pause := range []float64{initialRetryDelay, 2 * initialRetryDelay, 4 * initialRetryDelay, maxRetryDelay, maxRetryDelay} {
 		expectBatch(t, q, now, "c=1")
 		q.end(now, true, syscall.EIO)
 		expectIdle(t, q, now+pause-0.01)
@@ -109,15 +110,16 @@
 	q.add(now, nil, []string{"late"})
 	expectBatch(t, q, now, "c=1")
 	if got := q.end(now, true, nil); !slices.Equal(got, []string{"late"}) || q.dropped != 1 {
-		t.Fatalf("went: %v, %d dropped", got, q.dropped)
+		t.Fatalf("released: %v, %d dropped", got, q.dropped)
 	}
 }
 
-// A disk that takes nothing for ten minutes, while 20 names a second come and go: what waits stays bounded.
+// The disk accepts no writes for ten minutes while 20 names a second are added and removed. The queue's memory
+// must stay bounded.
 func TestMemoryIsBoundedWhileTheDiskFails(t *testing.T) {
 	const perTick, perSecond, lifeTicks, ticks = 5, 4, 75 * 4, 600 * 4
 	for _, stalled := range []bool{false, true} {
-		q := begun(t, "old")
+		q := startedQueue(t, "old")
 		q.add(0, put("old", ""), nil)
 		q.begin(0)
 		most := 0
@@ -134,9 +136,9 @@
 				}
 				q.begin(now)
 			}
-			messages, puts := len(q.waiting.after), len(q.waiting.puts)
+			messages, puts := len(q.waiting.messages), len(q.waiting.puts)
 			if q.writing != nil {
-				messages, puts = messages+len(q.writing.after), puts+len(q.writing.puts)
+				messages, puts = messages+len(q.writing.messages), puts+len(q.writing.puts)
 			}
 			most = max(most, messages+puts)
 		}
@@ -150,15 +152,15 @@
 			q.end(ticks/perSecond, true, nil)
 		}
 		if value, waits := q.waiting.puts["old"]; !stalled && (!waits || len(value) > 0) {
-			t.Error("a name that is on the disk has to be taken away there")
+			t.Error("the removal of a name that is on the disk must stay queued")
 		}
 	}
 }
 
-// A write that hangs for long is told once, and the disk is healthy once it has been calm; a disk on which
-// every write is slow doesn't change to and fro.
+// A write that hangs is reported once, and the disk counts as healthy again after a calm time. A disk on which
+// every write is slow must not flap between conditions.
 func TestSlowDiskIsToldOnce(t *testing.T) {
-	q := begun(t)
+	q := startedQueue(t)
 	now := 1.0
 	for range 20 {
 		q.add(now, put("a", "1"), []string{"promise"})
@@ -168,7 +170,7 @@
 			q.tick(now)
 		}
 		if got := q.end(now, true, nil); len(got) != 1 {
-			t.Fatal("a slow disk is no reason to drop a message whose write was begun in time")
+			t.Fatal("a slow disk must not drop a message whose write began in time")
 		}
 		now += 0.1
 		q.tick(now)
@@ -180,13 +182,13 @@
 	expectConditions(t, q, Stalled, Healthy)
 }
 
-// Each kind of failure is told once, and the first write that succeeds ends it.
+// Each kind of failure is reported once, and the first write that succeeds ends it.
 func TestFailureIsToldOnce(t *testing.T) {
-	q := begun(t)
+	q := startedQueue(t)
 	now := 1.0
 	q.add(now, put("a", "1"), nil)
 	for _, err := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG, syscall.EIO, syscall.EROFS, nil} {
-		now += retryMost
+		now += maxRetryDelay
 		q.tick(now)
 		expectBatch(t, q, now, "a=1")
 		q.end(now, true, err)
@@ -202,45 +204,46 @@
 		got = append(got, c.Condition)
 	}
 	if !slices.Equal(got, expected) {
-		t.Fatalf("told %v, not %v", q.health.changes, expected)
+		t.Fatalf("reported %v, want %v", q.health.changes, expected)
 	}
 }
 
-// A large write that a busy processor takes three seconds for gets on all the time: the disk is not taken for stalled. One that stands
-// still for as long is.
+// A large write that takes three seconds on a busy processor makes progress all the time, so the disk must not
+// count as stalled. A write that makes no progress for as long must.
 func TestLargeWriteIsNoStall(t *testing.T) {
-	for _, getsOn := range []bool{true, false} {
-		q := begun(t)
+	for _, progresses := range []bool{true, false} {
+		q := startedQueue(t)
 		q.add(1, put("a", "1"), nil)
 		q.begin(1)
 		now := 1.0
 		for ; now < 4; now += 0.1 {
-			if getsOn {
+			if progresses {
 				q.progress(now)
 			}
 			q.tick(now)
 		}
 		q.end(now, true, nil)
-		if stalled := len(q.health.changes) > 0; stalled == getsOn {
-			t.Errorf("gets on %v: condition %v after %v", getsOn, q.health.condition, q.health.changes)
+		if stalled := len(q.health.changes) > 0; stalled == progresses {
+			t.Errorf("progresses %v: condition %v after %v", progresses, q.health.condition, q.health.changes)
 		}
 	}
 }
 
-// A small write that takes 0.6 s while the process hardly gets the processor says nothing of the disk; while it runs it does. A disk that
-// takes nothing at all is told in either case, on a starved processor later.
+// A small write that takes 0.6 s while the process gets hardly any processor time says nothing about the disk;
+// while the process runs it does. A disk that accepts no writes at all is reported in either case, though later
+// on a starved processor.
 func TestStarvedProcessorIsNoStalledDisk(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		ticks  float64 // seconds between two
-		takes  float64 // seconds of the write
+		ticks  float64 // seconds between two ticks
+		takes  float64 // seconds that the write takes
 		stalls bool
 	}{
 		{"starved", 0.2, 0.6, false},
 		{"running", 0.03, 0.6, true},
-		{"starved, and the disk takes nothing", 0.2, 4, true},
+		{"starved, and the disk accepts no writes", 0.2, 4, true},
 	} {
-		q := begun(t)
+		q := startedQueue(t)
 		now := 1.0
 		for ; now < 3; now += c.ticks {
 			q.tick(now)
@@ -252,12 +255,12 @@
 		}
 		q.end(now, true, nil)
 		if stalled := len(q.health.changes) > 0; stalled != c.stalls {
-			t.Errorf("%s: told %v", c.name, q.health.changes)
+			t.Errorf("%s: reported %v", c.name, q.health.changes)
 		}
 	}
 }
 
-// A store says that it gets on while it writes a generation, and not only at its end.
+// A store must report progress while it writes a generation, not only at the end.
 func TestGenerationSaysThatItGetsOn(t *testing.T) {
 	code, err := newCodec()
 	if err != nil {
@@ -278,6 +281,6 @@
 		t.Fatal(err)
 	}
 	if least := 1000 << 10 / chunkBytes; parts < least {
-		t.Errorf("%d parts of a generation of 1 MB, at least %d", parts, least)
+		t.Errorf("%d progress reports for a generation of 1 MB, want at least %d", parts, least)
 	}
 }
--- a/internal/mesh/store/store.go
+++ b/internal/mesh/store/store.go
@@ -1,14 +1,17 @@
-// Package store keeps what a control process has promised on its disk.
+// Package store keeps named values of a control process durably on its disk. A Store reads and writes the files
+// of one directory. A Writer drives a Store from a goroutine of its own: it groups queued values into batches,
+// retries failed batches, and releases a message only once the values that it depends on are synced.
 //
-// A generation is one file in the form of buntdb's log. Writes go in batches: one write, one sync, and only
-// then are they promised. A start reads the newest whole generation; the first write after it begins the
-// next one, which holds what was read and what is new: so nothing is ever written behind a torn end. A
-// write that fails leaves the file torn, or synced in part, so the one after it begins a new generation as
-// well. The old generation goes once the new one and its name are synced. Nothing is ever renamed.
+// A generation is one file in the format of buntdb's append-only log. Each batch takes one write and one sync,
+// and is durable only after the sync. Open reads the newest complete generation. The first write after Open
+// starts the next generation, which holds the values that were read and the new ones, so that nothing is ever
+// appended after a torn end. A failed write leaves the file torn or partly synced, so the write after it starts
+// a new generation as well. The old generation is removed once the new file and its directory entry are synced.
+// Files are never renamed.
 //
-// A name has two slots, written by turns: a torn write can only spoil the one that is not needed. Every
-// value carries a checksum, so that a slot whose write was torn inside is told from a good one. A name that
-// is taken away gets an empty value, which the next generation leaves out.
+// Each name has two slots, which are written alternately: a torn write can only damage the slot whose value is
+// obsolete. Every value carries a checksum, which exposes a slot whose write was torn in the middle. Removing a
+// name writes an empty value, which the next generation leaves out.
 package store
 
 import (
@@ -19,48 +22,49 @@
 )
 
 const (
-	leastTurn = 24 << 20 // bytes of a generation before it may be replaced
-	turnTimes = 3        // of what is live
-	turnAgain = 8 << 20  // bytes until the next attempt, where there was no room for a new generation
+	minCompactionBytes   = 24 << 20 // bytes that a generation reaches before it may be compacted
+	compactionRatio      = 3        // a generation is compacted when its size exceeds this multiple of its live bytes
+	compactionRetryBytes = 8 << 20  // bytes until the next attempt after a failed compaction, as on a full disk
 )
 
-// Put is one value to be kept. An empty one takes the name away. The value belongs to the store from then on.
+// Put is a value to be stored under a name. An empty value removes the name. The store owns Value from then on.
 type Put struct {
 	Name  string
 	Value []byte
 }
 
-// Store is a folder's store. Write is for one caller at a time.
+// Store is the store in one directory. Write must not be called concurrently.
 type Store struct {
 	mu         sync.Mutex
 	disk       Disk
 	code       *codec
-	generation int               // the newest number in use
-	file       File              // nil: the next write begins a generation
+	generation int               // the highest generation number in use
+	file       File              // nil: the next write starts a generation
 	size       int64             // bytes of the file that are synced
-	records    map[string]record // what is kept, and what was taken away in this generation
-	live       int64             // bytes of what is kept
-	turnAt     int64             // size of the file at which the next generation is due
-	progress   func()            // called after each part of a new generation; nil: nobody asks
+	records    map[string]record // stored values, and names removed within this generation
+	live       int64             // bytes of the stored values
+	compactAt  int64             // file size at which the next generation is due
+	progress   func()            // called after each chunk of a new generation; may be nil
 }
 
-// OnProgress has a function called after each part of a new generation that is written. It is to be set before the first Write.
+// OnProgress sets a function that is called after each chunk of a new generation is written. It must be called
+// before the first Write.
 func (s *Store) OnProgress(call func()) { s.progress = call }
 
-func (s *Store) getsOn() {
+func (s *Store) reportProgress() {
 	if s.progress != nil {
 		s.progress()
 	}
 }
 
-// Open reads the store of a folder; found says whether one was there. It writes nothing: a disk that takes
-// no bytes is an error of the first Write. What was read may not be on the disk for good before the first
-// Write has returned without an error: the sync of the last batch may have failed in the process before.
+// Open reads the store in a directory; found reports whether one exists. Open writes nothing: a disk that
+// accepts no writes is an error of the first Write. The values may not be durable until the first Write has
+// returned without an error, because the last batch's sync may have failed in the previous process.
 func Open(dir string) (s *Store, values map[string][]byte, found bool, err error) {
-	return OpenDisk(&folder{path: dir})
+	return OpenDisk(&directory{path: dir})
 }
 
-// OpenDisk is Open for any Disk.
+// OpenDisk is like Open, for any Disk.
 func OpenDisk(disk Disk) (s *Store, values map[string][]byte, found bool, err error) {
 	code, err := newCodec()
 	if err != nil {
@@ -86,8 +90,8 @@
 	return s, values, found, nil
 }
 
-// read takes over the newest whole generation. One that can't be read is an error, even if an older one
-// can: it may hold promises that the older one doesn't.
+// read loads the newest complete generation. A generation that cannot be read is an error even if an older one
+// can be read: it may hold acknowledged values that the older one lacks.
 func (s *Store) read() (found bool, err error) {
 	all, err := generations(s.disk)
 	if err != nil {
@@ -95,11 +99,11 @@
 	}
 	for i := len(all) - 1; i >= 0; i-- {
 		s.generation = max(s.generation, all[i])
-		records, whole, err := readGeneration(s.disk, s.code, all[i])
+		records, complete, err := readGeneration(s.disk, s.code, all[i])
 		if err != nil {
 			return false, err
 		}
-		if whole {
+		if complete {
 			s.records = records
 			return true, nil
 		}
@@ -107,15 +111,15 @@
 	return false, nil
 }
 
-// Write keeps a batch; of two values for a name the later one. When it returns without an error the batch
-// has been synced. With an error nothing of it may be promised, and the store is as before; a later Write
-// may succeed. An empty batch makes sure that the disk takes writes since the store was opened, or since
-// the last error.
+// Write stores a batch. If the batch has several values for one name, the last one counts. If Write returns
+// nil, the batch is synced. If it returns an error, no value of the batch may be treated as stored and the
+// store is unchanged; a later Write may succeed. An empty batch checks that the disk accepts writes if none has
+// succeeded since Open or since the last error.
 func (s *Store) Write(batch []Put) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.file == nil {
-		_, err := s.begin(s.changes(batch))
+		_, err := s.beginGeneration(s.changes(batch))
 		return err
 	}
 	if len(batch) == 0 {
@@ -125,13 +129,14 @@
 		s.abandon()
 		return err
 	}
-	if s.size >= s.turnAt {
-		s.turn()
+	if s.size >= s.compactAt {
+		s.compact()
 	}
 	return nil
 }
 
-// changes gives each name of a batch its newest value only, in the slot that the name does not need.
+// changes returns the newest value of each name in a batch, with the sequence number that selects the slot
+// whose value is obsolete.
 func (s *Store) changes(batch []Put) map[string]record {
 	changes := make(map[string]record, len(batch))
 	for _, p := range batch {
@@ -140,7 +145,7 @@
 	return changes
 }
 
-// append writes changes behind what the file holds.
+// append appends changes to the file and syncs it.
 func (s *Store) append(changes map[string]record) error {
 	pairs := make(map[string]string, len(changes))
 	for _, r := range changes {
@@ -171,31 +176,31 @@
 	return r.size()
 }
 
-// abandon gives up the file at hand: it stays as it was at its last sync until the next generation stands.
-// What a failed write left behind that is given back, as the next generation needs the room.
+// abandon closes the current file, which stays as it was at its last sync until the next generation is
+// complete. The bytes that a failed write left are truncated, as the next generation needs the room.
 func (s *Store) abandon() {
 	_ = s.file.Truncate(s.size)
 	_ = s.file.Close()
 	s.file = nil
 }
 
-// turn begins a new generation to get rid of old values. Where there is no room for it the one at hand goes
-// on.
-func (s *Store) turn() {
-	marked, err := s.begin(nil)
+// compact starts a new generation to drop obsolete values. Without room for a new generation the current one
+// stays in use.
+func (s *Store) compact() {
+	marked, err := s.beginGeneration(nil)
 	switch {
 	case err == nil:
-	case marked: // a loss of power may leave either: only a still newer one may be written to
+	case marked: // after a power loss either generation may be read, so only a newer one may be written to
 		s.abandon()
 	default:
-		s.turnAt = s.size + turnAgain
+		s.compactAt = s.size + compactionRetryBytes
 	}
 }
 
-// begin writes the next generation, with what is kept and what is to be changed, and removes those before
-// it once it stands on the disk. After an error the store is as before. marked says that the new file may
-// count as whole all the same: then the one before it may not be written to any more.
-func (s *Store) begin(changes map[string]record) (marked bool, err error) {
+// beginGeneration writes the next generation with the stored values and the changes, and removes the older
+// generations once the new one is durable. After an error the store is unchanged. The result marked reports
+// that the new file may nevertheless count as complete; the previous file must not be written to then.
+func (s *Store) beginGeneration(changes map[string]record) (marked bool, err error) {
 	records, live := s.merge(changes)
 	s.generation++
 	name := fileName(s.generation)
@@ -206,19 +211,19 @@
 	size, marked, err := s.fill(file, records)
 	if err != nil {
 		_ = file.Close()
-		_ = s.disk.Remove(name) // it needs room, and counts for nothing
+		_ = s.disk.Remove(name) // the file takes up room and holds nothing that is needed
 		return marked, err
 	}
 	if s.file != nil {
 		_ = s.file.Close()
 	}
 	s.file, s.size, s.records, s.live = file, size, records, live
-	s.turnAt = max(leastTurn, turnTimes*live)
+	s.compactAt = max(minCompactionBytes, compactionRatio*live)
 	s.removeOld()
 	return true, nil
 }
 
-// merge is what a new generation holds.
+// merge returns the records of a new generation and their size.
 func (s *Store) merge(changes map[string]record) (records map[string]record, live int64) {
 	records = make(map[string]record, len(s.records)+len(changes))
 	keep := func(r record) {
@@ -240,28 +245,28 @@
 	return records, live
 }
 
-// fill writes a new generation's content, then its mark, and syncs the file and its name.
+// fill writes the content of a new generation, then its completion mark, and syncs the file and the directory.
 func (s *Store) fill(file File, records map[string]record) (size int64, marked bool, err error) {
-	s.getsOn()
-	content, err := writeContent(file, s.code, records, s.getsOn)
+	s.reportProgress()
+	content, err := writeContent(file, s.code, records, s.reportProgress)
 	if err != nil {
 		return 0, false, errors.Wrap(err, "store: write")
 	}
 	end := &contentWriter{to: file}
-	if err := s.code.encode(end, map[string]string{wholeMark: content.text()}); err != nil {
+	if err := s.code.encode(end, map[string]string{completionMark: content.text()}); err != nil {
 		return 0, true, errors.Wrap(err, "store: write")
 	}
 	if err := file.Sync(); err != nil {
 		return 0, true, errors.Wrap(err, "store: sync")
 	}
 	if err := s.disk.Sync(); err != nil {
-		return 0, true, errors.Wrap(err, "store: sync of the folder")
+		return 0, true, errors.Wrap(err, "store: sync directory")
 	}
 	return content.size + end.size, true, nil
 }
 
-// removeOld removes the generations before the one at hand. One that can't be removed is only read past at
-// the next start.
+// removeOld removes the generations before the current one. A file that cannot be removed is ignored by the
+// next Open.
 func (s *Store) removeOld() {
 	all, _ := generations(s.disk)
 	for _, g := range all {
@@ -271,7 +276,7 @@
 	}
 }
 
-// Close ends the use of the store.
+// Close closes the store.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/store/store_test.go
+++ b/internal/mesh/store/store_test.go
@@ -30,13 +30,13 @@
 	return v, values, found
 }
 
-// The file of a recorded day is cut, and spoilt, at every byte: what was promised before the batch at hand
-// is always there, and what is there of a name is a value that was once written for it.
+// The file is cut and damaged at every byte. The batches before the last one must always be found, and every
+// value found must be one that was once written for its name.
 func TestOpensAfterATornWrite(t *testing.T) {
 	disk := newMemoryDisk(nil)
 	v, _, found := openMemory(t, disk)
 	if found {
-		t.Fatal("an empty folder holds nothing")
+		t.Fatal("found a store in an empty directory")
 	}
 	type point struct{ size, last int }
 	var points []point
@@ -48,18 +48,18 @@
 	name := fileName(v.generation)
 	text := disk.names[name].content
 	for cut := points[0].size; cut <= len(text); cut++ {
-		promised, until := 0, 0
+		acknowledged, until := 0, 0
 		for _, p := range points {
 			if p.size <= cut {
-				promised, until = p.last, p.size
+				acknowledged, until = p.last, p.size
 			}
 		}
 		for _, way := range []string{"cut", "zeros", "hole"} {
 			kept := append([]byte{}, text[:cut]...)
 			switch way {
-			case "zeros": // the length went to the disk, the bytes did not
+			case "zeros": // the length reached the disk, the bytes did not
 				kept = append(kept, make([]byte, 64)...)
-			case "hole": // a middle of the batch is missing
+			case "hole": // the middle of the batch is missing
 				for i := until; i < min(until+20, cut); i++ {
 					kept[i] = 0
 				}
@@ -68,21 +68,21 @@
 			w, values, found := openMemory(t, other)
 			var got int
 			fmt.Sscanf(string(values["a"]), "value %d", &got)
-			if !found || got < promised || got > promised+1 {
-				t.Fatalf("%s at %d: found %v, a is %q, promised %d", way, cut, found, values["a"], promised)
+			if !found || got < acknowledged || got > acknowledged+1 {
+				t.Fatalf("%s at %d: found %v, a is %q, acknowledged %d", way, cut, found, values["a"], acknowledged)
 			}
-			write(t, w, Put{"a", []byte("value 99")}) // and what is written behind it is found as well
+			write(t, w, Put{"a", []byte("value 99")}) // what is written after the damage must be found as well
 			w.Close()
 			w, values, _ = openMemory(t, other)
 			if string(values["a"]) != "value 99" {
-				t.Fatalf("%s at %d: written behind it, read back %q", way, cut, values["a"])
+				t.Fatalf("%s at %d: read back %q after a later write", way, cut, values["a"])
 			}
 			w.Close()
 		}
 	}
 }
 
-// A start that is cut off while it writes the next generation leaves the one before it.
+// A start that is interrupted while it writes the next generation must leave the previous one in force.
 func TestGenerationWithoutItsMarkDoesNotCount(t *testing.T) {
 	dir := t.TempDir()
 	v, _, _ := open(t, dir)
@@ -102,8 +102,8 @@
 	}
 }
 
-// A loss of power may keep the mark of a new generation and lose a value before it: the generation before
-// it counts then.
+// A power loss may keep the completion mark of a new generation and lose a value before it. The previous
+// generation must be read then.
 func TestGenerationWithAHoleDoesNotCount(t *testing.T) {
 	disk := newMemoryDisk(nil)
 	v, _, _ := openMemory(t, disk)
@@ -121,8 +121,8 @@
 	}
 }
 
-// Generations of the version before, whose mark had no checksum and in which names were taken away by
-// deletions, are read.
+// Generations of the previous version, in which marks had no checksum and names were removed by deletions, must
+// still be read.
 func TestReadsTheFormBefore(t *testing.T) {
 	db, err := buntdb.Open(filepath.Join(t.TempDir(), "db"))
 	if err != nil {
@@ -133,7 +133,7 @@
 	err = db.Update(func(tx *buntdb.Tx) error {
 		tx.Set("a/0", text(2, "new"), nil)
 		tx.Set("a/1", text(1, "old"), nil)
-		_, _, err := tx.Set(wholeMark, "1", nil)
+		_, _, err := tx.Set(completionMark, "1", nil)
 		return err
 	})
 	var file bytes.Buffer
@@ -147,8 +147,8 @@
 	}
 }
 
-// A file that can't be read to its end is an error: what was promised in the rest of it may not pass for
-// lost.
+// A file that cannot be read to its end must be an error. Otherwise acknowledged values in the rest of it would
+// pass for lost.
 func TestReadErrorIsNoEnd(t *testing.T) {
 	disk := newMemoryDisk(nil)
 	v, _, _ := openMemory(t, disk)
@@ -156,7 +156,7 @@
 	write(t, v, Put{"a", []byte("newer")})
 	disk.readFail = errRead
 	if _, _, _, err := OpenDisk(disk); !errors.Is(err, errRead) {
-		t.Fatalf("opened on a disk that can't be read: %v", err)
+		t.Fatalf("opened on a disk that cannot be read: %v", err)
 	}
 	disk.readFail = nil
 	if _, values, _ := openMemory(t, disk); string(values["a"]) != "newer" {
@@ -164,7 +164,7 @@
 	}
 }
 
-// A start on a disk that takes no bytes reads what is there; the store is usable once the disk is.
+// Opening on a full disk reads the stored values; the store is usable once the disk has room.
 func TestOpensOnAFullDisk(t *testing.T) {
 	disk := newMemoryDisk(nil)
 	v, _, _ := openMemory(t, disk)
@@ -177,7 +177,7 @@
 	}
 	for range 3 {
 		if err := v.Write([]Put{{"b", []byte("x")}}); !errors.Is(err, syscall.ENOSPC) {
-			t.Fatalf("a write on a full disk: %v", err)
+			t.Fatalf("write on a full disk: %v", err)
 		}
 		if disk.used() > disk.capacity || len(disk.names) != 1 {
 			t.Fatalf("%d files of %d bytes are left", len(disk.names), disk.used())
@@ -191,9 +191,9 @@
 	}
 }
 
-// A disk that fills up: the store goes on in its file where there is no room for a new generation, fails
-// when the file can't grow, gives back what the failed write took, and goes on by itself once there is room
-// for what is live.
+// The disk fills up. Without room for a new generation the store goes on in its current file. It fails when the
+// file cannot grow, gives back what the failed write took, and recovers by itself once there is room for the
+// live values.
 func TestFillsUpAndRecovers(t *testing.T) {
 	disk := newMemoryDisk(nil)
 	disk.capacity = 64 << 10
@@ -201,7 +201,7 @@
 	value := func(i int) []byte { return bytes.Repeat([]byte{byte('a' + i%26)}, 1000) }
 	kept, failed := 0, 0
 	for i := 1; failed == 0; i++ {
-		v.turnAt = 40 << 10
+		v.compactAt = 40 << 10
 		var batch []Put
 		for name := range 20 { // 20 KB are live
 			batch = append(batch, Put{fmt.Sprint(name), value(i)})
@@ -217,7 +217,7 @@
 			continue
 		}
 		kept = i
-		if i == 10 { // from here on others fill the disk
+		if i == 10 { // from here on other files fill the disk
 			disk.capacity = disk.used() + 4<<10
 		}
 	}
@@ -228,7 +228,7 @@
 	if !bytes.Equal(values["0"], value(kept)) {
 		t.Fatalf("kept %d, found %.8q", kept, values["0"])
 	}
-	disk.capacity = disk.used() + 24<<10 // others have made room for what is live
+	disk.capacity = disk.used() + 24<<10 // other files have made room for the live values
 	write(t, v, Put{"0", value(100)})
 	if _, values, _ = openMemory(t, disk); len(values) != 20 || !bytes.Equal(values["0"], value(100)) {
 		t.Fatalf("%d values, found %.8q", len(values), values["0"])
@@ -238,7 +238,7 @@
 	}
 }
 
-// What is written over and over does not fill the disk, and what was taken away stays away.
+// Rewriting a value again and again must not fill the disk, and removed names must stay removed.
 func TestShrinks(t *testing.T) {
 	dir := t.TempDir()
 	v, _, _ := open(t, dir)
@@ -253,7 +253,7 @@
 	if len(files) != 1 {
 		t.Fatalf("%d files", len(files))
 	}
-	if info, _ := files[0].Info(); info.Size() > leastTurn+4<<20 {
+	if info, _ := files[0].Info(); info.Size() > minCompactionBytes+4<<20 {
 		t.Fatalf("%d bytes", info.Size())
 	}
 	_, values, _ := open(t, dir)
@@ -262,8 +262,8 @@
 	}
 }
 
-// A disk that takes no more: the write that does not fit is told as failed, nothing of it may be promised,
-// and what was promised before it is there at the next start.
+// A write that does not fit on the disk must return an error. None of its values may be stored, and the earlier
+// values must be there at the next start.
 func TestFullDisk(t *testing.T) {
 	dir := t.TempDir()
 	v, _, _ := open(t, dir)
@@ -272,7 +272,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	signal.Ignore(unix.SIGXFSZ) // then a file that may not grow is an error of the write, as on a full disk
+	signal.Ignore(unix.SIGXFSZ) // makes a file that may not grow return an error from the write, as on a full disk
 	var was unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_FSIZE, &was); err != nil {
 		t.Fatal(err)
@@ -286,15 +286,15 @@
 		t.Fatal(reset)
 	}
 	if err == nil {
-		t.Fatal("a write that does not fit went well")
+		t.Fatal("a write that does not fit succeeded")
 	}
 	_, values, found := open(t, dir)
 	if !found || string(values["a"]) != "kept" || len(values) != 1 {
 		t.Errorf("found %v, %d values, a = %q", found, len(values), values["a"])
 	}
-	write(t, v, Put{"c", []byte("later")}) // and the store goes on once there is room
+	write(t, v, Put{"c", []byte("later")}) // the store goes on once there is room
 	_, values, _ = open(t, dir)
 	if len(values) != 2 || string(values["a"]) != "kept" || string(values["c"]) != "later" {
-		t.Errorf("after there was room: %q", values)
+		t.Errorf("after room was made: %q", values)
 	}
 }
--- a/internal/mesh/store/writer.go
+++ b/internal/mesh/store/writer.go
@@ -5,30 +5,30 @@
 	"sync"
 )
 
-// Keeper is what a Writer writes to: a Store.
-type Keeper interface {
+// BatchWriter stores the batches of a Writer. Store implements it.
+type BatchWriter interface {
 	Write(batch []Put) error
 }
 
-// Progressing is a Keeper whose writes may be large, and which says while it writes that it gets on.
-type Progressing interface {
-	// OnProgress has a function called after each part of a write.
+// ProgressReporter is a BatchWriter whose writes may be large and which reports their progress.
+type ProgressReporter interface {
+	// OnProgress sets a function that is called after each chunk of a write.
 	OnProgress(call func())
 }
 
-// Options is what a Writer is made with. None of the functions is called while the Writer is locked.
+// Options configures a Writer. None of its functions is called while the Writer's lock is held.
 type Options[M any] struct {
-	Keeper  Keeper
-	Names   []string       // that the keeper held when it was opened
-	Now     func() float64 // seconds
-	Release func([]M)      // sends messages whose values are synced
-	Changed func(Change)   // hears of changes of the disk's condition, from within Tick
+	Store            BatchWriter
+	Names            []string              // names that the store held when it was opened
+	Now              func() float64        // current time in seconds
+	Release          func([]M)             // sends messages whose values are synced
+	ConditionChanged func(ConditionChange) // called from Tick when the condition of the disk changes
 }
 
-// Writer owns what is to be written and the messages that wait for it. All that waits goes in one batch
-// with one sync. A batch that failed is tried again until it succeeds, with what has come since; no message
-// goes before all values put before it are synced, and messages go in the order in which they came. Those
-// that wait for too long are dropped, as a network may do.
+// Writer owns the values to be written and the messages that wait for them. All queued values go into one batch
+// with one sync. A failed batch is retried, together with the values queued since, until it succeeds. A message
+// is released only once all values queued before it are synced, and messages are released in the order in which
+// they were added. Messages that wait for too long are dropped, as a network might do.
 type Writer[M any] struct {
 	options Options[M]
 	wake    chan struct{}
@@ -37,34 +37,35 @@
 	queue *queue[M]
 }
 
-// NewWriter makes a Writer. The first thing that it does is to have the keeper write, so that a disk that
-// takes nothing is known.
+// NewWriter returns a Writer. Its first write is made even if nothing is queued, so that a disk that accepts no
+// writes is noticed.
 func NewWriter[M any](o Options[M]) *Writer[M] {
 	w := &Writer[M]{options: o, wake: make(chan struct{}, 1), queue: newQueue[M](o.Names)}
-	if k, ok := o.Keeper.(Progressing); ok {
+	if k, ok := o.Store.(ProgressReporter); ok {
 		k.OnProgress(w.progress)
 	}
-	w.look()
+	w.wakeRun()
 	return w
 }
 
-// progress notes that the write at hand gets on.
+// progress records that the current write makes progress.
 func (w *Writer[M]) progress() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.queue.progress(w.options.Now())
 }
 
-// Add queues values, and messages that wait for these and all before them. It never waits for the disk.
-func (w *Writer[M]) Add(puts []Put, after []M) {
+// Add queues values, and messages that wait for these and for all values queued before. It never waits for the
+// disk.
+func (w *Writer[M]) Add(puts []Put, messages []M) {
 	w.mu.Lock()
-	w.queue.add(w.options.Now(), puts, after)
+	w.queue.add(w.options.Now(), puts, messages)
 	w.mu.Unlock()
-	w.look()
+	w.wakeRun()
 }
 
-// Tick does what is due: it tells changes of the condition and has failed batches tried again. It is to be
-// called every few hundredths of a second, by one caller at a time.
+// Tick reports changes of the disk's condition and triggers retries of failed batches. It must be called every
+// few hundredths of a second, and not concurrently.
 func (w *Writer[M]) Tick() {
 	w.mu.Lock()
 	w.queue.tick(w.options.Now())
@@ -72,20 +73,20 @@
 	w.queue.health.changes = nil
 	w.mu.Unlock()
 	for _, c := range changes {
-		w.options.Changed(c)
+		w.options.ConditionChanged(c)
 	}
-	w.look()
+	w.wakeRun()
 }
 
-// look has Run look for work.
-func (w *Writer[M]) look() {
+// wakeRun makes Run check for work.
+func (w *Writer[M]) wakeRun() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run writes until ctx ends.
+// Run writes queued batches until ctx ends.
 func (w *Writer[M]) Run(ctx context.Context) {
 	for {
 		select {
@@ -108,7 +109,7 @@
 	}
 	var err error
 	if write {
-		err = w.options.Keeper.Write(puts)
+		err = w.options.Store.Write(puts)
 	}
 	w.mu.Lock()
 	release := w.queue.end(w.options.Now(), write, err)
@@ -119,18 +120,18 @@
 	return true
 }
 
-// Figures are what is counted, for a reading.
-type Figures struct {
+// Stats is a snapshot of a Writer's state and counters.
+type Stats struct {
 	Condition Condition
-	Values    int    // that wait for their write to begin
-	Messages  int    // that wait for it
-	Dropped   uint64 // messages since the start that waited for too long
+	Values    int    // values whose write has not begun
+	Messages  int    // messages that wait for values whose write has not begun
+	Dropped   uint64 // messages dropped since the start because they waited for too long
 }
 
-// Figures gives what is counted.
-func (w *Writer[M]) Figures() Figures {
+// Stats returns a snapshot of the Writer's state and counters.
+func (w *Writer[M]) Stats() Stats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	q := w.queue
-	return Figures{q.health.condition, len(q.waiting.puts), len(q.waiting.after), q.dropped}
+	return Stats{q.health.condition, len(q.waiting.puts), len(q.waiting.messages), q.dropped}
 }
--- a/internal/mesh/store/writer_test.go
+++ b/internal/mesh/store/writer_test.go
@@ -9,67 +9,67 @@
 	"testing/synctest"
 )
 
-// heldKeeper passes writes on to a store, and holds each until it is let go.
-type heldKeeper struct {
-	store *Store
-	hold  chan struct{} // nil: nothing is held
+// blockingStore passes writes on to a store, and blocks each one until it is unblocked.
+type blockingStore struct {
+	store   *Store
+	unblock chan struct{} // nil: writes are not blocked
 }
 
-func (k *heldKeeper) Write(batch []Put) error {
-	if k.hold != nil {
-		<-k.hold
+func (k *blockingStore) Write(batch []Put) error {
+	if k.unblock != nil {
+		<-k.unblock
 	}
 	return k.store.Write(batch)
 }
 
-// bench is a Writer on a disk in memory, with a clock that only the test moves.
-type bench struct {
+// fixture is a Writer on an in-memory disk, with a clock that only the test advances.
+type fixture struct {
 	code    *codec
 	disk    *memoryDisk
-	keeper  *heldKeeper
+	store   *blockingStore
 	writer  *Writer[string]
 	now     float64
 	sent    []string
-	changes []Change
+	changes []ConditionChange
 }
 
-// play runs a test on a bench, in a bubble in which the Writer's goroutine can be waited for. The codec's
-// own goroutine, which can't be ended at will, stays outside.
-func play(t *testing.T, test func(*testing.T, *bench)) {
+// runFixture runs a test on a fixture in a synctest bubble, where the Writer's goroutine can be waited for. The
+// codec's own goroutine cannot be stopped at will and stays outside the bubble.
+func runFixture(t *testing.T, test func(*testing.T, *fixture)) {
 	t.Helper()
 	code, err := newCodec()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer code.close()
-	synctest.Test(t, func(t *testing.T) { test(t, newBench(t, code)) })
+	synctest.Test(t, func(t *testing.T) { test(t, newFixture(t, code)) })
 }
 
-func newBench(t *testing.T, code *codec) *bench {
-	b := &bench{code: code, disk: newMemoryDisk(nil), now: 1}
+func newFixture(t *testing.T, code *codec) *fixture {
+	b := &fixture{code: code, disk: newMemoryDisk(nil), now: 1}
 	s, values, _, err := openWith(b.disk, code)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.keeper = &heldKeeper{store: s}
-	b.writer = NewWriter(Options[string]{Keeper: b.keeper, Names: slices.Collect(maps.Keys(values)),
-		Now:     func() float64 { return b.now },
-		Release: func(messages []string) { b.sent = append(b.sent, messages...) },
-		Changed: func(c Change) { b.changes = append(b.changes, c) }})
+	b.store = &blockingStore{store: s}
+	b.writer = NewWriter(Options[string]{Store: b.store, Names: slices.Collect(maps.Keys(values)),
+		Now:              func() float64 { return b.now },
+		Release:          func(messages []string) { b.sent = append(b.sent, messages...) },
+		ConditionChanged: func(c ConditionChange) { b.changes = append(b.changes, c) }})
 	go b.writer.Run(t.Context())
 	synctest.Wait()
 	return b
 }
 
-// wait lets time pass in ticks.
-func (b *bench) wait(seconds float64) {
+// wait advances the clock in ticks.
+func (b *fixture) wait(seconds float64) {
 	for end := b.now + seconds; b.now < end; b.now += 0.05 {
 		b.writer.Tick()
 		synctest.Wait()
 	}
 }
 
-func (b *bench) value(t *testing.T, name string) string {
+func (b *fixture) value(t *testing.T, name string) string {
 	_, values, _, err := openWith(b.disk, b.code)
 	if err != nil {
 		t.Fatal(err)
@@ -77,24 +77,24 @@
 	return string(values[name])
 }
 
-func (b *bench) expectSent(t *testing.T, expected string) {
+func (b *fixture) expectSent(t *testing.T, expected string) {
 	t.Helper()
 	if got := strings.Join(b.sent, " "); got != expected {
-		t.Fatalf("sent %q, not %q", got, expected)
+		t.Fatalf("sent %q, want %q", got, expected)
 	}
 }
 
-func (b *bench) expectCondition(t *testing.T, c Condition, changes int) {
+func (b *fixture) expectCondition(t *testing.T, c Condition, changes int) {
 	t.Helper()
-	if got := b.writer.Figures().Condition; got != c || len(b.changes) != changes {
-		t.Fatalf("the disk is %v after %v, not %v after %d changes", got, b.changes, c, changes)
+	if got := b.writer.Stats().Condition; got != c || len(b.changes) != changes {
+		t.Fatalf("the disk is %v after %v, want %v after %d changes", got, b.changes, c, changes)
 	}
 }
 
-// A disk that fills up while messages wait: nothing is said of what it can't keep; once there is room all
-// that waits is written and new messages go.
+// The disk fills up while messages wait. No message may be released for values that could not be stored. Once
+// there is room, all queued values are written and new messages are released.
 func TestWriterOnAFullDisk(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	runFixture(t, func(t *testing.T, b *fixture) {
 		b.writer.Add(put("a", "1"), []string{"a1"})
 		synctest.Wait()
 		b.expectSent(t, "a1")
@@ -110,23 +110,24 @@
 		}
 		b.disk.capacity = 0
 		b.writer.Add(put("c", "1"), []string{"c1"})
-		b.wait(retryMost)
+		b.wait(maxRetryDelay)
 		b.writer.Add(put("d", "1"), []string{"d1"})
 		b.wait(0.1)
 		b.expectCondition(t, Healthy, 2)
 		if got := b.value(t, "a") + b.value(t, "b") + b.value(t, "c") + b.value(t, "d"); got != "2111" {
 			t.Fatalf("kept %q", got)
 		}
-		if last := b.sent[len(b.sent)-1]; last != "d1" || b.writer.Figures().Dropped == 0 {
-			t.Fatalf("sent %v, dropped %d", b.sent, b.writer.Figures().Dropped)
+		if last := b.sent[len(b.sent)-1]; last != "d1" || b.writer.Stats().Dropped == 0 {
+			t.Fatalf("sent %v, dropped %d", b.sent, b.writer.Stats().Dropped)
 		}
 	})
 }
 
-// A write that doesn't return holds nothing up but what waits for it, and is told; as it returns all goes on.
+// A write that does not return must delay only the messages that wait for it, and must be reported. When it
+// returns, everything goes on.
 func TestWriterOnAStalledDisk(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
-		b.keeper.hold = make(chan struct{})
+	runFixture(t, func(t *testing.T, b *fixture) {
+		b.store.unblock = make(chan struct{})
 		b.writer.Add(put("a", "1"), []string{"a1"})
 		b.wait(0.4)
 		b.expectCondition(t, Healthy, 0)
@@ -135,10 +136,10 @@
 		b.writer.Add(put("a", "2"), []string{"a2"})
 		b.wait(3)
 		b.expectSent(t, "")
-		close(b.keeper.hold)
+		close(b.store.unblock)
 		synctest.Wait()
 		b.expectSent(t, "a1")
-		b.wait(calmFor + 0.2)
+		b.wait(healthyAfterSeconds + 0.2)
 		b.expectCondition(t, Healthy, 2)
 		if b.value(t, "a") != "2" {
 			t.Fatalf("a = %q", b.value(t, "a"))
@@ -146,20 +147,20 @@
 	})
 }
 
-// A sync that fails is a failed write, though the bytes are there: what waited for it is not said before a
-// new file holds it.
+// A failed sync is a failed write, although the bytes are there. Messages that waited for it are released only
+// once a new file holds their values.
 func TestWriterOnAFailedSync(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	runFixture(t, func(t *testing.T, b *fixture) {
 		b.disk.fail = map[int]fault{len(b.disk.steps) + 1: ioError}
 		b.writer.Add(put("a", "1"), []string{"a1"})
 		synctest.Wait()
 		b.expectSent(t, "")
 		b.wait(0.1)
 		b.expectCondition(t, Failing, 1)
-		if !strings.Contains(b.changes[0].Why, syscall.EIO.Error()) {
-			t.Fatalf("why: %q", b.changes[0].Why)
+		if !strings.Contains(b.changes[0].Reason, syscall.EIO.Error()) {
+			t.Fatalf("reason: %q", b.changes[0].Reason)
 		}
-		b.wait(retryFirst + 0.1)
+		b.wait(initialRetryDelay + 0.1)
 		b.expectSent(t, "a1")
 		b.expectCondition(t, Healthy, 2)
 	})
