--- a/cmd/beechwing-control/inbox.go
+++ b/cmd/beechwing-control/inbox.go
@@ -33,7 +33,7 @@
 
 // arrival is a message with its size.
 type arrival struct {
-	transport.Came
+	transport.Received
 	size int
 }
 
@@ -46,14 +46,14 @@
 	q.waiting, q.bytes = append(q.waiting, a), q.bytes+a.size
 }
 
-func (q *queue) first() transport.Came {
+func (q *queue) first() transport.Received {
 	a := q.waiting[0]
 	q.waiting[0] = arrival{}
 	q.bytes -= a.size
 	if q.waiting = q.waiting[1:]; len(q.waiting) == 0 {
 		q.waiting = nil
 	}
-	return a.Came
+	return a.Received
 }
 
 func newInbox() *inbox {
@@ -63,7 +63,7 @@
 }
 
 // put takes a message. It waits while too many others do.
-func (b *inbox) put(came transport.Came) {
+func (b *inbox) put(came transport.Received) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	queue := &b.normal
@@ -79,7 +79,7 @@
 }
 
 // take gives the message that is to be worked on next, and waits for one.
-func (b *inbox) take() transport.Came {
+func (b *inbox) take() transport.Received {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for len(b.urgent.waiting)+len(b.normal.waiting) == 0 {
--- a/cmd/beechwing-control/inbox_test.go
+++ b/cmd/beechwing-control/inbox_test.go
@@ -7,18 +7,18 @@
 	"beechwing/internal/mesh/transport"
 )
 
-func heartbeat(n uint64) transport.Came {
-	return transport.Came{From: "a", Message: &meshpb.Message{Id: n, Digest: &meshpb.Digest{}}}
+func heartbeat(n uint64) transport.Received {
+	return transport.Received{From: "a", Message: &meshpb.Message{Id: n, Digest: &meshpb.Digest{}}}
 }
 
-func claim(n uint64) transport.Came {
-	return transport.Came{From: "a", Message: &meshpb.Message{Id: n, Claim: &meshpb.Claim{}}}
+func claim(n uint64) transport.Received {
+	return transport.Received{From: "a", Message: &meshpb.Message{Id: n, Claim: &meshpb.Claim{}}}
 }
 
 // Heartbeats are worked on before all else that waits; all else keeps its order.
 func TestHeartbeatsGoFirst(t *testing.T) {
 	b := newInbox()
-	for _, came := range []transport.Came{claim(1), claim(2), heartbeat(3), claim(4), heartbeat(5)} {
+	for _, came := range []transport.Received{claim(1), claim(2), heartbeat(3), claim(4), heartbeat(5)} {
 		b.put(came)
 	}
 	for _, want := range []uint64{3, 5, 1, 2, 4} {
--- a/cmd/beechwing-control/run.go
+++ b/cmd/beechwing-control/run.go
@@ -176,7 +176,7 @@
 }
 
 func (p *program) event(e transport.Event) {
-	if came, ok := e.(transport.Came); ok {
+	if came, ok := e.(transport.Received); ok {
 		p.inbox.put(came)
 	}
 }
--- a/cmd/beechwing-sidecar/run.go
+++ b/cmd/beechwing-sidecar/run.go
@@ -76,9 +76,9 @@
 		p.mu.Unlock()
 		return err
 	}
-	p.net.Bound(int64(o.MaxBodyBytes) / 2)
+	p.net.SetQueueLimit(int64(o.MaxBodyBytes) / 2)
 	if mbps := s.Limits.LinkMbps; mbps > 0 && mbps < slowLink {
-		p.net.Pace(mbps * 1e6 / 8 * linkShare)
+		p.net.SetRate(mbps * 1e6 / 8 * linkShare)
 	}
 	p.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
@@ -183,11 +183,11 @@
 func (p *program) event(e transport.Event) {
 	p.with(func(now float64) {
 		switch e := e.(type) {
-		case transport.Came:
+		case transport.Received:
 			p.sidecar.Receive(now, e.From, e.Message)
-		case transport.Sign:
+		case transport.PartReceived:
 			p.sidecar.NoteIncoming(now, e.From)
-		case transport.Broke:
+		case transport.Disconnected:
 			p.sidecar.ConnectionLost(now, e)
 		}
 	})
--- a/internal/mesh/sidecar/attempts.go
+++ b/internal/mesh/sidecar/attempts.go
@@ -159,7 +159,7 @@
 
 // failAttempts ends the attempts that were sent over a lost connection. An attempt of which nothing was sent has not
 // run.
-func (p *Sidecar) failAttempts(lost transport.Broke) {
+func (p *Sidecar) failAttempts(lost transport.Disconnected) {
 	for _, id := range lost.Unsent {
 		if a := p.attempts[id]; a != nil && a.peer == lost.Peer {
 			p.endUnsent(a, "no connection to the proxy beside the host")
--- a/internal/mesh/sidecar/claims.go
+++ b/internal/mesh/sidecar/claims.go
@@ -325,7 +325,7 @@
 }
 
 // connectionLost moves the messages that were not sent to a lost control server on to the next one.
-func (adm *admission) connectionLost(lost transport.Broke) {
+func (adm *admission) connectionLost(lost transport.Disconnected) {
 	for _, id := range lost.Unsent {
 		if rpc := adm.keys.claims[id]; rpc != nil && rpc.server == lost.Peer {
 			adm.keys.removeClaim(id, rpc.job)
--- a/internal/mesh/sidecar/duplicates_test.go
+++ b/internal/mesh/sidecar/duplicates_test.go
@@ -149,7 +149,7 @@
 		c.receive(other, &meshpb.Message{Id: 1, Life: 40, Ping: &meshpb.Ping{}})
 	}
 	for _, peer := range []string{"p1", "p2"} {
-		c.sidecar.ConnectionLost(c.now, transport.Broke{Peer: peer, Link: 1})
+		c.sidecar.ConnectionLost(c.now, transport.Disconnected{Peer: peer, Link: 1})
 	}
 	if peer, rpc := submit("last"); rpc.Forward.GateLife != 0 {
 		t.Errorf("the connection to %s was lost, but the attempt is for incarnation %d", peer, rpc.Forward.GateLife)
--- a/internal/mesh/sidecar/heldattempts_test.go
+++ b/internal/mesh/sidecar/heldattempts_test.go
@@ -66,7 +66,7 @@
 func TestUnrepeatableThatWasHeldGoesElsewhere(t *testing.T) {
 	for name, lose := range map[string]func(c *clientFixture, peer string){
 		"broken": func(c *clientFixture, peer string) {
-			c.sidecar.ConnectionLost(c.now, transport.Broke{Peer: peer, Link: 1})
+			c.sidecar.ConnectionLost(c.now, transport.Disconnected{Peer: peer, Link: 1})
 			c.collect()
 		},
 		"silent": func(c *clientFixture, peer string) {
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -219,7 +219,7 @@
 }
 
 // ConnectionLost handles the loss of a connection.
-func (p *Sidecar) ConnectionLost(now float64, lost transport.Broke) {
+func (p *Sidecar) ConnectionLost(now float64, lost transport.Disconnected) {
 	p.beginInput(now)
 	p.failAttempts(lost)
 	p.admission.connectionLost(lost)
--- a/internal/mesh/simulation/faults.go
+++ b/internal/mesh/simulation/faults.go
@@ -125,7 +125,7 @@
 		return
 	}
 	l.dead = true
-	sender.broke(transport.Broke{Peer: to, Link: l.number})
+	sender.broke(transport.Disconnected{Peer: to, Link: l.number})
 }
 
 // freezer holds up a process, as SIGSTOP does: its connections stay, and what comes waits.
--- a/internal/mesh/simulation/proxies.go
+++ b/internal/mesh/simulation/proxies.go
@@ -94,7 +94,9 @@
 	s.input(func() { s.sidecar.Receive(s.w.Now, from, p) })
 }
 
-func (s *Proxy) broke(b transport.Broke) { s.input(func() { s.sidecar.ConnectionLost(s.w.Now, b) }) }
+func (s *Proxy) broke(b transport.Disconnected) {
+	s.input(func() { s.sidecar.ConnectionLost(s.w.Now, b) })
+}
 
 func (s *Proxy) input(f func()) {
 	if !s.up || s.holds(f, s.input) {
--- a/internal/mesh/simulation/servers.go
+++ b/internal/mesh/simulation/servers.go
@@ -170,7 +170,7 @@
 	h.workLater()
 }
 
-func (h *ControlServer) broke(transport.Broke) {}
+func (h *ControlServer) broke(transport.Disconnected) {}
 
 // input gives the machine something, and does what it wants done.
 func (h *ControlServer) input(f func()) {
--- a/internal/mesh/simulation/world.go
+++ b/internal/mesh/simulation/world.go
@@ -71,7 +71,7 @@
 	dark() bool  // it has no power
 	life() int
 	heard(from string, p *meshpb.Message)
-	broke(b transport.Broke)
+	broke(b transport.Disconnected)
 }
 
 type link struct {
@@ -293,7 +293,7 @@
 				return
 			}
 			l.dead = true
-			b := transport.Broke{Peer: to, Link: number}
+			b := transport.Disconnected{Peer: to, Link: number}
 			if unsent {
 				b.Unsent = []uint64{parcel.Id}
 			}
--- a/internal/mesh/transport/checksum.go
+++ b/internal/mesh/transport/checksum.go
@@ -8,33 +8,33 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// checksumNumber is the number of Message.checksum in the protocol buffers.
+// checksumNumber is the field number of Message.checksum in mesh.proto.
 const checksumNumber = 42
 
 const checksumBytes = 4
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// checksumTag is what stands before the checksum in a message's bytes.
+// checksumTag is the protobuf tag that precedes the checksum in an encoded message.
 var checksumTag = protowire.AppendTag(nil, checksumNumber, protowire.Fixed32Type)
 
-// errChecksum tells of a frame that is not what its sender made.
-var errChecksum = errors.New("frame with a wrong checksum")
+// errChecksum reports a frame whose bytes changed in transit, or that lacks an expected checksum.
+var errChecksum = errors.New("frame checksum missing or wrong")
 
-// appendChecksum ends a message's bytes, which begin at a place in buf, with their checksum.
+// appendChecksum appends the checksum of buf[from:], which is one encoded message.
 func appendChecksum(buf []byte, from int) []byte {
 	sum := crc32.Checksum(buf[from:], castagnoli)
 	return binary.LittleEndian.AppendUint32(append(buf, checksumTag...), sum)
 }
 
-// checkSum looks at the checksum that a message's bytes end with, and says whether there is one.
-func checkSum(message []byte) (present bool, err error) {
+// verifyChecksum verifies the checksum at the end of an encoded message; present reports whether there is one.
+func verifyChecksum(message []byte) (present bool, err error) {
 	end := len(message) - checksumBytes - len(checksumTag)
 	if end < 0 || string(message[end:end+len(checksumTag)]) != string(checksumTag) {
 		return false, nil
 	}
-	told := binary.LittleEndian.Uint32(message[end+len(checksumTag):])
-	if told != crc32.Checksum(message[:end], castagnoli) {
+	received := binary.LittleEndian.Uint32(message[end+len(checksumTag):])
+	if received != crc32.Checksum(message[:end], castagnoli) {
 		return true, errChecksum
 	}
 	return true, nil
--- a/internal/mesh/transport/checksum_test.go
+++ b/internal/mesh/transport/checksum_test.go
@@ -10,8 +10,8 @@
 	"beechwing/internal/mesh/meshpb"
 )
 
-// reply is an answer in which any changed byte would be somebody's.
-func reply() *meshpb.Message {
+// testAnswer returns an answer in which every byte matters.
+func testAnswer() *meshpb.Message {
 	forwarded := &meshpb.Forwarded{
 		Status: 200,
 		Body:   []byte("one copper kettle"),
@@ -20,10 +20,10 @@
 	return &meshpb.Message{Id: 1 << 40, Life: 1 << 50, Forwarded: forwarded}
 }
 
-// A message of which a bit was changed on the way is never taken for another: wherever the bit, the reader
-// gives an error, or what was sent.
+// A message with a flipped bit must never be taken for another message: wherever the bit, the reader returns an
+// error or the message as it was sent.
 func TestChangedBitsMakeNoOtherMessage(t *testing.T) {
-	want := reply()
+	want := testAnswer()
 	hello, err := AppendFrame(nil, &meshpb.Message{Hello: &meshpb.Hello{From: "10.0.0.9:7000"}})
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	others, refused := 0, 0
+	wrong, rejected := 0, 0
 	for at := len(hello) * 8; at < len(clean)*8; at++ {
 		changed := bytes.Clone(clean)
 		changed[at/8] ^= 1 << (at % 8)
@@ -42,27 +42,28 @@
 		}
 		switch m, err := r.Read(); {
 		case err != nil:
-			refused++
+			rejected++
 		case !proto.Equal(m, want):
-			others++
+			wrong++
 		}
 	}
-	if others > 0 || refused == 0 {
+	if wrong > 0 || rejected == 0 {
 		bits := (len(clean) - len(hello)) * 8
-		t.Errorf("%d of %d changed bits made another message, %d were refused", others, bits, refused)
+		t.Errorf("%d of %d flipped bits gave another message, %d were rejected", wrong, bits, rejected)
 	}
 }
 
-// Messages without a checksum come from older processes: they count, but not behind one that has it.
+// Messages without a checksum come from older processes and are accepted, but not after a message with a
+// checksum on the same connection.
 func TestMessagesWithoutChecksum(t *testing.T) {
-	want := reply()
+	want := testAnswer()
 	bare, err := proto.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
 	old := append([]byte{0, 0, 0, byte(len(bare))}, bare...)
 	if m, err := NewReader(bufio.NewReader(bytes.NewReader(old)), nil).Read(); err != nil || !proto.Equal(m, want) {
-		t.Errorf("of an older process: %v, %v", m, err)
+		t.Errorf("message without checksum from an older process: %v, %v", m, err)
 	}
 	mixed, err := AppendFrame(nil, want)
 	if err != nil {
@@ -70,9 +71,9 @@
 	}
 	r := NewReader(bufio.NewReader(bytes.NewReader(append(mixed, old...))), nil)
 	if m, err := r.Read(); err != nil || !proto.Equal(m, want) {
-		t.Errorf("with its checksum: %v, %v", m, err)
+		t.Errorf("message with checksum: %v, %v", m, err)
 	}
 	if _, err := r.Read(); err == nil {
-		t.Error("a message without checksum counts behind one that has it")
+		t.Error("a message without checksum was accepted after one with a checksum")
 	}
 }
--- a/internal/mesh/transport/frame.go
+++ b/internal/mesh/transport/frame.go
@@ -12,49 +12,51 @@
 	"beechwing/internal/mesh/meshpb"
 )
 
-// Frames: a message's length in four bytes, then the message, which its checksum ends; a large one goes in pieces.
+// A frame is a message's length in four bytes and the encoded message, which ends with its checksum. A large
+// message is sent in pieces, each with a length of its own.
 
-// AppendFrame appends a message's frame: its length in four bytes, then the message, which its checksum ends.
+// AppendFrame appends the frame of a message to buf: its length in four bytes, then the encoded message, which
+// ends with its checksum.
 func AppendFrame(buf []byte, p *meshpb.Message) ([]byte, error) {
 	at := len(buf)
 	buf = append(buf, 0, 0, 0, 0)
 	buf, err := proto.MarshalOptions{}.MarshalAppend(buf, p)
 	if err != nil {
-		return buf, errors.Wrap(err, "message")
+		return buf, errors.Wrap(err, "encode message")
 	}
-	buf = appendChecksum(buf, at+frameHead)
-	size := len(buf) - at - frameHead
+	buf = appendChecksum(buf, at+frameHeaderBytes)
+	size := len(buf) - at - frameHeaderBytes
 	if size > MaxFrame {
-		return buf, errors.Newf("message of %d bytes", size)
+		return buf, errors.Newf("message of %d bytes exceeds the frame limit", size)
 	}
 	binary.BigEndian.PutUint32(buf[at:], uint32(size))
 	return buf, nil
 }
 
-// Reader takes messages off a connection.
+// Reader reads messages from a connection.
 type Reader struct {
-	br   *bufio.Reader
-	sign func() // called while a large one is still coming
-	part []byte // of one that comes in pieces
-	sums bool   // its sender ends messages with checksums, as older processes do not: all of them have to
+	br              *bufio.Reader
+	onPart          func() // called while a large message is still arriving; may be nil
+	partial         []byte // pieces of a large message received so far
+	requireChecksum bool   // the sender adds checksums, so every message must have one; older processes add none
 }
 
-// NewReader makes a reader. sign may be nil.
-func NewReader(br *bufio.Reader, sign func()) *Reader { return &Reader{br: br, sign: sign} }
+// NewReader returns a Reader. onPart may be nil.
+func NewReader(br *bufio.Reader, onPart func()) *Reader { return &Reader{br: br, onPart: onPart} }
 
-// Read takes one message.
+// Read reads one message.
 func (r *Reader) Read() (*meshpb.Message, error) {
 	for {
-		var head [frameHead]byte
-		if _, err := io.ReadFull(r.br, head[:]); err != nil {
+		var header [frameHeaderBytes]byte
+		if _, err := io.ReadFull(r.br, header[:]); err != nil {
 			return nil, err
 		}
-		word := binary.BigEndian.Uint32(head[:])
-		size := int(word &^ (piece | lastPiece))
+		lengthWord := binary.BigEndian.Uint32(header[:])
+		size := int(lengthWord &^ (pieceFlag | lastPieceFlag))
 		switch {
-		case size > MaxFrame || len(r.part)+size > MaxFrame:
-			return nil, errors.Newf("frame of %d bytes", len(r.part)+size)
-		case word&piece == 0 && size <= r.br.Size(): // decoded where it lies: what is kept of it is copied
+		case size > MaxFrame || len(r.partial)+size > MaxFrame:
+			return nil, errors.Newf("frame of %d bytes exceeds the limit", len(r.partial)+size)
+		case lengthWord&pieceFlag == 0 && size <= r.br.Size(): // decoded within the read buffer; decoding copies what it keeps
 			b, err := r.br.Peek(size)
 			if err != nil {
 				return nil, err
@@ -62,7 +64,7 @@
 			p, err := r.decode(b)
 			r.br.Discard(size)
 			return p, err
-		case word&piece == 0:
+		case lengthWord&pieceFlag == 0:
 			b, err := appendBytes(nil, r.br, size)
 			if err != nil {
 				return nil, err
@@ -70,24 +72,25 @@
 			return r.decode(b)
 		}
 		var err error
-		if r.part, err = appendBytes(r.part, r.br, size); err != nil {
+		if r.partial, err = appendBytes(r.partial, r.br, size); err != nil {
 			return nil, err
 		}
-		if word&lastPiece != 0 {
-			b := r.part
-			r.part = nil
+		if lengthWord&lastPieceFlag != 0 {
+			b := r.partial
+			r.partial = nil
 			return r.decode(b)
 		}
-		if r.sign != nil {
-			r.sign()
+		if r.onPart != nil {
+			r.onPart()
 		}
 	}
 }
 
-// appendBytes takes so many bytes. Of a length that was spoilt it makes no more room than comes.
+// appendBytes appends size bytes from br to b. It allocates only as bytes arrive, so that a corrupted length
+// does not cost memory.
 func appendBytes(b []byte, br *bufio.Reader, size int) ([]byte, error) {
 	for size > 0 {
-		n := min(size, wholeFrame)
+		n := min(size, readChunkBytes)
 		b = slices.Grow(b, n)
 		got, err := io.ReadFull(br, b[len(b):len(b)+n])
 		b = b[:len(b)+got]
@@ -99,20 +102,20 @@
 	return b, nil
 }
 
-// decode takes a message out of its bytes. One that was changed on the way is none: its connection ends with it.
+// decode decodes one message. An invalid checksum is an error, after which the caller closes the connection.
 func (r *Reader) decode(b []byte) (*meshpb.Message, error) {
-	present, err := checkSum(b)
-	if err == nil && r.sums && !present {
+	present, err := verifyChecksum(b)
+	if err == nil && r.requireChecksum && !present {
 		err = errChecksum
 	}
 	if err != nil {
 		return nil, err
 	}
-	r.sums = present
+	r.requireChecksum = present
 	p := &meshpb.Message{}
 	if err := proto.Unmarshal(b, p); err != nil {
-		return nil, errors.Wrap(err, "frame")
+		return nil, errors.Wrap(err, "decode message")
 	}
-	p.Checksum = 0 // of the frame that it came in
+	p.Checksum = 0 // the checksum belongs to the frame, not to the message
 	return p, nil
 }
--- a/internal/mesh/transport/link.go
+++ b/internal/mesh/transport/link.go
@@ -11,9 +11,12 @@
 	"beechwing/internal/wire"
 )
 
-// A link queues what goes to one peer and writes it: heartbeats first, then small messages, large ones in pieces between them.
+// A link queues the messages for one peer and writes them: heartbeats first, then small messages, and the
+// pieces of large messages in between.
 
-func (l *link) put(p *meshpb.Message) bool {
+// enqueue queues a message. It returns false if the link has ended, the queue limit is reached, or the message cannot be
+// encoded.
+func (l *link) enqueue(p *meshpb.Message) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.dead {
@@ -26,7 +29,7 @@
 	was := len(*queue)
 	frames, err := AppendFrame(*queue, p)
 	size := len(frames) - was
-	if waits := l.net.queued.Load(); err != nil || waits > 0 && waits+int64(size) > l.net.most {
+	if waiting := l.net.queued.Load(); err != nil || waiting > 0 && waiting+int64(size) > l.net.queueLimit {
 		return false
 	}
 	var ids []uint64
@@ -34,9 +37,9 @@
 		ids = []uint64{p.Id}
 	}
 	l.net.queued.Add(int64(size))
-	if size > largeFrame {
-		l.large = append(l.large, large{bytes.Clone(frames[was:]), ids})
-		if was == 0 { // what was grown for it is not kept
+	if size > largeFrameBytes {
+		l.large = append(l.large, queuedFrame{bytes.Clone(frames[was:]), ids})
+		if was == 0 { // do not keep the buffer that grew for the large message
 			*queue = nil
 		}
 	} else {
@@ -49,27 +52,29 @@
 	return true
 }
 
-// take gives the small frames that are to be written next; where there are none, the next large message is the writer's. A buffer that is no
-// longer needed may take the place. Of a dead link it takes nothing.
-func (l *link) take(spare []byte) (frames []byte, dead bool) {
+// next returns the small frames to write next. If there are none, it makes the next large message the current
+// one of the writer. It may use spare, a buffer that is no longer needed, for the frames queued from now on.
+// From a dead link it takes nothing.
+func (l *link) next(spare []byte) (frames []byte, dead bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.dead:
-	case len(l.urgent) > 0: // they leave the buffer that may take the place to the others
+	case len(l.urgent) > 0: // spare stays free for the other frames
 		frames = l.urgent
 		l.urgent = nil
 	case len(l.frames) > 0:
 		frames = l.frames
 		l.frames, l.ids = spare[:0], nil
-	case len(l.large) > 0 && l.now.frame == nil:
-		l.now, l.large[0] = l.large[0], large{}
+	case len(l.large) > 0 && l.current.frame == nil:
+		l.current, l.large[0] = l.large[0], queuedFrame{}
 		l.large = l.large[1:]
 	}
 	return frames, l.dead
 }
 
-// end takes the link out of use and tells of it. unsent never went out.
+// end takes the link out of use and reports the disconnection. unsent are the ids of messages of which nothing
+// was sent.
 func (l *link) end(unsent []uint64) {
 	l.net.mu.Lock()
 	if l.net.links[l.peer] == l {
@@ -81,31 +86,32 @@
 	was := l.dead
 	l.dead = true
 	unsent = append(unsent, l.ids...)
-	waits := len(l.urgent) + len(l.frames)
+	waiting := len(l.urgent) + len(l.frames)
 	for _, f := range l.large {
 		unsent = append(unsent, f.ids...)
-		waits += len(f.frame)
+		waiting += len(f.frame)
 	}
-	l.net.queued.Add(-int64(waits))
+	l.net.queued.Add(-int64(waiting))
 	l.urgent, l.frames, l.ids, l.large = nil, nil, nil, nil
 	l.mu.Unlock()
 	if was && len(unsent) == 0 || closed {
 		return
 	}
-	l.net.tell(Broke{Peer: l.peer, Link: l.number, Unsent: unsent})
+	l.net.notify(Disconnected{Peer: l.peer, Link: l.number, Unsent: unsent})
 }
 
+// dial opens the connection, sends Hello and serves the connection until it ends.
 func (l *link) dial() {
-	d := net.Dialer{Timeout: dialWithin}
+	d := net.Dialer{Timeout: dialTimeout}
 	c, err := d.Dial("tcp", l.peer)
 	if err != nil {
 		l.end(nil)
 		return
 	}
-	tune(c)
+	setTimeouts(c)
 	c = wire.Quicken(c)
 	hello, _ := AppendFrame(nil, &meshpb.Message{Hello: &meshpb.Hello{From: l.net.self}})
-	c.SetWriteDeadline(time.Now().Add(writeWithin))
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.Write(hello); err != nil {
 		c.Close()
 		l.end(nil)
@@ -116,12 +122,12 @@
 
 // run serves a connection until it ends.
 func (l *link) run(c net.Conn, br *bufio.Reader) {
-	r := NewReader(br, func() { l.net.tell(Sign{l.peer}) })
-	if !l.net.hold(c) {
+	r := NewReader(br, func() { l.net.notify(PartReceived{l.peer}) })
+	if !l.net.track(c) {
 		l.end(nil)
 		return
 	}
-	defer l.net.release(c)
+	defer l.net.untrack(c)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -132,7 +138,7 @@
 		if err != nil {
 			break
 		}
-		l.net.tell(Came{l.peer, p})
+		l.net.notify(Received{l.peer, p})
 	}
 	c.Close()
 	l.mu.Lock()
@@ -145,9 +151,9 @@
 	<-done
 }
 
-// write sends what is queued until the connection ends.
+// write sends queued messages until the connection ends.
 func (l *link) write(c net.Conn) {
-	defer l.done()
+	defer l.releaseSlot()
 	for range l.wake {
 		if !l.flush(c) {
 			l.close()
@@ -156,30 +162,30 @@
 	}
 }
 
-// flush sends all that waits: all small frames in one write, and pieces of the large ones between them. False: the
-// connection has ended.
+// flush sends everything that is queued: all small frames in one write, and the pieces of large messages in
+// between. It returns false if the connection has ended.
 func (l *link) flush(c net.Conn) bool {
 	var spare []byte
 	l.net.writing.Add(1)
 	defer l.net.writing.Add(-1)
 	for {
-		frames, dead := l.take(spare)
+		frames, dead := l.next(spare)
 		spare = nil
 		l.net.queued.Add(-int64(len(frames)))
 		if dead {
 			return false
 		}
 		small := len(frames) > 0
-		if !small && l.now.frame == nil {
+		if !small && l.current.frame == nil {
 			return true
 		}
 		if !small {
-			if !l.mayGo() {
+			if !l.acquireSlot() {
 				continue
 			}
-			frames = l.piece()
+			frames = l.nextPiece()
 		}
-		c.SetWriteDeadline(time.Now().Add(writeWithin))
+		c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := c.Write(frames); err != nil {
 			c.Close()
 			return false
@@ -190,58 +196,59 @@
 	}
 }
 
-// mayGo waits for a turn to send a large message; false: something else came first.
-func (l *link) mayGo() bool {
-	if l.turn {
+// acquireSlot waits for a slot to send a large message. It returns false if something else was queued first.
+func (l *link) acquireSlot() bool {
+	if l.hasSlot {
 		return true
 	}
-	if l.net.pace.rate > 0 {
+	if l.net.limiter.rate > 0 {
 		select {
-		case l.net.pace.turns <- struct{}{}:
+		case l.net.limiter.slots <- struct{}{}:
 		case <-l.wake:
 			return false
 		}
 	}
-	l.turn = true
-	l.now.frame = l.now.frame[frameHead:]
-	l.net.queued.Add(-frameHead)
+	l.hasSlot = true
+	l.current.frame = l.current.frame[frameHeaderBytes:]
+	l.net.queued.Add(-frameHeaderBytes)
 	return true
 }
 
-// done gives the turn back.
-func (l *link) done() {
-	if l.turn && l.net.pace.rate > 0 {
-		<-l.net.pace.turns
+// releaseSlot releases the slot.
+func (l *link) releaseSlot() {
+	if l.hasSlot && l.net.limiter.rate > 0 {
+		<-l.net.limiter.slots
 	}
-	l.turn = false
+	l.hasSlot = false
 }
 
-// piece takes the next piece of the large message that is being sent, at its time.
-func (l *link) piece() []byte {
-	n := min(l.net.pace.piece(), len(l.now.frame))
-	l.net.pace.wait(n)
-	head, end := uint32(n)|piece, n == len(l.now.frame)
+// nextPiece waits until the rate limit permits the next piece of the current large message and returns its
+// frame.
+func (l *link) nextPiece() []byte {
+	n := min(l.net.limiter.pieceBytes(), len(l.current.frame))
+	l.net.limiter.wait(n)
+	head, end := uint32(n)|pieceFlag, n == len(l.current.frame)
 	if end {
-		head |= lastPiece
+		head |= lastPieceFlag
 	}
-	out := append(binary.BigEndian.AppendUint32(make([]byte, 0, frameHead+n), head), l.now.frame[:n]...)
+	out := append(binary.BigEndian.AppendUint32(make([]byte, 0, frameHeaderBytes+n), head), l.current.frame[:n]...)
 	l.net.queued.Add(-int64(n))
-	if l.now.frame = l.now.frame[n:]; end {
-		l.now = large{}
-		l.done()
+	if l.current.frame = l.current.frame[n:]; end {
+		l.current = queuedFrame{}
+		l.releaseSlot()
 	}
 	return out
 }
 
-// close takes a link whose connection is no more out of use.
+// close takes a link out of use whose connection has ended.
 func (l *link) close() {
-	l.net.queued.Add(-int64(len(l.now.frame)))
+	l.net.queued.Add(-int64(len(l.current.frame)))
 	var unsent []uint64
-	if !l.turn {
-		unsent = l.now.ids // no piece of it went out
+	if !l.hasSlot {
+		unsent = l.current.ids // no piece of the message was sent
 	}
 	l.mu.Lock()
-	l.dead = false // so that the end is told
+	l.dead = false // so that end reports the disconnection
 	l.mu.Unlock()
 	l.end(unsent)
 }
--- a/internal/mesh/transport/net.go
+++ b/internal/mesh/transport/net.go
@@ -1,5 +1,7 @@
-// Package transport carries messages between the processes of the mesh: protobuf in frames over TCP, one connection to a peer.
-// It decides nothing: what a lost message means is for the state machines to say.
+// Package transport carries messages between the processes of the mesh, as protobuf frames over TCP with one
+// connection per peer. A Net, made by Listen, accepts connections, dials peers when Send first needs them, and
+// passes each Event (a message, a sign of life or a disconnection) to a function of the caller. The package
+// does not resend lost messages: the state machines decide what a loss means.
 package transport
 
 import (
@@ -16,88 +18,89 @@
 	"beechwing/internal/wire"
 )
 
-// Bounds of the connections. Each names the failure that it guards against.
+// Limits of the connections, and the failures that they guard against.
 const (
-	MaxFrame     = 72 << 20               // bytes: a peer that speaks something else, or a length that was spoilt
-	mostQueued   = 24 << 20               // bytes that wait for all peers, where Bound says nothing else: some that do not read
-	largeFrame   = 16 << 10               // what is larger waits behind what is not
-	wholeFrame   = 1 << 20                // is read into one piece of its length: beyond that a spoilt length would cost memory
-	pieceLeast   = 16 << 10               // bytes of a large message that go at once, others go between: at least so many,
-	pieceMost    = 256 << 10              // at most so many, and in between
-	pieceFor     = 8 * time.Millisecond   // as many as take a paced link so long
-	paceAhead    = 3 * time.Millisecond   // a piece may go so much ahead of its time: waking up has its price
-	pacedAtOnce  = 3                      // large messages that go at once where the link is slow: one peer that does not read holds no other up
-	piece        = 1 << 31                // in a frame's length: part of a large message
-	lastPiece    = 1 << 30                // and its last
-	dialWithin   = 300 * time.Millisecond // a peer behind a cut says nothing, and an opening packet is sent again only after a second
-	writeWithin  = 3 * time.Second        // a peer that does not read
-	silentWithin = 1500 * time.Millisecond
-	probeAfter   = time.Second // idle connections to a machine without power
-	probeEvery   = 500 * time.Millisecond
-	probes       = 2
-	frameHead    = 4
+	MaxFrame           = 72 << 20               // bytes; a peer that speaks another protocol, or a corrupted length
+	defaultQueueLimit  = 24 << 20               // bytes queued for all peers; peers that do not read
+	largeFrameBytes    = 16 << 10               // larger frames wait behind smaller ones
+	readChunkBytes     = 1 << 20                // allocated at once for a frame; a larger corrupted length would cost memory
+	minPieceBytes      = 16 << 10               // lower limit of a piece of a large message; other messages go between pieces
+	maxPieceBytes      = 256 << 10              // upper limit of a piece
+	pieceDuration      = 8 * time.Millisecond   // between the limits, a piece takes a rate-limited link so long
+	maxEarly           = 3 * time.Millisecond   // how much too early a piece may be sent; saves the cost of waking up
+	maxConcurrentLarge = 3                      // large messages sent at once if rate-limited; one peer must not block others
+	pieceFlag          = 1 << 31                // set in a frame's length: a piece of a large message
+	lastPieceFlag      = 1 << 30                // set in a frame's length: the last piece
+	dialTimeout        = 300 * time.Millisecond // an unreachable peer is silent, and a SYN is only resent after a second
+	writeTimeout       = 3 * time.Second        // a peer that does not read
+	silenceTimeout     = 1500 * time.Millisecond
+	keepAliveIdle      = time.Second // idle connections to a machine that lost power
+	keepAliveInterval  = 500 * time.Millisecond
+	keepAliveCount     = 2
+	frameHeaderBytes   = 4
 )
 
-// Send is a message on its way to a peer.
+// Send is a message to be sent to a peer.
 type Send struct {
 	To      string
 	Message *meshpb.Message
-	Via     *uint64 // if not nil it gets the number of the connection that the message goes by
+	Via     *uint64 // if not nil, set to the number of the link that the message is sent on
 }
 
-// Event is what a Net tells: Came, Sign or Broke.
+// Event is an event that a Net reports: Received, PartReceived or Disconnected.
 type Event interface{ event() }
 
-// Came is a message that has come.
-type Came struct {
+// Received is a message that has arrived.
+type Received struct {
 	From    string
 	Message *meshpb.Message
 }
 
-// Sign is a part of a large message that is still on its way: its peer is not silent.
-type Sign struct{ From string }
+// PartReceived reports a piece of a large message that is still arriving, as a sign that its peer is alive.
+type PartReceived struct{ From string }
 
-// Broke tells that a connection to a peer is no more. Unsent are the ids of messages of which no byte went out; what else went
-// by connections up to Link may have arrived. Answers are not among them: they have their asker's numbers.
-type Broke struct {
+// Disconnected reports that the link to a peer has ended. Unsent holds the ids of messages of which no byte was
+// sent. All other messages sent on links up to Link may have arrived. Unsent contains no answers, because an
+// answer has the id of the requester's message.
+type Disconnected struct {
 	Peer   string
 	Link   uint64
 	Unsent []uint64
 }
 
-func (Came) event()  {}
-func (Sign) event()  {}
-func (Broke) event() {}
+func (Received) event()     {}
+func (PartReceived) event() {}
+func (Disconnected) event() {}
 
-// Net is one process's connections to the others.
+// Net holds the connections of one process to the others.
 type Net struct {
-	self string
-	tell func(Event)
-	ln   net.Listener
-
-	mu     sync.Mutex
-	links  map[string]*link
-	all    map[net.Conn]bool
-	last   uint64
-	closed bool
-
-	most    int64 // bytes that may wait for all peers
-	queued  atomic.Int64
-	writing atomic.Int64 // connections on which something is being written
-	pace    pace
+	self   string
+	notify func(Event)
+	ln     net.Listener
+
+	mu         sync.Mutex
+	links      map[string]*link
+	open       map[net.Conn]bool
+	lastNumber uint64
+	closed     bool
+
+	queueLimit int64 // limit on the bytes queued for all peers
+	queued     atomic.Int64
+	writing    atomic.Int64 // links that are writing now
+	limiter    rateLimiter
 }
 
-// pace keeps large messages to what the machine's link carries, so that they wait here and not in the link, where all else would wait
-// behind them. The zero pace keeps nothing.
-type pace struct {
-	rate  float64 // bytes a second; 0: any
-	turns chan struct{}
+// rateLimiter limits large messages to the bandwidth of the machine's network. Excess data then waits in this
+// process and not in the network, where it would delay all other messages. The zero value does not limit.
+type rateLimiter struct {
+	rate  float64 // bytes per second; 0: no limit
+	slots chan struct{}
 	mu    sync.Mutex
 	next  time.Time
 }
 
-// wait waits until so many bytes may go.
-func (p *pace) wait(n int) {
+// wait waits until n more bytes may be sent.
+func (p *rateLimiter) wait(n int) {
 	if p.rate == 0 {
 		return
 	}
@@ -109,20 +112,20 @@
 	at := p.next
 	p.next = at.Add(time.Duration(float64(n) / p.rate * float64(time.Second)))
 	p.mu.Unlock()
-	if d := at.Sub(now); d > paceAhead {
+	if d := at.Sub(now); d > maxEarly {
 		time.Sleep(d)
 	}
 }
 
-// piece is how much of a large message goes at once.
-func (p *pace) piece() int {
+// pieceBytes returns the size of the pieces that large messages are sent in.
+func (p *rateLimiter) pieceBytes() int {
 	if p.rate == 0 {
-		return pieceMost
+		return maxPieceBytes
 	}
-	return min(pieceMost, max(pieceLeast, int(p.rate*pieceFor.Seconds())))
+	return min(maxPieceBytes, max(minPieceBytes, int(p.rate*pieceDuration.Seconds())))
 }
 
-// link is one connection, or one that is being made.
+// link is a connection to one peer, open or being dialed.
 type link struct {
 	net    *Net
 	peer   string
@@ -130,68 +133,74 @@
 	wake   chan struct{}
 
 	mu     sync.Mutex
-	urgent []byte   // heartbeats that wait to be written: they go before all others
-	frames []byte   // that wait to be written
-	ids    []uint64 // of the questions in them
-	large  []large  // the same, one by one: they go after all others
+	urgent []byte        // queued heartbeats, sent before all other frames
+	frames []byte        // other queued small frames
+	ids    []uint64      // ids of the requests in frames
+	large  []queuedFrame // queued large frames, sent one by one after all others
 	dead   bool
 
-	now  large // of which pieces have gone; only the writer has it
-	turn bool  // it may send them
+	current queuedFrame // the large frame being sent; used only by the writer
+	hasSlot bool        // the writer holds a slot to send current
 }
 
-// large is one frame that keeps others waiting.
-type large struct {
+// queuedFrame is one large frame.
+type queuedFrame struct {
 	frame []byte
 	ids   []uint64
 }
 
-// Listen takes the address at which this process is known to the others and tells what comes. tell must not wait.
-func Listen(self string, tell func(Event)) (*Net, error) { return ListenAt(self, self, tell) }
+// Listen listens on the address that other processes know this one by, and passes events to notify, which must
+// not block.
+func Listen(self string, notify func(Event)) (*Net, error) { return ListenAt(self, self, notify) }
 
-// ListenAt is Listen for a process that the others reach through a relay: it listens at another address than they know.
-func ListenAt(address, self string, tell func(Event)) (*Net, error) {
+// ListenAt is like Listen for a process that others reach through a relay: it listens on an address other than
+// the one they know.
+func ListenAt(address, self string, notify func(Event)) (*Net, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errors.Wrap(err, "inner address")
+		return nil, errors.Wrap(err, "listen on the inner address")
 	}
-	n := &Net{self: self, tell: tell, ln: ln, links: map[string]*link{}, all: map[net.Conn]bool{}, most: mostQueued}
+	n := &Net{self: self, notify: notify, ln: ln, links: map[string]*link{}, open: map[net.Conn]bool{},
+		queueLimit: defaultQueueLimit}
 	go n.accept()
 	return n, nil
 }
 
-// Bound sets how many bytes may wait to be sent to all peers together. It is to be called before the first Send.
-func (n *Net) Bound(bytes int64) { n.most = bytes }
+// SetQueueLimit limits the bytes queued for all peers together. It must be called before the first Send.
+func (n *Net) SetQueueLimit(bytes int64) { n.queueLimit = bytes }
 
-// Pace keeps large messages to so many bytes a second, over all peers. It is to be called before the first Send.
-func (n *Net) Pace(bytesPerSecond float64) {
-	n.pace.rate, n.pace.turns = bytesPerSecond, make(chan struct{}, pacedAtOnce)
+// SetRate limits large messages to so many bytes per second over all peers. It must be called before the first
+// Send.
+func (n *Net) SetRate(bytesPerSecond float64) {
+	n.limiter.rate, n.limiter.slots = bytesPerSecond, make(chan struct{}, maxConcurrentLarge)
 }
 
-// Backlog is how many seconds what waits to be sent will take, and each further byte, where large messages are paced; else 0.
+// Backlog returns for how many seconds the queued bytes will wait, and for how many each further byte will, if
+// large messages are rate-limited; otherwise 0.
 func (n *Net) Backlog() (wait, perByte float64) {
-	if n.pace.rate == 0 {
+	if n.limiter.rate == 0 {
 		return 0, 0
 	}
-	return float64(n.queued.Load()) / n.pace.rate, 1 / n.pace.rate
+	return float64(n.queued.Load()) / n.limiter.rate, 1 / n.limiter.rate
 }
 
-// Drained reports whether all that was sent has gone: a process that is to end would take what waits along.
+// Drained reports whether all messages have been written. A process that exits earlier loses those still
+// queued.
 func (n *Net) Drained() bool { return n.queued.Load() == 0 && n.writing.Load() == 0 }
 
-// Close ends all connections.
+// Close closes the listener and all connections.
 func (n *Net) Close() {
 	n.ln.Close()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closed = true
-	for c := range n.all {
+	for c := range n.open {
 		c.Close()
 	}
 }
 
-// Send queues a message and gives the number of the connection that it goes by. It never waits: one that cannot go is told of
-// by Broke, and goes by none: 0.
+// Send queues a message and returns the number of the link that it is sent on. It never blocks. If the message
+// cannot be queued, Send returns 0, and a request is reported as unsent by Disconnected.
 func (n *Net) Send(to string, p *meshpb.Message) uint64 {
 	n.mu.Lock()
 	l := n.links[to]
@@ -201,39 +210,42 @@
 		go l.dial()
 	}
 	n.mu.Unlock()
-	if l.put(p) {
+	if l.enqueue(p) {
 		return l.number
 	}
 	if !meshpb.IsAnswer(p) {
-		go n.tell(Broke{Peer: to, Unsent: []uint64{p.Id}})
+		go n.notify(Disconnected{Peer: to, Unsent: []uint64{p.Id}})
 	}
 	return 0
 }
 
-// newLink makes a link. n.mu is held.
+// newLink makes a link. The caller must hold n.mu.
 func (n *Net) newLink(peer string) *link {
-	n.last++
-	return &link{net: n, peer: peer, number: n.last, wake: make(chan struct{}, 1)}
+	n.lastNumber++
+	return &link{net: n, peer: peer, number: n.lastNumber, wake: make(chan struct{}, 1)}
 }
 
-func (n *Net) hold(c net.Conn) bool {
+// track registers an open connection for Close. It returns false, and closes the connection, if the Net is closed.
+func (n *Net) track(c net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
 		c.Close()
 		return false
 	}
-	n.all[c] = true
+	n.open[c] = true
 	return true
 }
 
-func (n *Net) release(c net.Conn) {
+// untrack closes a connection and unregisters it.
+func (n *Net) untrack(c net.Conn) {
 	c.Close()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.all, c)
+	delete(n.open, c)
 }
 
+// accept accepts connections until the listener is closed.
 func (n *Net) accept() {
 	for {
 		c, err := n.ln.Accept()
@@ -241,18 +253,19 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(20 * time.Millisecond) // out of descriptors: they come back
+			time.Sleep(20 * time.Millisecond) // out of file descriptors; some will be freed
 			continue
 		}
-		go n.greet(c)
+		go n.handshake(c)
 	}
 }
 
-// greet learns who has connected. A connection that says something else first is none of ours.
-func (n *Net) greet(c net.Conn) {
-	tune(c)
+// handshake reads the peer's address from the Hello message of a new connection. A connection that begins with
+// anything else is closed.
+func (n *Net) handshake(c net.Conn) {
+	setTimeouts(c)
 	c = wire.Quicken(c)
-	c.SetReadDeadline(time.Now().Add(writeWithin))
+	c.SetReadDeadline(time.Now().Add(writeTimeout))
 	br := bufio.NewReaderSize(c, 8<<10)
 	p, err := NewReader(br, nil).Read()
 	if err != nil || p.Hello == nil || p.Hello.From == "" {
@@ -262,21 +275,22 @@
 	c.SetReadDeadline(time.Time{})
 	n.mu.Lock()
 	l := n.newLink(p.Hello.From)
-	n.links[l.peer] = l // whatever went by before: a peer that connects anew may have lost power, and its old connection with it
+	n.links[l.peer] = l // replaces an older link: its peer may have lost power
 	n.mu.Unlock()
 	l.run(c, br)
 }
 
-// tune makes a connection tell within silentWithin that its peer has gone silent.
-func tune(c net.Conn) {
+// setTimeouts makes a connection fail within silenceTimeout of its peer becoming silent.
+func setTimeouts(c net.Conn) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return
 	}
-	t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probes})
+	t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval,
+		Count: keepAliveCount})
 	if raw, err := t.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) {
-			unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentWithin.Milliseconds()))
+			unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silenceTimeout.Milliseconds()))
 		})
 	}
 }
