--- a/internal/mesh/upstream/keys.go
+++ b/internal/mesh/upstream/keys.go
@@ -14,7 +14,7 @@
 	"beechwing/internal/mesh/sidecar"
 )
 
-// Calls by which a host of a sharded service is granted keys, or releases them.
+// Calls that grant key ranges to a host of a sharded service, or have it release them.
 
 const (
 	pathGrant      = "/-/grant"
@@ -22,7 +22,7 @@
 	headerHandover = "Beechwing-Handover"
 )
 
-// keyRange is the body of a call.
+// keyRange is the JSON body of a call.
 type keyRange struct {
 	First    int    `json:"origin"`
 	Last     int    `json:"destination"`
@@ -31,8 +31,8 @@
 	Handover string `json:"handover,omitempty"`
 }
 
-// CallKeys makes a call at the host, which has to answer by until.
-func (p *Host) CallKeys(call sidecar.KeyCall, until time.Time) sidecar.KeyResult {
+// CallKeys makes a grant or release call to the host, which must respond by deadline.
+func (h *Host) CallKeys(call sidecar.KeyCall, deadline time.Time) sidecar.KeyResult {
 	path := pathGrant
 	if call.Release {
 		path = pathRelease
@@ -41,36 +41,37 @@
 	if err != nil {
 		return sidecar.KeyResult{}
 	}
-	result, err := p.post(path, body, until)
+	result, err := h.post(path, body, deadline)
 	if err != nil {
 		return sidecar.KeyResult{Refused: errors.Is(err, syscall.ECONNREFUSED) && outcome.Of(err) == outcome.TurnedAway}
 	}
 	return result
 }
 
-func (p *Host) post(path string, body []byte, until time.Time) (sidecar.KeyResult, error) {
-	c := p.take("")
+// post sends a POST request to the host and reads its response.
+func (h *Host) post(path string, body []byte, deadline time.Time) (sidecar.KeyResult, error) {
+	c := h.takeIdle("")
 	if c == nil {
 		var err error
-		if c, err = p.dial(context.Background()); err != nil {
+		if c, err = h.dial(context.Background()); err != nil {
 			return sidecar.KeyResult{}, err
 		}
 	}
-	c.SetDeadline(until)
-	head := "POST " + path + " HTTP/1.1\r\nHost: " + p.addr + "\r\nContent-Type: application/json\r\nContent-Length: " +
+	c.SetDeadline(deadline)
+	head := "POST " + path + " HTTP/1.1\r\nHost: " + h.addr + "\r\nContent-Type: application/json\r\nContent-Length: " +
 		strconv.Itoa(len(body)) + "\r\n\r\n"
 	_, err := c.Write(append([]byte(head), body...))
-	var a answer
+	var a response
 	var res *http.Response
 	if err == nil {
 		a, res, err = c.readOne(http.MethodPost)
 	}
 	if err != nil || res.StatusCode < http.StatusOK {
 		c.Close()
-		return sidecar.KeyResult{}, errors.CombineErrors(err, errors.Newf("no answer to %s", path))
+		return sidecar.KeyResult{}, errors.CombineErrors(err, errors.Newf("no response to %s", path))
 	}
-	if a.keep > 0 && c.br.Buffered() == 0 {
-		p.keep(c, a.keep)
+	if a.keepFor > 0 && c.br.Buffered() == 0 {
+		h.keepIdle(c, a.keepFor)
 	} else {
 		c.Close()
 	}
--- a/internal/mesh/upstream/upstream.go
+++ b/internal/mesh/upstream/upstream.go
@@ -1,5 +1,6 @@
-// Package upstream takes a request to the host beside this proxy and brings its answer back, over connections that it keeps.
-// It tells what is known of the run; it never sends a request twice.
+// Package upstream sends requests to the application host beside this sidecar and returns its responses, over
+// kept-alive connections. The main type is Host; its Run method executes one request and reports what is known
+// about its execution. A request is never sent twice.
 package upstream
 
 import (
@@ -26,134 +27,142 @@
 )
 
 const (
-	idleFor     = 5 * time.Second // a host closes idle connections after a time that it need not tell
-	dialWithin  = 500 * time.Millisecond
-	probeWithin = 300 * time.Millisecond
-	mostHead    = wire.BufferSize
-	mostBody    = 64 << 20
-	mostIdle    = 64
-	mostStale   = 2 // answers of others ahead of the one waited for
-	mostServed  = 8 // ids that a connection is known to have served: a host sends an answer again soon or never
+	maxIdle           = 5 * time.Second // a host closes idle connections after a time that it need not announce
+	dialTimeout       = 500 * time.Millisecond
+	probeTimeout      = 300 * time.Millisecond
+	maxHeadBytes      = wire.BufferSize
+	maxBodyBytes      = 64 << 20
+	maxIdleConns      = 64
+	maxStaleResponses = 2 // responses to other requests to skip before the expected one
+	maxServedIDs      = 8 // request ids to remember per connection; a host repeats a response soon or never
 )
 
-// once are the headers that may stand in a host's answer a single time.
-var once = []string{"Content-Length", "Transfer-Encoding", sidecar.HeaderNotRun, sidecar.HeaderPostmark, sidecar.HeaderID}
+// singleHeaders are the headers that a response may contain only once.
+var singleHeaders = []string{"Content-Length", "Transfer-Encoding", sidecar.HeaderNotRun, sidecar.HeaderPostmark,
+	sidecar.HeaderID}
 
-// Host is the way to one host.
+// Host is a client for one host.
 type Host struct {
 	addr string
 	bufs *wire.Pool
 
 	mu     sync.Mutex
-	idle   []*conn // the one used last comes last, and is used first
+	idle   []*conn // ordered by last use; the most recently used is used first
 	opened int64
 }
 
+// conn is a connection to the host.
 type conn struct {
 	net.Conn
-	meter wire.Meter
-	br    *bufio.Reader
-	bufs  *wire.Pool
-	until time.Time // it is not used after that
-	ids   []string  // that it served last
+	meter     wire.Meter
+	br        *bufio.Reader
+	bufs      *wire.Pool
+	expiresAt time.Time // the connection is not reused after that
+	servedIDs []string  // ids of the requests that it served most recently
 }
 
-// Close ends the connection. Whoever has it calls it once.
+// Close closes the connection. Its user must call it exactly once.
 func (c *conn) Close() error {
 	c.bufs.PutReader(c.br)
 	c.br = nil
 	return c.Conn.Close()
 }
 
-// New makes a porter for the host at an address.
+// New returns a client for the host at an address.
 func New(addr string, bufs *wire.Pool) *Host { return &Host{addr: addr, bufs: bufs} }
 
-// Forget closes what is idle: another life of the host has the address.
-func (p *Host) Forget() {
-	p.mu.Lock()
-	idle := p.idle
-	p.idle = nil
-	p.mu.Unlock()
+// Forget closes the idle connections. It is called when another instance of the host has taken over the
+// address.
+func (h *Host) Forget() {
+	h.mu.Lock()
+	idle := h.idle
+	h.idle = nil
+	h.mu.Unlock()
 	for _, c := range idle {
 		c.Close()
 	}
 }
 
-// Opened is how many connections were made.
-func (p *Host) Opened() int64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.opened
+// Opened returns how many connections have been opened.
+func (h *Host) Opened() int64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.opened
 }
 
-// take gives an idle connection; nil: there is none. What has an id that one has served before does not go by it: an answer
-// that comes twice would be taken for its own.
-func (p *Host) take(id string) *conn {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for n := len(p.idle); n > 0; n = len(p.idle) {
-		c := p.idle[n-1]
-		p.idle = p.idle[:n-1]
-		said, ended := wire.Arrived(c.Conn)
-		if !said && !ended && c.br.Buffered() == 0 && time.Now().Before(c.until) && !slices.Contains(c.ids, id) {
+// takeIdle returns an idle connection, or nil if there is none. A connection that has already served a request
+// with the same id is not used: a repeated response to that request would be taken for the response to this
+// one.
+func (h *Host) takeIdle(id string) *conn {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for n := len(h.idle); n > 0; n = len(h.idle) {
+		c := h.idle[n-1]
+		h.idle = h.idle[:n-1]
+		hasData, ended := wire.Arrived(c.Conn)
+		if !hasData && !ended && c.br.Buffered() == 0 && time.Now().Before(c.expiresAt) && !slices.Contains(c.servedIDs, id) {
 			return c
 		}
-		c.Close() // it has ended, or what it has said or would say belongs to nothing
+		c.Close() // the connection has ended, or its unread or future bytes belong to no request
 	}
 	return nil
 }
 
-func (p *Host) keep(c *conn, most time.Duration) {
-	c.until = time.Now().Add(min(idleFor, most))
+// keepIdle keeps a connection for reuse, for hostTimeout or maxIdle, whichever is shorter.
+func (h *Host) keepIdle(c *conn, hostTimeout time.Duration) {
+	c.expiresAt = time.Now().Add(min(maxIdle, hostTimeout))
 	c.SetDeadline(time.Time{})
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.idle) >= mostIdle {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.idle) >= maxIdleConns {
 		c.Close()
 		return
 	}
-	p.idle = append(p.idle, c)
-	for len(p.idle) > 0 && time.Now().After(p.idle[0].until) { // the oldest go as others come
-		p.idle[0].Close()
-		p.idle = p.idle[1:]
+	h.idle = append(h.idle, c)
+	for len(h.idle) > 0 && time.Now().After(h.idle[0].expiresAt) { // expired connections are closed as others become idle
+		h.idle[0].Close()
+		h.idle = h.idle[1:]
 	}
 }
 
-func (p *Host) dial(ctx context.Context) (*conn, error) {
-	d := net.Dialer{Timeout: dialWithin, KeepAlive: -1} // on one machine nobody goes silent without the other
-	nc, err := d.DialContext(ctx, "tcp", p.addr)
+// dial opens a connection to the host. Its error marks the request as not sent.
+func (h *Host) dial(ctx context.Context) (*conn, error) {
+	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1} // no keep-alive probes: both ends are on one machine
+	nc, err := d.DialContext(ctx, "tcp", h.addr)
 	if err != nil {
 		return nil, outcome.Mark(err, outcome.TurnedAway)
 	}
-	p.mu.Lock()
-	p.opened++
-	p.mu.Unlock()
+	h.mu.Lock()
+	h.opened++
+	h.mu.Unlock()
 	nc = wire.Quicken(nc)
 	c := &conn{Conn: nc, meter: wire.Meter{R: nc}}
-	c.br = p.bufs.Reader(&c.meter)
-	c.bufs = p.bufs
+	c.br = h.bufs.Reader(&c.meter)
+	c.bufs = h.bufs
 	return c, nil
 }
 
-// Run has a request run by the host, which has to answer by until. Once ctx is done the run is broken off: most hosts drop a request
-// whose connection closes.
-func (p *Host) Run(ctx context.Context, r *meshpb.Forward, until time.Time) *meshpb.Forwarded {
-	answer, err := p.run(ctx, r, until)
+// Run sends a request to the host, which must respond by deadline. If ctx is cancelled, Run closes the
+// connection, because most hosts abandon a request whose connection closes.
+func (h *Host) Run(ctx context.Context, r *meshpb.Forward, deadline time.Time) *meshpb.Forwarded {
+	response, err := h.run(ctx, r, deadline)
 	if err != nil {
-		return &meshpb.Forwarded{Verdict: uint32(outcome.Of(err)), Why: short(err), Refused: outcome.Of(err) == outcome.TurnedAway}
+		return &meshpb.Forwarded{Verdict: uint32(outcome.Of(err)), Why: truncatedError(err),
+			Refused: outcome.Of(err) == outcome.TurnedAway}
 	}
-	return answer
+	return response
 }
 
-// Probe asks the host for its health: which life of it answers, and whether it is well.
-func (p *Host) Probe(path string) (station string, well bool) {
-	c, err := p.dial(context.Background())
+// Probe asks the host for its health. It returns the id of the instance that answers, and whether it is
+// healthy.
+func (h *Host) Probe(path string) (instance string, healthy bool) {
+	c, err := h.dial(context.Background())
 	if err != nil {
 		return "", false
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(probeWithin))
-	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", path, p.addr); err != nil {
+	c.SetDeadline(time.Now().Add(probeTimeout))
+	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", path, h.addr); err != nil {
 		return "", false
 	}
 	_, res, err := c.readOne(http.MethodGet)
@@ -163,50 +172,52 @@
 	return res.Header.Get(sidecar.HeaderStation), res.StatusCode == http.StatusOK
 }
 
-func short(err error) string {
-	const most = 200
+// truncatedError returns the text of an error, cut to the length that is reported.
+func truncatedError(err error) string {
+	const maxBytes = 200
 	text := err.Error()
-	return text[:min(len(text), most)]
+	return text[:min(len(text), maxBytes)]
 }
 
-func (p *Host) run(ctx context.Context, r *meshpb.Forward, until time.Time) (*meshpb.Forwarded, error) {
+// run is Run with errors, each marked with the outcome that it stands for.
+func (h *Host) run(ctx context.Context, r *meshpb.Forward, deadline time.Time) (*meshpb.Forwarded, error) {
 	id := requestID(r)
-	c := p.take(id)
+	c := h.takeIdle(id)
 	if c == nil {
 		var err error
-		if c, err = p.dial(ctx); err != nil {
+		if c, err = h.dial(ctx); err != nil {
 			return nil, err
 		}
 	}
-	c.SetDeadline(until)
+	c.SetDeadline(deadline)
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-	var a answer
-	err := c.write(r) // where it fails, some of it may have gone out
-	wrote := err == nil
-	if wrote {
+	var a response
+	err := c.write(r) // after an error, part of the request may have been sent
+	written := err == nil
+	if written {
 		a, err = c.read(r.Method, id)
 	}
-	if !stop() { // its deadline is in the past, or about to be: it cannot be used again
+	if !stop() { // the connection's deadline was or will be set to the past, so it cannot be reused
 		c.Close()
-		return nil, outcome.Newf(outcome.Cancelled, "broken off")
+		return nil, outcome.Newf(outcome.Cancelled, "request cancelled")
 	}
 	if err != nil {
 		c.Close()
-		if wrote && errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(c.meter.Err, os.ErrDeadlineExceeded) {
-			return nil, outcome.Newf(outcome.Late, "the host has not answered")
+		if written && errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(c.meter.Err, os.ErrDeadlineExceeded) {
+			return nil, outcome.Newf(outcome.Late, "host did not respond before the deadline")
 		}
 		return nil, outcome.Mark(err, outcome.Broken)
 	}
-	if a.keep > 0 {
-		c.served(id)
-		p.keep(c, a.keep)
+	if a.keepFor > 0 {
+		c.addServed(id)
+		h.keepIdle(c, a.keepFor)
 	} else {
 		c.Close()
 	}
 	return a.Forwarded, nil
 }
 
-// write sends a request in one piece: method, target and headers as they came, framing anew.
+// write sends a request in one write: method, target and headers as received, with new framing.
 func (c *conn) write(r *meshpb.Forward) error {
 	b := make([]byte, 0, 1024+len(r.Body))
 	b = append(append(append(append(b, r.Method...), ' '), r.Target...), " HTTP/1.1\r\nHost: "...)
@@ -228,12 +239,13 @@
 	return err
 }
 
-type answer struct {
+// response is a response of the host.
+type response struct {
 	*meshpb.Forwarded
-	keep time.Duration // for how long the connection may be kept; 0: not at all
+	keepFor time.Duration // how long the connection may be kept idle; 0: not reusable
 }
 
-// requestID is the id that a request's answer carries; "": it has none.
+// requestID returns the id that the response to a request repeats, or "" if it has none.
 func requestID(r *meshpb.Forward) string {
 	for _, f := range r.Fields {
 		if f.Name == sidecar.HeaderID {
@@ -243,66 +255,68 @@
 	return ""
 }
 
-// served notes a request that the connection has served.
-func (c *conn) served(id string) {
-	c.ids = append(c.ids, id)
-	if len(c.ids) > mostServed {
-		c.ids = c.ids[1:]
+// addServed records the id of a request that the connection has served.
+func (c *conn) addServed(id string) {
+	c.servedIDs = append(c.servedIDs, id)
+	if len(c.servedIDs) > maxServedIDs {
+		c.servedIDs = c.servedIDs[1:]
 	}
 }
 
-// read takes the answer to a request. One that belongs to another request is passed over: hosts send some twice.
-func (c *conn) read(method, id string) (answer, error) {
+// read reads the response to a request. It skips responses to other requests, because hosts send some responses
+// twice.
+func (c *conn) read(method, id string) (response, error) {
 	for stale := 0; ; {
 		a, res, err := c.readOne(method)
 		switch {
 		case err != nil:
-			return answer{}, err
+			return response{}, err
 		case res.StatusCode < 200:
 			continue
 		}
 		got := res.Header.Get(sidecar.HeaderID)
 		if got != "" && got != id {
-			if stale++; stale > mostStale {
-				return answer{}, errors.New("answers of other requests")
+			if stale++; stale > maxStaleResponses {
+				return response{}, errors.New("too many responses to other requests")
 			}
 			continue
 		}
-		if err := judge(a, res, id); err != nil {
-			return answer{}, err
+		if err := checkResponse(a, res, id); err != nil {
+			return response{}, err
 		}
-		if stale > 0 || c.br.Buffered() > 0 { // who sends more than was asked cannot be trusted with a further request
-			a.keep = 0
+		if stale > 0 || c.br.Buffered() > 0 { // a host that sends unrequested bytes is not trusted with another request
+			a.keepFor = 0
 		}
-		if got == "" { // should it come again, nothing would tell it from the answer to the next request
-			a.keep = 0
+		if got == "" { // a repetition could not be told from the response to the next request
+			a.keepFor = 0
 		}
 		return a, nil
 	}
 }
 
-// judge says what a whole message is worth.
-func judge(a answer, res *http.Response, id string) error {
+// checkResponse sets the verdict of a complete response, or returns an error if it cannot be trusted.
+func checkResponse(a response, res *http.Response, id string) error {
 	switch {
 	case res.Header.Get(sidecar.HeaderNotRun) != "", res.StatusCode == http.StatusMisdirectedRequest:
 		a.Verdict = uint32(outcome.HostTurnedAway)
 		a.Fields, a.Body = nil, nil
-		a.Why = fmt.Sprintf("the host says %d, not run", a.Status)
+		a.Why = fmt.Sprintf("host responded with status %d and did not run the request", a.Status)
 	case res.Header.Get("Content-Encoding") != "":
-		return errors.New("an answer in an encoding that nobody asked for")
+		return errors.New("response with an unrequested content encoding")
 	case res.StatusCode < 300 && res.Header.Get(sidecar.HeaderPostmark) == "":
-		return errors.New("a success without its postmark")
+		return errors.New("successful response without a postmark")
 	case id != "" && res.Header.Get(sidecar.HeaderID) == "" && res.StatusCode < 300:
-		return errors.New("a success that does not say whose it is")
+		return errors.New("successful response without a request id")
 	}
 	return nil
 }
 
-func (c *conn) readOne(method string) (a answer, res *http.Response, err error) {
-	c.meter.Allow(mostHead)
-	head, err := wire.PeekHead(c.br, mostHead-1)
+// readOne reads one response, which may be an informational one, and decides whether its connection can be kept.
+func (c *conn) readOne(method string) (a response, res *http.Response, err error) {
+	c.meter.Allow(maxHeadBytes)
+	head, err := wire.PeekHead(c.br, maxHeadBytes-1)
 	if err == nil {
-		err = wire.CheckHead(head, once)
+		err = wire.CheckHead(head, singleHeaders)
 	}
 	if err != nil {
 		return a, nil, err
@@ -315,32 +329,33 @@
 		return a, res, nil
 	}
 	if res.ContentLength < 0 && len(res.TransferEncoding) == 0 {
-		return a, nil, errors.New("an answer without a length may be cut short anywhere")
+		return a, nil, errors.New("response without a length could be truncated unnoticed")
 	}
-	c.meter.Allow(2 * mostBody)
+	c.meter.Allow(2 * maxBodyBytes)
 	var body []byte
-	if res.ContentLength > mostBody {
+	if res.ContentLength > maxBodyBytes {
 		return a, nil, wire.ErrTooLarge
 	}
 	if res.ContentLength > 0 && method != http.MethodHead {
 		body = make([]byte, res.ContentLength)
 		_, err = io.ReadFull(res.Body, body)
 	} else {
-		body, err = io.ReadAll(io.LimitReader(res.Body, mostBody))
+		body, err = io.ReadAll(io.LimitReader(res.Body, maxBodyBytes))
 	}
 	if err != nil {
-		return a, nil, errors.Wrap(err, "body")
+		return a, nil, errors.Wrap(err, "read response body")
 	}
 	a.Forwarded = &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: uint32(res.StatusCode), Body: body,
 		Fields: Fields(res.Header)}
 	if !res.Close {
-		a.keep = keepFor(res.Header)
+		a.keepFor = keepAliveTimeout(res.Header)
 	}
 	return a, res, nil
 }
 
-// keepFor is how long the host says that it keeps a connection, with something taken off for the way.
-func keepFor(h http.Header) time.Duration {
+// keepAliveTimeout returns how long the host says it keeps a connection open, less half a second for the
+// transmission.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		if text, found := strings.CutPrefix(strings.TrimSpace(part), "timeout="); found {
 			if s, err := strconv.Atoi(text); err == nil {
@@ -348,18 +363,18 @@
 			}
 		}
 	}
-	return idleFor
+	return maxIdle
 }
 
-// hop are the headers that concern one connection only, or are set anew for each.
-var hop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
+// hopHeaders are the headers that concern one connection only, or that are set anew for each hop.
+var hopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true, "Host": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, sidecar.HeaderDeadline: true, sidecar.HeaderAddressee: true, sidecar.HeaderSender: true}
 
-// stay are those that go on even where a Connection header names them.
-var stay = map[string]bool{sidecar.HeaderID: true, sidecar.HeaderIdempotencyKey: true, sidecar.HeaderPostmark: true}
+// endToEndHeaders are passed on even if a Connection header names them.
+var endToEndHeaders = map[string]bool{sidecar.HeaderID: true, sidecar.HeaderIdempotencyKey: true, sidecar.HeaderPostmark: true}
 
-// Fields are a message's headers that go on.
+// Fields returns the headers of a message that are passed on.
 func Fields(h http.Header) []*meshpb.Field {
 	named := map[string]bool{}
 	for _, line := range h["Connection"] {
@@ -369,7 +384,7 @@
 	}
 	fields := make([]*meshpb.Field, 0, len(h))
 	for name, values := range h {
-		if hop[name] || named[name] && !stay[name] {
+		if hopHeaders[name] || named[name] && !endToEndHeaders[name] {
 			continue
 		}
 		for _, v := range values {
