--- a/cmd/beechwing-sidecar/run.go
+++ b/cmd/beechwing-sidecar/run.go
@@ -242,7 +242,7 @@
 		}
 		return time.Duration(configured * float64(time.Millisecond))
 	}
-	l.HeadWithin, l.IdleFor = ms(c.HeaderWaitMs, l.HeadWithin), ms(c.IdleWaitMs, l.IdleFor)
+	l.HeadTimeout, l.IdleTimeout = ms(c.HeaderWaitMs, l.HeadTimeout), ms(c.IdleWaitMs, l.IdleTimeout)
 	if c.HeaderBytes > 0 {
 		l.HeadBytes = c.HeaderBytes
 	}
--- a/internal/mesh/listener/closed.go
+++ b/internal/mesh/listener/closed.go
@@ -9,47 +9,51 @@
 	"beechwing/internal/wire"
 )
 
-// A client that closes its connection waits for no answer. While a request is served nothing is read from its connection, so the
-// end of the stream is looked for: one call for all requests that are being served, every few hundredths of a second.
+// A client that closes its connection no longer waits for a response. Nothing is read from a connection while
+// its request is served, so CheckClosed looks for the end of the stream with one poll call for all requests
+// being served, every few hundredths of a second.
 //
-// TCP does not tell a client that will send nothing more, and still reads, from one that has gone: both send the end of their
-// stream. Either counts as having left, as in most servers. Bytes of a further request do not.
+// TCP does not distinguish a client that will send nothing more but still reads from one that has gone: both
+// send the end of their stream. As in most servers, either counts as having left. Bytes of a further request do
+// not.
 
-// closedEvents say that the peer has ended its stream, or reset the connection.
+// closedEvents are the poll events that report that the peer has ended its stream or reset the connection.
 const closedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 
-// NotifyClosed has f called, at most once, if CheckClosed finds that the client closed its connection before the request is answered.
+// NotifyClosed registers f, which is called at most once, if CheckClosed finds that the client closed its
+// connection before the request was answered.
 func (r *Request) NotifyClosed(f func()) {
 	if r.conn == nil {
 		return
 	}
 	r.listener.mu.Lock()
 	defer r.listener.mu.Unlock()
-	r.conn.left = f
+	r.conn.onClosed = f
 }
 
-// unwatch ends the watch for a connection's end. From then on it may be closed here.
+// unwatch removes the function registered for a connection. Afterwards the connection may be closed by this
+// process.
 func (l *Listener) unwatch(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.left = nil
+	c.onClosed = nil
 }
 
-// CheckClosed tells of the clients that have closed their connections while their requests are served. It is to be called every
-// few hundredths of a second.
+// CheckClosed calls the registered functions of the clients that have closed their connections while their
+// requests are served. It must be called every few hundredths of a second.
 func (l *Listener) CheckClosed() {
-	for _, left := range l.closed() {
-		left()
+	for _, onClosed := range l.closed() {
+		onClosed()
 	}
 }
 
-// closed gives the calls that are due. No connection of those that are watched is closed here while l.mu is held.
+// closed returns the functions to call. No watched connection is closed by this process while l.mu is held.
 func (l *Listener) closed() (calls []func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.watched, l.polled = l.watched[:0], l.polled[:0]
 	for c := range l.conns {
-		if c.left == nil {
+		if c.onClosed == nil {
 			continue
 		}
 		if fd, ok := c.descriptor(); ok {
@@ -65,14 +69,15 @@
 	}
 	for i, c := range l.watched {
 		if c.hasEnded(l.polled[i].Revents) {
-			calls = append(calls, c.left)
-			c.left = nil
+			calls = append(calls, c.onClosed)
+			c.onClosed = nil
 		}
 	}
 	return calls
 }
 
-// hasEnded reads what poll says of a connection. Where the kernel does not tell the end of a stream from bytes, it is looked for.
+// hasEnded interprets the poll events of a connection. If the kernel reports only readable bytes, it checks for
+// the end of the stream itself.
 func (c *conn) hasEnded(events int16) bool {
 	if events&unix.POLLIN != 0 && events&closedEvents == 0 {
 		_, ended := wire.Arrived(c.Conn)
@@ -81,7 +86,7 @@
 	return events&closedEvents != 0
 }
 
-// descriptor is the connection's file descriptor.
+// descriptor returns the connection's file descriptor.
 func (c *conn) descriptor() (fd int32, ok bool) {
 	if c.fd == 0 {
 		c.fd = descriptorOf(c.Conn)
--- a/internal/mesh/listener/closed_test.go
+++ b/internal/mesh/listener/closed_test.go
@@ -10,8 +10,9 @@
 	"beechwing/internal/wire"
 )
 
-// closing is a listener whose requests are served until the test releases them. It tells of each request and of each client that left.
-type closing struct {
+// blockingServer is a listener whose requests are served until the test releases them. It reports each request
+// and each client that left.
+type blockingServer struct {
 	listener *Listener
 	address  string
 	serving  chan string
@@ -19,13 +20,14 @@
 	release  chan bool
 }
 
-func openClosing(t *testing.T) *closing {
+func openBlocking(t *testing.T) *blockingServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &closing{address: ln.Addr().String(), serving: make(chan string, 8), left: make(chan string, 8), release: make(chan bool)}
+	s := &blockingServer{address: ln.Addr().String(), serving: make(chan string, 8), left: make(chan string, 8),
+		release: make(chan bool)}
 	s.listener = Open(ln, wire.NewPool(), func() Limits { return DefaultLimits }, func(q *Request) Response {
 		q.NotifyClosed(func() { s.left <- q.Target })
 		s.serving <- q.Target
@@ -39,17 +41,17 @@
 	return s
 }
 
-func (s *closing) ask(t *testing.T, target, further string) net.Conn {
+func (s *blockingServer) ask(t *testing.T, target, pipelined string) net.Conn {
 	t.Helper()
-	c := send(t, s.address, fmt.Sprintf("GET %s HTTP/1.1\r\nHost: h\r\n\r\n%s", target, further))
+	c := send(t, s.address, fmt.Sprintf("GET %s HTTP/1.1\r\nHost: h\r\n\r\n%s", target, pipelined))
 	if got := <-s.serving; got != target {
-		t.Fatalf("serves %s, want %s", got, target)
+		t.Fatalf("serving %s, want %s", got, target)
 	}
 	return c
 }
 
-// awaitLeft checks until a client's close has come through the kernel.
-func (s *closing) awaitLeft(t *testing.T, want string) {
+// awaitLeft calls CheckClosed until the kernel has reported the client's close.
+func (s *blockingServer) awaitLeft(t *testing.T, want string) {
 	t.Helper()
 	for range 4000 {
 		s.listener.CheckClosed()
@@ -62,34 +64,36 @@
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
-	t.Fatalf("%s has left and nobody was told", want)
+	t.Fatalf("%s left and was not reported", want)
 }
 
-func (s *closing) wantNobody(t *testing.T) {
+func (s *blockingServer) expectNoneLeft(t *testing.T) {
 	t.Helper()
 	s.listener.CheckClosed()
 	select {
 	case got := <-s.left:
-		t.Fatalf("%s is told to have left, its client waits", got)
+		t.Fatalf("%s was reported as left, but its client waits", got)
 	default:
 	}
 }
 
-// A client that closes is told of once; one that waits is not, also where it has sent its next request already.
+// A client that closes its connection must be reported exactly once, and a client that waits must not be, even
+// if it has already sent its next request.
 func TestClosedConnectionsAreTold(t *testing.T) {
-	s := openClosing(t)
+	s := openBlocking(t)
 	gone := s.ask(t, "/gone", "")
 	s.ask(t, "/waits", "")
 	s.ask(t, "/pipelines", "GET /next HTTP/1.1\r\nHost: h\r\n\r\n")
-	s.wantNobody(t)
+	s.expectNoneLeft(t)
 	gone.Close()
 	s.awaitLeft(t, "/gone")
-	s.wantNobody(t)
+	s.expectNoneLeft(t)
 }
 
-// A reset is an end too, and so is the end of a stream behind bytes of a further request.
+// A connection reset must be reported like a close, and so must an end of the stream after bytes of a further
+// request.
 func TestResetAndPipelinedEnds(t *testing.T) {
-	s := openClosing(t)
+	s := openBlocking(t)
 	reset := s.ask(t, "/reset", "").(*net.TCPConn)
 	reset.SetLinger(0)
 	reset.Close()
@@ -98,14 +102,14 @@
 	s.awaitLeft(t, "/pipelined")
 }
 
-// What is answered is not watched any more: a client may close then, or ask again and wait.
+// A connection must not be watched after its request was answered: the client may close it then.
 func TestAnsweredRequestsAreNotWatched(t *testing.T) {
-	s := openClosing(t)
+	s := openBlocking(t)
 	c := s.ask(t, "/first", "")
 	s.release <- true
 	if _, err := io.ReadAtLeast(c, make([]byte, 256), len("HTTP/1.1 200")); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
-	s.wantNobody(t)
+	s.expectNoneLeft(t)
 }
--- a/internal/mesh/listener/listener.go
+++ b/internal/mesh/listener/listener.go
@@ -1,5 +1,7 @@
-// Package listener is the downstream listener: it reads clients' HTTP/1.1 requests and writes the responses. A valid request is
-// passed on as it is; an invalid one, or one beyond the limits, is answered here with the status that the protocol has for it.
+// Package listener is the downstream listener: it reads clients' HTTP/1.1 requests and writes the responses.
+// Open starts a Listener, which calls a function for every valid request and sends its response. Invalid
+// requests, and requests beyond the limits, are answered by the listener itself with the status that HTTP
+// defines for them.
 package listener
 
 import (
@@ -19,39 +21,39 @@
 	"beechwing/internal/wire"
 )
 
-// Limits bound the size of requests and the time that clients may take.
+// Limits bounds the size of requests and the time that clients may take.
 type Limits struct {
-	HeadBytes  int
-	BodyBytes  int64
-	HeadWithin time.Duration // from its first byte
-	IdleFor    time.Duration // between requests
+	HeadBytes   int
+	BodyBytes   int64
+	HeadTimeout time.Duration // from the first byte of the request
+	IdleTimeout time.Duration // between requests
 }
 
-// DefaultLimits are the limits without a configuration.
-var DefaultLimits = Limits{HeadBytes: 16 << 10, BodyBytes: 64 << 20, HeadWithin: 10 * time.Second, IdleFor: time.Minute}
+// DefaultLimits are the limits used if none are configured.
+var DefaultLimits = Limits{HeadBytes: 16 << 10, BodyBytes: 64 << 20, HeadTimeout: 10 * time.Second, IdleTimeout: time.Minute}
 
 const (
-	maxHead      = wire.BufferSize  // whatever the configuration says
-	bodyTimeout  = 30 * time.Second // for a client to send a body
-	writeTimeout = 10 * time.Second // for a client to read a response
-	lingerFor    = 200 * time.Millisecond
-	lingerBytes  = 256 << 10
-	acceptPause  = 20 * time.Millisecond // after a failed accept, as when descriptors run out
+	maxHeadBytes     = wire.BufferSize  // upper bound, whatever the configuration says
+	bodyTimeout      = 30 * time.Second // for a client to send a body
+	writeTimeout     = 10 * time.Second // for a client to read a response
+	lingerTimeout    = 200 * time.Millisecond
+	lingerBytes      = 256 << 10
+	acceptRetryDelay = 20 * time.Millisecond // after a failed accept, for example for lack of file descriptors
 )
 
-// Request is a request that has been read whole.
+// Request is a completely received request.
 type Request struct {
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
-	Framed               bool // it had a body, also an empty one
+	Framed               bool // it has a body, possibly an empty one
 
 	listener *Listener
 	conn     *conn
 }
 
-// Response is the response to a request. Content-Length and Connection are added to its fields. One without a status closes the
-// connection without an answer.
+// Response is the response to a request. Content-Length and Connection are added to its fields. A zero Status
+// closes the connection without a response.
 type Response struct {
 	Status int
 	Fields []Field
@@ -61,47 +63,48 @@
 // Field is one header field.
 type Field struct{ Name, Value string }
 
-// Listener accepts connections and serves them.
+// Listener accepts connections and serves the requests on them.
 type Listener struct {
-	ln     net.Listener
-	limits func() Limits
-	serve  func(*Request) Response
-	bufs   *wire.Pool
-	last   atomic.Bool // every response closes its connection
+	ln                 net.Listener
+	limits             func() Limits
+	serve              func(*Request) Response
+	bufs               *wire.Pool
+	closeAfterResponse atomic.Bool // every response closes its connection
 
 	mu      sync.Mutex
 	conns   map[*conn]bool
-	ended   bool
-	watched []*conn // kept between calls of closed, with what it asks of them
+	closing bool
+	watched []*conn // buffers of closed, kept between its calls
 	polled  []unix.PollFd
 	wg      sync.WaitGroup
 }
 
+// conn is a connection of a client.
 type conn struct {
 	net.Conn
-	meter wire.Meter
-	br    *bufio.Reader
-	busy  bool   // a request is being read or served; guarded by Listener.mu
-	fd    int32  // 0: not known yet; guarded by Listener.mu
-	left  func() // to be called once if the client closes the connection; nil: nobody waits for that; guarded by Listener.mu
+	meter    wire.Meter
+	br       *bufio.Reader
+	busy     bool   // a request is being read or served; guarded by Listener.mu
+	fd       int32  // 0: not determined yet; guarded by Listener.mu
+	onClosed func() // called once if the client closes the connection; may be nil; guarded by Listener.mu
 }
 
-// Open begins to accept connections. serve is called for each request, concurrently.
+// Open starts accepting connections. serve is called for each request, concurrently for different connections.
 func Open(ln net.Listener, bufs *wire.Pool, limits func() Limits, serve func(*Request) Response) *Listener {
 	l := &Listener{ln: ln, bufs: bufs, limits: limits, serve: serve, conns: map[*conn]bool{}}
 	go l.accept()
 	return l
 }
 
-// DisableKeepAlives has every response from now on close its connection.
-func (l *Listener) DisableKeepAlives() { l.last.Store(true) }
+// DisableKeepAlives makes every response from now on close its connection.
+func (l *Listener) DisableKeepAlives() { l.closeAfterResponse.Store(true) }
 
 // Close stops accepting, closes idle connections and waits for requests in progress, at most for the timeout.
 func (l *Listener) Close(timeout time.Duration) {
 	l.DisableKeepAlives()
 	l.ln.Close()
 	l.mu.Lock()
-	l.ended = true
+	l.closing = true
 	for c := range l.conns {
 		if !c.busy {
 			c.SetReadDeadline(time.Now())
@@ -119,6 +122,7 @@
 	}
 }
 
+// accept accepts connections until the listener is closed.
 func (l *Listener) accept() {
 	for {
 		nc, err := l.ln.Accept()
@@ -126,13 +130,13 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		nc = wire.Quicken(nc)
 		c := &conn{Conn: nc, meter: wire.Meter{R: nc}}
 		l.mu.Lock()
-		if l.ended {
+		if l.closing {
 			l.mu.Unlock()
 			nc.Close()
 			continue
@@ -144,15 +148,15 @@
 	}
 }
 
-// mark sets whether a connection is busy, and reports whether it may go on.
-func (l *Listener) mark(c *conn, busy bool, idle time.Duration) bool {
+// setBusy sets whether a connection is busy, and reports whether it may go on.
+func (l *Listener) setBusy(c *conn, busy bool, idle time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.busy = busy
 	if !busy {
 		c.SetReadDeadline(time.Now().Add(idle))
 	}
-	return !l.ended || busy
+	return !l.closing || busy
 }
 
 // run serves a connection until it ends.
@@ -168,24 +172,24 @@
 	}()
 	for {
 		limits := l.limits()
-		c.meter.Allow(maxHead)
-		if !l.mark(c, false, limits.IdleFor) {
+		c.meter.Allow(maxHeadBytes)
+		if !l.setBusy(c, false, limits.IdleTimeout) {
 			return
 		}
 		if _, err := c.br.Peek(1); err != nil {
 			return
 		}
-		l.mark(c, true, 0)
-		r, bad := c.read(limits)
-		if bad != nil {
-			if bad.Status > 0 && c.write(*bad, true) == nil {
+		l.setBusy(c, true, 0)
+		r, errResponse := c.read(limits)
+		if errResponse != nil {
+			if errResponse.Status > 0 && c.write(*errResponse, true) == nil {
 				c.linger()
 			}
 			return
 		}
 		q := &Request{Method: r.Method, Target: target(r), Host: r.Host, Header: r.Header, listener: l, conn: c}
-		if q.Body, bad = c.body(r, limits); bad != nil {
-			if bad.Status > 0 && c.write(*bad, true) == nil {
+		if q.Body, errResponse = c.body(r, limits); errResponse != nil {
+			if errResponse.Status > 0 && c.write(*errResponse, true) == nil {
 				c.linger()
 			}
 			return
@@ -196,23 +200,24 @@
 		if response.Status == 0 {
 			return
 		}
-		last := r.Close || l.last.Load()
+		last := r.Close || l.closeAfterResponse.Load()
 		if c.write(response, last) != nil || last {
 			return
 		}
 	}
 }
 
-// once are the fields that a request may have only once.
-var once = []string{"Content-Length", "Transfer-Encoding", "Host"}
+// singleHeaders are the headers that a request may contain only once.
+var singleHeaders = []string{"Content-Length", "Transfer-Encoding", "Host"}
 
-// read reads a request's head. A response without a status closes the connection without one, as no whole request has come.
+// read reads the head of a request. If no complete request arrives, the returned response has no status, which
+// closes the connection without a response.
 func (c *conn) read(limits Limits) (*http.Request, *Response) {
-	most := min(limits.HeadBytes, maxHead-1)
-	c.SetReadDeadline(time.Now().Add(limits.HeadWithin))
-	head, err := wire.PeekHead(c.br, most)
+	maxBytes := min(limits.HeadBytes, maxHeadBytes-1)
+	c.SetReadDeadline(time.Now().Add(limits.HeadTimeout))
+	head, err := wire.PeekHead(c.br, maxBytes)
 	if err == nil {
-		err = wire.CheckHead(head, once)
+		err = wire.CheckHead(head, singleHeaders)
 	}
 	if err == nil {
 		err = wire.CheckText(head)
@@ -221,23 +226,25 @@
 	if err == nil {
 		r, err = http.ReadRequest(c.br)
 	}
-	var ne net.Error
+	var netErr net.Error
 	switch {
 	case err == nil:
 		return r, nil
 	case errors.Is(err, wire.ErrTooLarge), errors.Is(err, bufio.ErrBufferFull):
-		return nil, refusal(http.StatusRequestHeaderFieldsTooLarge, "header is too large")
-	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &ne):
+		return nil, errorResponse(http.StatusRequestHeaderFieldsTooLarge, "header is too large")
+	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &netErr):
 		return nil, &Response{}
 	}
-	return nil, refusal(http.StatusBadRequest, "malformed request")
+	return nil, errorResponse(http.StatusBadRequest, "malformed request")
 }
 
-func refusal(status int, why string) *Response {
+// errorResponse returns a response with a one-line text body.
+func errorResponse(status int, why string) *Response {
 	return &Response{Status: status, Fields: []Field{{"Content-Type", "text/plain"}}, Body: []byte(why + "\n")}
 }
 
-// target is path and query as they came. A client that uses this as a forward proxy sends an absolute URI, of which it is a part.
+// target returns path and query as received. A client that uses this process as a forward proxy sends an
+// absolute URI, from which path and query are taken.
 func target(r *http.Request) string {
 	if r.URL.Scheme != "" && r.URL.Host != "" {
 		return r.URL.RequestURI()
@@ -245,13 +252,13 @@
 	return r.RequestURI
 }
 
-// body reads a request's body whole.
+// body reads the complete body of a request.
 func (c *conn) body(r *http.Request, limits Limits) ([]byte, *Response) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
 	if r.ContentLength > limits.BodyBytes {
-		return nil, refusal(http.StatusRequestEntityTooLarge, "body is too large")
+		return nil, errorResponse(http.StatusRequestEntityTooLarge, "body is too large")
 	}
 	if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
 		c.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -260,8 +267,8 @@
 		}
 	}
 	c.SetReadDeadline(time.Now().Add(bodyTimeout))
-	const framing = 2 // bounds the overhead of chunked coding; chunks of few bytes each exceed it and are refused
-	c.meter.Allow(int(min(framing*limits.BodyBytes+maxHead, 1<<30)))
+	const maxOverhead = 2 // of chunked encoding; bodies in chunks of few bytes exceed it and are rejected
+	c.meter.Allow(int(min(maxOverhead*limits.BodyBytes+maxHeadBytes, 1<<30)))
 	var body []byte
 	var err error
 	if r.ContentLength > 0 {
@@ -270,16 +277,16 @@
 	} else {
 		body, err = io.ReadAll(io.LimitReader(r.Body, limits.BodyBytes+1))
 	}
-	var ne net.Error
+	var netErr net.Error
 	switch {
 	case int64(len(body)) > limits.BodyBytes, errors.Is(err, wire.ErrTooLarge):
-		return nil, refusal(http.StatusRequestEntityTooLarge, "body is too large")
+		return nil, errorResponse(http.StatusRequestEntityTooLarge, "body is too large")
 	case err == nil:
 		return body, nil
-	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF), errors.As(err, &ne):
+	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF), errors.As(err, &netErr):
 		return nil, &Response{}
 	}
-	return nil, refusal(http.StatusBadRequest, "malformed body")
+	return nil, errorResponse(http.StatusBadRequest, "malformed body")
 }
 
 // write sends a response in one write.
@@ -303,12 +310,13 @@
 	return err
 }
 
-// linger reads what the client still sends for a moment: closing at once would reset the connection before the response is read.
+// linger reads for a moment what the client still sends: closing at once would reset the connection before the
+// client has read the response.
 func (c *conn) linger() {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		half.CloseWrite()
 	}
-	c.SetReadDeadline(time.Now().Add(lingerFor))
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
 	c.meter.Allow(lingerBytes)
 	io.Copy(io.Discard, c.br)
 }
--- a/internal/mesh/listener/listener_test.go
+++ b/internal/mesh/listener/listener_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// What could hide a second request, or is beyond its limit, gets one response, and the connection ends with it.
+// A request that could hide a second one, or that exceeds a limit, must get exactly one error response, after
+// which the connection is closed.
 func TestRefused(t *testing.T) {
 	l := DefaultLimits
 	l.HeadBytes, l.BodyBytes = 1000, 10
@@ -99,16 +100,16 @@
 	}
 }
 
-// A request in progress at Close is answered, an idle connection ends, and no new one is accepted.
+// Close must answer a request in progress, close idle connections and accept no new ones.
 func TestCloseAnswersWhatCame(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	began, goOn := make(chan bool), make(chan bool)
+	began, proceed := make(chan bool), make(chan bool)
 	s := Open(ln, wire.NewPool(), func() Limits { return DefaultLimits }, func(*Request) Response {
 		began <- true
-		<-goOn
+		<-proceed
 		return Response{Status: 200}
 	})
 	idle := send(t, ln.Addr().String(), "")
@@ -120,14 +121,14 @@
 		close(closed)
 	}()
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the idle connection: %v, want its end", err)
+		t.Errorf("idle connection: %v, want EOF", err)
 	}
-	goOn <- true
+	proceed <- true
 	if status, _, _, last := receive(t, bufio.NewReader(c)); status != 200 || !last {
 		t.Errorf("%d, last %v", status, last)
 	}
 	<-closed
 	if _, err := net.Dial("tcp", ln.Addr().String()); err == nil {
-		t.Error("it still accepts connections")
+		t.Error("the closed listener still accepts connections")
 	}
 }
