--- a/internal/mesh/store/codec.go
+++ b/internal/mesh/store/codec.go
@@ -36,6 +36,7 @@
 // size returns the bytes that a record counts for.
 func (r record) size() int64 { return int64(headerBytes + len(r.name) + len(r.value)) }
 
+// text returns the content of the slot that a record is stored in.
 func (r record) text() string {
 	buf := make([]byte, headerBytes, headerBytes+len(r.value))
 	binary.BigEndian.PutUint32(buf[4:], r.seq)
@@ -71,8 +72,10 @@
 	legacyMark = "1" // mark of generations written before marks had a checksum
 )
 
+// text encodes a mark.
 func (m mark) text() string { return fmt.Sprintf(markFormat, m.size, m.checksum) }
 
+// parseMark decodes a mark.
 func parseMark(text string) (m mark, err error) {
 	_, err = fmt.Sscanf(text, markFormat, &m.size, &m.checksum)
 	return m, err
@@ -89,6 +92,7 @@
 	command []byte // reusable buffer for one command
 }
 
+// newCodec returns a codec, which must be closed after use.
 func newCodec() (*codec, error) {
 	db, err := buntdb.Open(":memory:")
 	reader, writer := bufio.NewReaderSize(nil, bufferBytes), bufio.NewWriterSize(nil, bufferBytes)
@@ -97,6 +101,7 @@
 
 func (c *codec) close() { _ = c.db.Close() }
 
+// clear removes everything that was decoded from the database.
 func (c *codec) clear() error {
 	return c.db.Update(func(tx *buntdb.Tx) error { return tx.DeleteAll() })
 }
--- a/internal/mesh/store/disk.go
+++ b/internal/mesh/store/disk.go
@@ -89,6 +89,7 @@
 	return syncDir(f.path)
 }
 
+// syncDir syncs a directory, so that its entries outlast a power loss.
 func syncDir(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
--- a/internal/mesh/store/generation.go
+++ b/internal/mesh/store/generation.go
@@ -16,6 +16,7 @@
 	chunkBytes  = 128 << 10 // bytes of a new generation that are encoded at once
 )
 
+// fileName returns the name of a generation's file.
 func fileName(generation int) string { return fmt.Sprintf(fileFormat, generation) }
 
 // generations returns the numbers of all generations on a disk in ascending order, complete or not.
--- a/internal/mesh/store/health.go
+++ b/internal/mesh/store/health.go
@@ -42,6 +42,7 @@
 	changes   []ConditionChange // changes not yet reported by Tick
 }
 
+// setCondition sets the condition and records the change, if it is one.
 func (h *health) setCondition(now float64, c Condition, why string) {
 	if c == h.condition {
 		return
--- a/internal/mesh/store/power_test.go
+++ b/internal/mesh/store/power_test.go
@@ -119,9 +119,9 @@
 // check opens each disk state that a power loss after some steps may leave, and writes to it.
 func (sc *scenario) check(t *testing.T, seen map[string]bool, steps []step, stride int) (opened int) {
 	t.Helper()
-	kept := acknowledged(steps)
+	acked := acknowledged(steps)
 	for _, files := range crashAfter(steps).disks(stride) {
-		key := fmt.Sprint(len(kept))
+		key := fmt.Sprint(len(acked))
 		for _, name := range slices.Sorted(maps.Keys(files)) {
 			key += name + string(files[name])
 		}
@@ -133,11 +133,11 @@
 		disk := newMemoryDisk(files)
 		s, values, found := sc.open(t, disk)
 		if !found {
-			t.Fatalf("after %d steps, acknowledged %v: no store in %q", len(steps), kept, files)
+			t.Fatalf("after %d steps, acknowledged %v: no store in %q", len(steps), acked, files)
 		}
 		for _, name := range []string{"a", "b", "c", "gone"} {
-			if value := string(values[name]); !sc.allowed(name, value, kept) {
-				t.Fatalf("after %d steps, acknowledged %v: %s is %q in %q", len(steps), kept, name, value, files)
+			if value := string(values[name]); !sc.allowed(name, value, acked) {
+				t.Fatalf("after %d steps, acknowledged %v: %s is %q in %q", len(steps), acked, name, value, files)
 			}
 		}
 		write(t, s, Put{"a", []byte("later")})
@@ -205,9 +205,9 @@
 			sc.run()
 			sc.disk.fail = nil
 			expected := map[string]string{}
-			kept := acknowledged(sc.disk.steps)
+			acked := acknowledged(sc.disk.steps)
 			for b, puts := range sc.history {
-				if kept[b] {
+				if acked[b] {
 					maps.Copy(expected, puts)
 				}
 			}
--- a/internal/mesh/store/queue.go
+++ b/internal/mesh/store/queue.go
@@ -35,11 +35,13 @@
 	messages []message[M]
 }
 
+// message is a queued message and the time at which it was queued.
 type message[M any] struct {
 	content  M
 	queuedAt float64
 }
 
+// newQueue returns a queue. names are the names that are on the disk.
 func newQueue[M any](names []string) *queue[M] {
 	q := &queue[M]{stored: map[string]struct{}{}, retryDelay: initialRetryDelay}
 	q.waiting.puts = map[string][]byte{}
@@ -66,12 +68,12 @@
 // disk. There is nothing to write then. Keeping such removals would let memory grow without bound when names
 // come and go while the disk accepts no writes.
 func (q *queue[M]) removesUnknown(name string) bool {
-	value, waits := q.waiting.puts[name]
-	if !waits || len(value) > 0 {
+	value, queued := q.waiting.puts[name]
+	if !queued || len(value) > 0 {
 		return false
 	}
 	if q.writing != nil {
-		if _, on := q.writing.puts[name]; on {
+		if _, isWriting := q.writing.puts[name]; isWriting {
 			return false
 		}
 	}
@@ -103,9 +105,9 @@
 	if q.writing == nil {
 		return
 	}
-	ran := q.runClock.elapsed(now)
-	q.longestStall = max(q.longestStall, ran-q.progressAt)
-	q.progressAt = ran
+	elapsed := q.runClock.elapsed(now)
+	q.longestStall = max(q.longestStall, elapsed-q.progressAt)
+	q.progressAt = elapsed
 }
 
 // end records the result of the current write and returns the messages that may be released, in the order in
@@ -163,9 +165,10 @@
 	}
 }
 
+// dropExpired drops the messages that have waited for longer than maxMessageWait for their write to begin.
 func (q *queue[M]) dropExpired(now float64) {
-	all := len(q.waiting.messages)
-	old := func(m message[M]) bool { return now > m.queuedAt+maxMessageWait }
-	q.waiting.messages = slices.DeleteFunc(q.waiting.messages, old)
-	q.dropped += uint64(all - len(q.waiting.messages))
+	before := len(q.waiting.messages)
+	expired := func(m message[M]) bool { return now > m.queuedAt+maxMessageWait }
+	q.waiting.messages = slices.DeleteFunc(q.waiting.messages, expired)
+	q.dropped += uint64(before - len(q.waiting.messages))
 }
--- a/internal/mesh/store/queue_test.go
+++ b/internal/mesh/store/queue_test.go
@@ -271,8 +271,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	parts := 0
-	s.OnProgress(func() { parts++ })
+	reports := 0
+	s.OnProgress(func() { reports++ })
 	var batch []Put
 	for i := range 1000 {
 		batch = append(batch, Put{fmt.Sprint("k", i), make([]byte, 1<<10)})
@@ -280,7 +280,7 @@
 	if err := s.Write(batch); err != nil {
 		t.Fatal(err)
 	}
-	if least := 1000 << 10 / chunkBytes; parts < least {
-		t.Errorf("%d progress reports for a generation of 1 MB, want at least %d", parts, least)
+	if want := 1000 << 10 / chunkBytes; reports < want {
+		t.Errorf("%d progress reports for a generation of 1 MB, want at least %d", reports, want)
 	}
 }
--- a/internal/mesh/store/store.go
+++ b/internal/mesh/store/store.go
@@ -51,6 +51,7 @@
 // before the first Write.
 func (s *Store) OnProgress(call func()) { s.progress = call }
 
+// reportProgress calls the function set by OnProgress, if any.
 func (s *Store) reportProgress() {
 	if s.progress != nil {
 		s.progress()
@@ -76,6 +77,7 @@
 	return s, values, found, err
 }
 
+// openWith is OpenDisk with a given codec, which the Store owns from then on if there is no error.
 func openWith(disk Disk, code *codec) (s *Store, values map[string][]byte, found bool, err error) {
 	s = &Store{disk: disk, code: code, records: map[string]record{}}
 	if found, err = s.read(); err != nil {
@@ -169,6 +171,7 @@
 	return nil
 }
 
+// liveBytes returns the bytes that a record counts for, 0 for a removed name.
 func liveBytes(r record) int64 {
 	if len(r.value) == 0 {
 		return 0
--- a/internal/mesh/store/store_test.go
+++ b/internal/mesh/store/store_test.go
@@ -54,9 +54,9 @@
 				acknowledged, until = p.last, p.size
 			}
 		}
-		for _, way := range []string{"cut", "zeros", "hole"} {
+		for _, damage := range []string{"cut", "zeros", "hole"} {
 			kept := append([]byte{}, text[:cut]...)
-			switch way {
+			switch damage {
 			case "zeros": // the length reached the disk, the bytes did not
 				kept = append(kept, make([]byte, 64)...)
 			case "hole": // the middle of the batch is missing
@@ -69,13 +69,13 @@
 			var got int
 			fmt.Sscanf(string(values["a"]), "value %d", &got)
 			if !found || got < acknowledged || got > acknowledged+1 {
-				t.Fatalf("%s at %d: found %v, a is %q, acknowledged %d", way, cut, found, values["a"], acknowledged)
+				t.Fatalf("%s at %d: found %v, a is %q, acknowledged %d", damage, cut, found, values["a"], acknowledged)
 			}
 			write(t, w, Put{"a", []byte("value 99")}) // what is written after the damage must be found as well
 			w.Close()
 			w, values, _ = openMemory(t, other)
 			if string(values["a"]) != "value 99" {
-				t.Fatalf("%s at %d: read back %q after a later write", way, cut, values["a"])
+				t.Fatalf("%s at %d: read back %q after a later write", damage, cut, values["a"])
 			}
 			w.Close()
 		}
@@ -112,9 +112,9 @@
 	name := fileName(v.generation)
 	text := disk.names[name].content
 	at := bytes.Index(text, []byte("value of"))
-	spoilt := bytes.Clone(text)
-	clear(spoilt[at : at+5])
-	after := newMemoryDisk(map[string][]byte{name: text, fileName(90): spoilt})
+	corrupted := bytes.Clone(text)
+	clear(corrupted[at : at+5])
+	after := newMemoryDisk(map[string][]byte{name: text, fileName(90): corrupted})
 	_, values, found := openMemory(t, after)
 	if !found || string(values["a"]) != "a value of some length" {
 		t.Fatalf("found %v, a = %q", found, values["a"])
--- a/internal/mesh/transport/link.go
+++ b/internal/mesh/transport/link.go
@@ -26,10 +26,10 @@
 	if meshpb.IsHeartbeat(p) {
 		queue = &l.urgent
 	}
-	was := len(*queue)
+	start := len(*queue)
 	frames, err := AppendFrame(*queue, p)
-	size := len(frames) - was
-	if waiting := l.net.queued.Load(); err != nil || waiting > 0 && waiting+int64(size) > l.net.queueLimit {
+	size := len(frames) - start
+	if queuedBytes := l.net.queued.Load(); err != nil || queuedBytes > 0 && queuedBytes+int64(size) > l.net.queueLimit {
 		return false
 	}
 	var ids []uint64
@@ -38,8 +38,8 @@
 	}
 	l.net.queued.Add(int64(size))
 	if size > largeFrameBytes {
-		l.large = append(l.large, queuedFrame{bytes.Clone(frames[was:]), ids})
-		if was == 0 { // do not keep the buffer that grew for the large message
+		l.large = append(l.large, queuedFrame{bytes.Clone(frames[start:]), ids})
+		if start == 0 { // do not keep the buffer that grew for the large message
 			*queue = nil
 		}
 	} else {
@@ -83,18 +83,18 @@
 	closed := l.net.closed
 	l.net.mu.Unlock()
 	l.mu.Lock()
-	was := l.dead
+	wasDead := l.dead
 	l.dead = true
 	unsent = append(unsent, l.ids...)
-	waiting := len(l.urgent) + len(l.frames)
+	queuedBytes := len(l.urgent) + len(l.frames)
 	for _, f := range l.large {
 		unsent = append(unsent, f.ids...)
-		waiting += len(f.frame)
+		queuedBytes += len(f.frame)
 	}
-	l.net.queued.Add(-int64(waiting))
+	l.net.queued.Add(-int64(queuedBytes))
 	l.urgent, l.frames, l.ids, l.large = nil, nil, nil, nil
 	l.mu.Unlock()
-	if was && len(unsent) == 0 || closed {
+	if wasDead && len(unsent) == 0 || closed {
 		return
 	}
 	l.net.notify(Disconnected{Peer: l.peer, Link: l.number, Unsent: unsent})
