--- a/internal/mesh/store/bench_test.go
+++ b/internal/mesh/store/bench_test.go
@@ -48,10 +48,10 @@
 // force.
 func changeRoutes(s *Store, changes int) error {
 	for edition := range changes {
-		if err := s.Write([]Put{{"charter", routesText(edition)}}); err != nil {
+		if err := s.Write([]Put{{"configuration", routesText(edition)}}); err != nil {
 			return err
 		}
-		if err := s.Write([]Put{{"sure", fmt.Append(nil, edition)}}); err != nil {
+		if err := s.Write([]Put{{"settled", fmt.Append(nil, edition)}}); err != nil {
 			return err
 		}
 	}
--- a/internal/mesh/store/power_test.go
+++ b/internal/mesh/store/power_test.go
@@ -105,8 +105,8 @@
 // one that was attempted later.
 func (sc *scenario) allowed(name, value string, acknowledged map[int]bool) bool {
 	for b := len(sc.history) - 1; b >= 0; b-- {
-		values, ok := sc.history[b][name]
-		if ok && values == value {
+		attempted, ok := sc.history[b][name]
+		if ok && attempted == value {
 			return true
 		}
 		if ok && acknowledged[b] {
--- a/internal/mesh/store/queue_test.go
+++ b/internal/mesh/store/queue_test.go
@@ -12,7 +12,7 @@
 	t.Helper()
 	q := newQueue[string](names)
 	if puts, write, ok := q.begin(0); len(puts) != 0 || !write || !ok {
-		t.Fatal("the first write did not begin although it needs no values")
+		t.Fatal("the first write must begin without values")
 	}
 	q.end(0, true, nil)
 	return q
--- a/internal/mesh/store/store_test.go
+++ b/internal/mesh/store/store_test.go
@@ -14,44 +14,44 @@
 	"golang.org/x/sys/unix"
 )
 
-func write(t *testing.T, v *Store, puts ...Put) {
+func write(t *testing.T, s *Store, puts ...Put) {
 	t.Helper()
-	if err := v.Write(puts); err != nil {
+	if err := s.Write(puts); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func open(t *testing.T, dir string) (*Store, map[string][]byte, bool) {
 	t.Helper()
-	v, values, found, err := Open(dir)
+	s, values, found, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return v, values, found
+	return s, values, found
 }
 
 // The file is cut and damaged at every byte. The batches before the last one must always be found, and every
 // value found must be one that was once written for its name.
 func TestOpensAfterATornWrite(t *testing.T) {
 	disk := newMemoryDisk(nil)
-	v, _, found := openMemory(t, disk)
+	s, _, found := openMemory(t, disk)
 	if found {
 		t.Fatal("found a store in an empty directory")
 	}
 	type point struct{ size, last int }
 	var points []point
 	for i := 1; i <= 6; i++ {
-		write(t, v, Put{"a", fmt.Appendf(nil, "value %d", i)}, Put{fmt.Sprintf("b%d", i), []byte("x")})
+		write(t, s, Put{"a", fmt.Appendf(nil, "value %d", i)}, Put{fmt.Sprintf("b%d", i), []byte("x")})
 		points = append(points, point{disk.used(), i})
 	}
-	v.Close()
-	name := fileName(v.generation)
+	s.Close()
+	name := fileName(s.generation)
 	text := disk.names[name].content
 	for cut := points[0].size; cut <= len(text); cut++ {
-		acknowledged, until := 0, 0
+		acknowledged, lastSynced := 0, 0
 		for _, p := range points {
 			if p.size <= cut {
-				acknowledged, until = p.last, p.size
+				acknowledged, lastSynced = p.last, p.size
 			}
 		}
 		for _, damage := range []string{"cut", "zeros", "hole"} {
@@ -60,24 +60,24 @@
 			case "zeros": // the length reached the disk, the bytes did not
 				kept = append(kept, make([]byte, 64)...)
 			case "hole": // the middle of the batch is missing
-				for i := until; i < min(until+20, cut); i++ {
+				for i := lastSynced; i < min(lastSynced+20, cut); i++ {
 					kept[i] = 0
 				}
 			}
 			other := newMemoryDisk(map[string][]byte{name: kept})
-			w, values, found := openMemory(t, other)
+			reopened, values, found := openMemory(t, other)
 			var got int
 			fmt.Sscanf(string(values["a"]), "value %d", &got)
 			if !found || got < acknowledged || got > acknowledged+1 {
 				t.Fatalf("%s at %d: found %v, a is %q, acknowledged %d", damage, cut, found, values["a"], acknowledged)
 			}
-			write(t, w, Put{"a", []byte("value 99")}) // what is written after the damage must be found as well
-			w.Close()
-			w, values, _ = openMemory(t, other)
+			write(t, reopened, Put{"a", []byte("value 99")}) // what is written after the damage must be found as well
+			reopened.Close()
+			reopened, values, _ = openMemory(t, other)
 			if string(values["a"]) != "value 99" {
 				t.Fatalf("%s at %d: read back %q after a later write", damage, cut, values["a"])
 			}
-			w.Close()
+			reopened.Close()
 		}
 	}
 }
@@ -85,20 +85,20 @@
 // A start that is interrupted while it writes the next generation must leave the previous one in force.
 func TestGenerationWithoutItsMarkDoesNotCount(t *testing.T) {
 	dir := t.TempDir()
-	v, _, _ := open(t, dir)
-	write(t, v, Put{"a", []byte("kept")})
-	v.Close()
-	text, err := os.ReadFile(filepath.Join(dir, fileName(v.generation)))
+	s, _, _ := open(t, dir)
+	write(t, s, Put{"a", []byte("kept")})
+	s.Close()
+	text, err := os.ReadFile(filepath.Join(dir, fileName(s.generation)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for cut := range text {
 		os.WriteFile(filepath.Join(dir, fileName(90)), text[:cut], 0o644)
-		w, values, found := open(t, dir)
+		reopened, values, found := open(t, dir)
 		if !found || string(values["a"]) != "kept" {
 			t.Fatalf("cut at %d: %v, %q", cut, found, values["a"])
 		}
-		w.Close()
+		reopened.Close()
 	}
 }
 
@@ -106,10 +106,10 @@
 // generation must be read then.
 func TestGenerationWithAHoleDoesNotCount(t *testing.T) {
 	disk := newMemoryDisk(nil)
-	v, _, _ := openMemory(t, disk)
-	write(t, v, Put{"a", []byte("a value of some length")})
-	v.Close()
-	name := fileName(v.generation)
+	s, _, _ := openMemory(t, disk)
+	write(t, s, Put{"a", []byte("a value of some length")})
+	s.Close()
+	name := fileName(s.generation)
 	text := disk.names[name].content
 	at := bytes.Index(text, []byte("value of"))
 	corrupted := bytes.Clone(text)
@@ -151,9 +151,9 @@
 // pass for lost.
 func TestReadErrorIsNoEnd(t *testing.T) {
 	disk := newMemoryDisk(nil)
-	v, _, _ := openMemory(t, disk)
-	write(t, v, Put{"a", []byte("kept")})
-	write(t, v, Put{"a", []byte("newer")})
+	s, _, _ := openMemory(t, disk)
+	write(t, s, Put{"a", []byte("kept")})
+	write(t, s, Put{"a", []byte("newer")})
 	disk.readFail = errRead
 	if _, _, _, err := OpenDisk(disk); !errors.Is(err, errRead) {
 		t.Fatalf("opened on a disk that cannot be read: %v", err)
@@ -167,16 +167,16 @@
 // Opening on a full disk reads the stored values; the store is usable once the disk has room.
 func TestOpensOnAFullDisk(t *testing.T) {
 	disk := newMemoryDisk(nil)
-	v, _, _ := openMemory(t, disk)
-	write(t, v, Put{"a", []byte("kept")})
-	v.Close()
+	s, _, _ := openMemory(t, disk)
+	write(t, s, Put{"a", []byte("kept")})
+	s.Close()
 	disk.capacity = disk.used()
-	v, values, found := openMemory(t, disk)
+	s, values, found := openMemory(t, disk)
 	if !found || string(values["a"]) != "kept" {
 		t.Fatalf("found %v, a = %q", found, values["a"])
 	}
 	for range 3 {
-		if err := v.Write([]Put{{"b", []byte("x")}}); !errors.Is(err, syscall.ENOSPC) {
+		if err := s.Write([]Put{{"b", []byte("x")}}); !errors.Is(err, syscall.ENOSPC) {
 			t.Fatalf("write on a full disk: %v", err)
 		}
 		if disk.used() > disk.capacity || len(disk.names) != 1 {
@@ -184,7 +184,7 @@
 		}
 	}
 	disk.capacity = 0
-	write(t, v, Put{"c", []byte("y")})
+	write(t, s, Put{"c", []byte("y")})
 	_, values, _ = openMemory(t, disk)
 	if len(values) != 2 || string(values["a"]) != "kept" || string(values["c"]) != "y" || len(disk.names) != 1 {
 		t.Fatalf("%q in %d files", values, len(disk.names))
@@ -197,11 +197,11 @@
 func TestFillsUpAndRecovers(t *testing.T) {
 	disk := newMemoryDisk(nil)
 	disk.capacity = 64 << 10
-	v, _, _ := openMemory(t, disk)
+	s, _, _ := openMemory(t, disk)
 	value := func(i int) []byte { return bytes.Repeat([]byte{byte('a' + i%26)}, 1000) }
 	kept, failed := 0, 0
 	for i := 1; failed == 0; i++ {
-		v.compactAt = 40 << 10
+		s.compactAt = 40 << 10
 		var batch []Put
 		for name := range 20 { // 20 KB are live
 			batch = append(batch, Put{fmt.Sprint(name), value(i)})
@@ -210,7 +210,7 @@
 			batch = batch[:1]
 		}
 		before := disk.used()
-		if v.Write(batch) != nil {
+		if s.Write(batch) != nil {
 			if failed = i; disk.used() != before {
 				t.Fatalf("%d bytes of the failed write are left", disk.used()-before)
 			}
@@ -229,7 +229,7 @@
 		t.Fatalf("kept %d, found %.8q", kept, values["0"])
 	}
 	disk.capacity = disk.used() + 24<<10 // other files have made room for the live values
-	write(t, v, Put{"0", value(100)})
+	write(t, s, Put{"0", value(100)})
 	if _, values, _ = openMemory(t, disk); len(values) != 20 || !bytes.Equal(values["0"], value(100)) {
 		t.Fatalf("%d values, found %.8q", len(values), values["0"])
 	}
@@ -241,14 +241,14 @@
 // Rewriting a value again and again must not fill the disk, and removed names must stay removed.
 func TestShrinks(t *testing.T) {
 	dir := t.TempDir()
-	v, _, _ := open(t, dir)
+	s, _, _ := open(t, dir)
 	big := make([]byte, 1<<20)
-	write(t, v, Put{"gone", []byte("x")}, Put{"stays", []byte("y")})
-	write(t, v, Put{"gone", nil})
+	write(t, s, Put{"gone", []byte("x")}, Put{"stays", []byte("y")})
+	write(t, s, Put{"gone", nil})
 	for range 60 {
-		write(t, v, Put{"a", big})
+		write(t, s, Put{"a", big})
 	}
-	v.Close()
+	s.Close()
 	files, _ := os.ReadDir(dir)
 	if len(files) != 1 {
 		t.Fatalf("%d files", len(files))
@@ -266,23 +266,23 @@
 // values must be there at the next start.
 func TestFullDisk(t *testing.T) {
 	dir := t.TempDir()
-	v, _, _ := open(t, dir)
-	write(t, v, Put{"a", []byte("kept")})
-	info, err := os.Stat(filepath.Join(dir, fileName(v.generation)))
+	s, _, _ := open(t, dir)
+	write(t, s, Put{"a", []byte("kept")})
+	info, err := os.Stat(filepath.Join(dir, fileName(s.generation)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	signal.Ignore(unix.SIGXFSZ) // makes a file that may not grow return an error from the write, as on a full disk
-	var was unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_FSIZE, &was); err != nil {
+	var previous unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_FSIZE, &previous); err != nil {
 		t.Fatal(err)
 	}
-	full := unix.Rlimit{Cur: uint64(info.Size()) + 100, Max: was.Max}
+	full := unix.Rlimit{Cur: uint64(info.Size()) + 100, Max: previous.Max}
 	if err := unix.Setrlimit(unix.RLIMIT_FSIZE, &full); err != nil {
 		t.Fatal(err)
 	}
-	err = v.Write([]Put{{"a", make([]byte, 4096)}, {"b", []byte("x")}})
-	if reset := unix.Setrlimit(unix.RLIMIT_FSIZE, &was); reset != nil {
+	err = s.Write([]Put{{"a", make([]byte, 4096)}, {"b", []byte("x")}})
+	if reset := unix.Setrlimit(unix.RLIMIT_FSIZE, &previous); reset != nil {
 		t.Fatal(reset)
 	}
 	if err == nil {
@@ -292,7 +292,7 @@
 	if !found || string(values["a"]) != "kept" || len(values) != 1 {
 		t.Errorf("found %v, %d values, a = %q", found, len(values), values["a"])
 	}
-	write(t, v, Put{"c", []byte("later")}) // the store goes on once there is room
+	write(t, s, Put{"c", []byte("later")}) // the store goes on once there is room
 	_, values, _ = open(t, dir)
 	if len(values) != 2 || string(values["a"]) != "kept" || string(values["c"]) != "later" {
 		t.Errorf("after room was made: %q", values)
--- a/internal/mesh/transport/net.go
+++ b/internal/mesh/transport/net.go
@@ -1,7 +1,7 @@
 // Package transport carries messages between the processes of the mesh, as protobuf frames over TCP with one
 // connection per peer. A Net, made by Listen, accepts connections, dials peers when Send first needs them, and
-// passes each Event (a message, a sign of life or a disconnection) to a function of the caller. The package
-// does not resend lost messages: the state machines decide what a loss means.
+// passes each Event (a received message, a piece of a large message, or a disconnection) to a function of the
+// caller. The package does not resend lost messages: the state machines decide what a loss means.
 package transport
 
 import (
--- a/internal/mesh/upstream/keys.go
+++ b/internal/mesh/upstream/keys.go
@@ -61,17 +61,17 @@
 	head := "POST " + path + " HTTP/1.1\r\nHost: " + h.addr + "\r\nContent-Type: application/json\r\nContent-Length: " +
 		strconv.Itoa(len(body)) + "\r\n\r\n"
 	_, err := c.Write(append([]byte(head), body...))
-	var a response
+	var resp response
 	var res *http.Response
 	if err == nil {
-		a, res, err = c.readOne(http.MethodPost)
+		resp, res, err = c.readOne(http.MethodPost)
 	}
 	if err != nil || res.StatusCode < http.StatusOK {
 		c.Close()
 		return sidecar.KeyResult{}, errors.CombineErrors(err, errors.Newf("no response to %s", path))
 	}
-	if a.keepFor > 0 && c.br.Buffered() == 0 {
-		h.keepIdle(c, a.keepFor)
+	if resp.keepFor > 0 && c.br.Buffered() == 0 {
+		h.keepIdle(c, resp.keepFor)
 	} else {
 		c.Close()
 	}
--- a/internal/mesh/upstream/upstream.go
+++ b/internal/mesh/upstream/upstream.go
@@ -179,7 +179,7 @@
 	return text[:min(len(text), maxBytes)]
 }
 
-// run is Run with errors, each marked with the outcome that it stands for.
+// run does the work of Run. Its errors are marked with the outcome to report.
 func (h *Host) run(ctx context.Context, r *meshpb.Forward, deadline time.Time) (*meshpb.Forwarded, error) {
 	id := requestID(r)
 	c := h.takeIdle(id)
@@ -191,11 +191,11 @@
 	}
 	c.SetDeadline(deadline)
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-	var a response
+	var resp response
 	err := c.write(r) // after an error, part of the request may have been sent
 	written := err == nil
 	if written {
-		a, err = c.read(r.Method, id)
+		resp, err = c.read(r.Method, id)
 	}
 	if !stop() { // the connection's deadline was or will be set to the past, so it cannot be reused
 		c.Close()
@@ -208,13 +208,13 @@
 		}
 		return nil, outcome.Mark(err, outcome.Broken)
 	}
-	if a.keepFor > 0 {
+	if resp.keepFor > 0 {
 		c.addServed(id)
-		h.keepIdle(c, a.keepFor)
+		h.keepIdle(c, resp.keepFor)
 	} else {
 		c.Close()
 	}
-	return a.Forwarded, nil
+	return resp.Forwarded, nil
 }
 
 // write sends a request in one write: method, target and headers as received, with new framing.
@@ -267,7 +267,7 @@
 // twice.
 func (c *conn) read(method, id string) (response, error) {
 	for stale := 0; ; {
-		a, res, err := c.readOne(method)
+		resp, res, err := c.readOne(method)
 		switch {
 		case err != nil:
 			return response{}, err
@@ -281,26 +281,26 @@
 			}
 			continue
 		}
-		if err := checkResponse(a, res, id); err != nil {
+		if err := checkResponse(resp, res, id); err != nil {
 			return response{}, err
 		}
 		if stale > 0 || c.br.Buffered() > 0 { // a host that sends unrequested bytes is not trusted with another request
-			a.keepFor = 0
+			resp.keepFor = 0
 		}
 		if got == "" { // a repetition could not be told from the response to the next request
-			a.keepFor = 0
+			resp.keepFor = 0
 		}
-		return a, nil
+		return resp, nil
 	}
 }
 
 // checkResponse sets the verdict of a complete response, or returns an error if it cannot be trusted.
-func checkResponse(a response, res *http.Response, id string) error {
+func checkResponse(resp response, res *http.Response, id string) error {
 	switch {
 	case res.Header.Get(sidecar.HeaderNotRun) != "", res.StatusCode == http.StatusMisdirectedRequest:
-		a.Verdict = uint32(outcome.HostTurnedAway)
-		a.Fields, a.Body = nil, nil
-		a.Why = fmt.Sprintf("host responded with status %d and did not run the request", a.Status)
+		resp.Verdict = uint32(outcome.HostTurnedAway)
+		resp.Fields, resp.Body = nil, nil
+		resp.Why = fmt.Sprintf("host responded with status %d and did not run the request", resp.Status)
 	case res.Header.Get("Content-Encoding") != "":
 		return errors.New("response with an unrequested content encoding")
 	case res.StatusCode < 300 && res.Header.Get(sidecar.HeaderPostmark) == "":
@@ -312,29 +312,29 @@
 }
 
 // readOne reads one response, which may be an informational one, and decides whether its connection can be kept.
-func (c *conn) readOne(method string) (a response, res *http.Response, err error) {
+func (c *conn) readOne(method string) (resp response, res *http.Response, err error) {
 	c.meter.Allow(maxHeadBytes)
 	head, err := wire.PeekHead(c.br, maxHeadBytes-1)
 	if err == nil {
 		err = wire.CheckHead(head, singleHeaders)
 	}
 	if err != nil {
-		return a, nil, err
+		return resp, nil, err
 	}
 	res, err = http.ReadResponse(c.br, &http.Request{Method: method})
 	if err != nil {
-		return a, nil, err
+		return resp, nil, err
 	}
 	if res.StatusCode < 200 {
-		return a, res, nil
+		return resp, res, nil
 	}
 	if res.ContentLength < 0 && len(res.TransferEncoding) == 0 {
-		return a, nil, errors.New("response without a length could be truncated unnoticed")
+		return resp, nil, errors.New("response without a length could be truncated unnoticed")
 	}
 	c.meter.Allow(2 * maxBodyBytes)
 	var body []byte
 	if res.ContentLength > maxBodyBytes {
-		return a, nil, wire.ErrTooLarge
+		return resp, nil, wire.ErrTooLarge
 	}
 	if res.ContentLength > 0 && method != http.MethodHead {
 		body = make([]byte, res.ContentLength)
@@ -343,14 +343,14 @@
 		body, err = io.ReadAll(io.LimitReader(res.Body, maxBodyBytes))
 	}
 	if err != nil {
-		return a, nil, errors.Wrap(err, "read response body")
+		return resp, nil, errors.Wrap(err, "read response body")
 	}
-	a.Forwarded = &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: uint32(res.StatusCode), Body: body,
+	resp.Forwarded = &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: uint32(res.StatusCode), Body: body,
 		Fields: Fields(res.Header)}
 	if !res.Close {
-		a.keepFor = keepAliveTimeout(res.Header)
+		resp.keepFor = keepAliveTimeout(res.Header)
 	}
-	return a, res, nil
+	return resp, res, nil
 }
 
 // keepAliveTimeout returns how long the host says it keeps a connection open, less half a second for the
