--- a/internal/mesh/store/codec_test.go
+++ b/internal/mesh/store/codec_test.go
@@ -38,7 +38,8 @@
 // The encoder must write exactly what buntdb itself would save, whatever bytes the values hold, and decode must
 // read the same pairs back.
 func TestEncodesAsBuntdbDoes(t *testing.T) {
-	pairs := map[string]string{"": "", "empty": "", "lines/0": "a\r\n$3\r\nset\r\n", "zero/1": "\x00\xff\x00", "large": string(make([]byte, 3*bufferBytes))}
+	pairs := map[string]string{"": "", "empty": "", "lines/0": "a\r\n$3\r\nset\r\n",
+		"zero/1": "\x00\xff\x00", "large": string(make([]byte, 3*bufferBytes))}
 	for i := range 300 {
 		pairs[fmt.Sprintf("k.%x/%d", i*7919, i%2)] = fmt.Sprint("value ", i)
 	}
