--- a/cmd/beechwing-control/disk.go
+++ b/cmd/beechwing-control/disk.go
@@ -69,10 +69,10 @@
 // newWriter makes the part that writes to the disk, and sends what waited for it.
 func (p *program) newWriter(k kept) *store.Writer[transport.Send] {
 	return store.NewWriter(store.Options[transport.Send]{
-		Store:  timedKeeper{k.store, p},
-		Names:   slices.Collect(maps.Keys(k.values)),
-		Now:     p.clock.Now,
-		Release: func(after []transport.Send) { p.timed(workRelease, func(float64) { p.send(after) }) },
+		Store:            timedKeeper{k.store, p},
+		Names:            slices.Collect(maps.Keys(k.values)),
+		Now:              p.clock.Now,
+		Release:          func(after []transport.Send) { p.timed(workRelease, func(float64) { p.send(after) }) },
 		ConditionChanged: p.diskChanged,
 	})
 }
--- a/internal/mesh/ejection/ejection.go
+++ b/internal/mesh/ejection/ejection.go
@@ -272,7 +272,7 @@
 		return next, nil
 	}
 	if len(next) >= maxEjections {
-		return nil, errors.Newf("%d hosts of the service are already on the ejection list: restore some first", len(next))
+		return nil, errors.Newf("%d hosts of the service are out already: call some back", len(next))
 	}
 	remaining := 0
 	for _, h := range hosts {
--- a/internal/mesh/upstream/upstream.go
+++ b/internal/mesh/upstream/upstream.go
@@ -199,12 +199,12 @@
 	}
 	if !stop() { // the connection's deadline was or will be set to the past, so it cannot be reused
 		c.Close()
-		return nil, outcome.Newf(outcome.Cancelled, "request cancelled")
+		return nil, outcome.Newf(outcome.Cancelled, "broken off")
 	}
 	if err != nil {
 		c.Close()
 		if written && errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(c.meter.Err, os.ErrDeadlineExceeded) {
-			return nil, outcome.Newf(outcome.Late, "host did not respond before the deadline")
+			return nil, outcome.Newf(outcome.Late, "the host has not answered")
 		}
 		return nil, outcome.Mark(err, outcome.Broken)
 	}
@@ -277,7 +277,7 @@
 		got := res.Header.Get(sidecar.HeaderID)
 		if got != "" && got != id {
 			if stale++; stale > maxStaleResponses {
-				return response{}, errors.New("too many responses to other requests")
+				return response{}, errors.New("answers of other requests")
 			}
 			continue
 		}
@@ -300,13 +300,13 @@
 	case res.Header.Get(sidecar.HeaderNotRun) != "", res.StatusCode == http.StatusMisdirectedRequest:
 		resp.Verdict = uint32(outcome.HostTurnedAway)
 		resp.Fields, resp.Body = nil, nil
-		resp.Why = fmt.Sprintf("host responded with status %d and did not run the request", resp.Status)
+		resp.Why = fmt.Sprintf("the host says %d, not run", resp.Status)
 	case res.Header.Get("Content-Encoding") != "":
-		return errors.New("response with an unrequested content encoding")
+		return errors.New("an answer in an encoding that nobody asked for")
 	case res.StatusCode < 300 && res.Header.Get(sidecar.HeaderPostmark) == "":
-		return errors.New("successful response without a postmark")
+		return errors.New("a success without its postmark")
 	case id != "" && res.Header.Get(sidecar.HeaderID) == "" && res.StatusCode < 300:
-		return errors.New("successful response without a request id")
+		return errors.New("a success that does not say whose it is")
 	}
 	return nil
 }
@@ -329,7 +329,7 @@
 		return resp, res, nil
 	}
 	if res.ContentLength < 0 && len(res.TransferEncoding) == 0 {
-		return resp, nil, errors.New("response without a length could be truncated unnoticed")
+		return resp, nil, errors.New("an answer without a length may be cut short anywhere")
 	}
 	c.meter.Allow(2 * maxBodyBytes)
 	var body []byte
@@ -343,7 +343,7 @@
 		body, err = io.ReadAll(io.LimitReader(res.Body, maxBodyBytes))
 	}
 	if err != nil {
-		return resp, nil, errors.Wrap(err, "read response body")
+		return resp, nil, errors.Wrap(err, "body")
 	}
 	resp.Forwarded = &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: uint32(res.StatusCode), Body: body,
 		Fields: Fields(res.Header)}
--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -172,7 +172,7 @@
 func (s *adminCalls) applyCordoned(ctx context.Context, set cordon.Set) error {
 	done := make(chan struct{})
 	if err := s.p.owner.postAndWait(ctx, cordonEvent{set, done}, done); err != nil {
-		return fmt.Errorf("cordoned hosts saved but not in force yet: %w", err)
+		return fmt.Errorf("not in force yet: %w", err)
 	}
 	s.cordoned = set
 	return nil
@@ -185,7 +185,7 @@
 		return err
 	}
 	if !*q.known && !s.cordoned.Cordoned(id) {
-		return fmt.Errorf("%w: %.64q is not in the host list", ops.ErrUnknown, id)
+		return fmt.Errorf("%w: %.64q is not in the list", ops.ErrUnknown, id)
 	}
 	return nil
 }
@@ -195,7 +195,7 @@
 	select {
 	case o.queue <- e:
 	case <-o.done:
-		return errors.New("proxy has stopped")
+		return errors.New("the proxy has ended")
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -203,7 +203,7 @@
 	case <-applied:
 		return nil
 	case <-o.done:
-		return errors.New("proxy has stopped")
+		return errors.New("the proxy has ended")
 	case <-ctx.Done():
 		return ctx.Err()
 	}
--- a/internal/proxy/zone_order.go
+++ b/internal/proxy/zone_order.go
@@ -76,7 +76,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return "", fmt.Errorf("order given here, but known to only %d of %d other members so far", confirmed, otherMembers)
+			return "", fmt.Errorf("ordered here, and known to %d of %d other members so far", confirmed, otherMembers)
 		case <-time.After(confirmPollInterval):
 		}
 	}
@@ -100,7 +100,7 @@
 	switch {
 	case c.Dry:
 	case *c.Out && remaining <= 0:
-		c.err = errors.New("no capacity would be left")
+		c.err = errors.New("nothing would be left")
 	case *c.Out && remaining < minRemainingShare && !c.Force:
 		c.err = fmt.Errorf("%w:\n%s", ops.ErrForce, c.message)
 	default:
