--- /dev/null
+++ b/internal/mesh/simulation/actors.go
@@ -0,0 +1,343 @@
+package simulation
+
+import (
+	"encoding/json"
+	"fmt"
+	"strconv"
+
+	"google.golang.org/protobuf/proto"
+
+	"beechwing/internal/mesh/control"
+	"beechwing/internal/mesh/meshpb"
+
+	"beechwing/internal/mesh/outcome"
+	"beechwing/internal/mesh/routeconfig"
+	"beechwing/internal/mesh/sidecar"
+)
+
+const heartbeatSeconds = 1.5
+
+// hostInstance is one run of a host process.
+type hostInstance struct {
+	id           string
+	sequence     uint64
+	draining     bool
+	drainAckedAt float64 // time at which the proxy acknowledged that the host drains; 0: not yet
+	ended        bool
+	holds        keyHolds
+	lostShare    float64 // share of requests whose response is lost after they ran
+	extraSeconds float64 // additional duration of each request
+}
+
+// StartHost starts a new instance of the host.
+func (s *Proxy) StartHost() {
+	s.instanceCount++
+	st := &hostInstance{id: fmt.Sprintf("i-%s-%d", s.addr, s.instanceCount)}
+	s.instance = st
+	var heartbeatLoop func()
+	heartbeatLoop = func() {
+		if s.instance != st || st.ended {
+			return
+		}
+		s.sendHeartbeat(st)
+		s.w.After(heartbeatSeconds, heartbeatLoop)
+	}
+	s.w.After(0.05+0.1*s.w.Rand.Float64(), heartbeatLoop)
+}
+
+func (s *Proxy) sendHeartbeat(st *hostInstance) {
+	st.sequence++
+	if !s.up {
+		return
+	}
+	heartbeat := sidecar.Heartbeat{ID: st.id, Service: s.host.Service, Zone: s.host.Zone, Slots: 4, Draining: st.draining,
+		Sequence: st.sequence}
+	s.input(func() {
+		s.sidecar.Heartbeat(s.w.Now, heartbeat)
+		if st.draining && heartbeat.Draining && st.drainAckedAt == 0 {
+			st.drainAckedAt = s.w.Now
+		}
+	})
+}
+
+// Drain makes the host announce that it drains, and end 3 s later.
+func (s *Proxy) Drain() {
+	st := s.instance
+	st.draining = true
+	s.sendHeartbeat(st)
+	s.w.After(3, func() {
+		st.ended = true
+		s.input(func() { s.sidecar.HostSignedOff(s.w.Now, st.id) })
+	})
+}
+
+// CrashHost ends the host without notice. The proxy goes on running.
+func (s *Proxy) CrashHost() { s.instance.ended = true }
+
+// LoseAnswers makes the host lose a share of its responses after the requests ran.
+func (s *Proxy) LoseAnswers(share float64) { s.instance.lostShare = share }
+
+// hostRequest is a request that is running at a host.
+type hostRequest struct{ aborted bool }
+
+// abort closes the connection to the host, which cancels the request.
+func (s *Proxy) abort(do sidecar.Abort) {
+	if r := s.running[do.Job]; r != nil {
+		r.aborted = true
+	}
+}
+
+// exchange runs a request at the host and reports the response to the proxy.
+func (s *Proxy) exchange(do sidecar.Exchange) {
+	instance, incarnation := s.instance, s.starts
+	forward := proto.Clone(do.Forward).(*meshpb.Forward)
+	running := &hostRequest{}
+	s.running[do.Job] = running
+	respond := func(after float64, answer *meshpb.Forwarded) {
+		s.w.After(after, func() {
+			if s.up && s.starts == incarnation {
+				delete(s.running, do.Job)
+				s.input(func() { s.sidecar.ExchangeDone(s.w.Now, do.Job, answer) })
+			}
+		})
+	}
+	if instance == nil || instance.ended {
+		respond(0.0005, &meshpb.Forwarded{Verdict: uint32(outcome.TurnedAway), Why: "refused", Refused: true})
+		return
+	}
+	if instance.id != forward.Station { // the request is for another instance, so the host rejects it
+		respond(0.0005, &meshpb.Forwarded{Verdict: uint32(outcome.HostTurnedAway), Why: "421"})
+		return
+	}
+	key, sharded := shardKey(forward)
+	if sharded && !instance.holds.holdsKey(s.w.Now, key) {
+		respond(0.0005, &meshpb.Forwarded{Verdict: uint32(outcome.HostTurnedAway), Why: "421: not its key"})
+		return
+	}
+	id := fieldValue(forward.Fields, sidecar.HeaderID)
+	postmark := s.w.Checker.runStarted(s, instance, id, forward)
+	workSeconds := instance.extraSeconds + 0.02 + 0.04*s.w.Rand.Float64()
+	s.w.After(workSeconds, func() {
+		if s.up && s.starts == incarnation && s.instance == instance && !instance.ended && !running.aborted {
+			s.w.Checker.runFinished(s, id, forward)
+		}
+	})
+	if s.w.Rand.Float64() < instance.lostShare {
+		respond(workSeconds, &meshpb.Forwarded{Verdict: uint32(outcome.Broken), Why: "reset"})
+		return
+	}
+	respond(workSeconds, &meshpb.Forwarded{Verdict: uint32(outcome.Answered), Status: 200, Body: []byte("body of " + postmark),
+		Fields: []*meshpb.Field{{Name: sidecar.HeaderPostmark, Value: postmark}}})
+}
+
+// probe reports the ID of the running host instance to the proxy.
+func (s *Proxy) probe() {
+	if st := s.instance; st != nil && !st.ended {
+		incarnation := s.starts
+		s.w.After(0.002, func() {
+			if s.up && s.starts == incarnation {
+				s.input(func() { s.sidecar.ProbeDone(s.w.Now, st.id, !st.draining) })
+			}
+		})
+	}
+}
+
+func fieldValue(fields []*meshpb.Field, name string) string {
+	for _, f := range fields {
+		if f.Name == name {
+			return f.Value
+		}
+	}
+	return ""
+}
+
+// Request makes a client send a request to a proxy. A request that fails or gets no response is sent again with the same
+// idempotency key, up to the given number of attempts in all.
+func (w *World) Request(s *Proxy, path, key string, attempts int) {
+	if !s.up {
+		return
+	}
+	request := w.newRequest(s, path, key)
+	id := request.ID
+	retry := func(after float64) {
+		if attempts > 1 {
+			w.After(after, func() { w.Request(s, path, key, attempts-1) })
+		}
+	}
+	incarnation, thaws, answered := s.starts, s.thaws, false
+	request.ReplyTo = func(r sidecar.Reply) {
+		answered = true
+		w.Checker.responseReceived(id, r)
+		if r.Status >= 300 && r.Status != 404 {
+			retry(max(0.02, r.RetryAfter))
+		}
+	}
+	w.After(2, func() {
+		if !answered && s.up && s.starts == incarnation && !s.frozen && s.thaws == thaws {
+			w.Checker.fail("LOST", "%s got no response within 2 s from %s, which was running", id, s.addr)
+		}
+		if !answered {
+			retry(0.1)
+		}
+	})
+	s.input(func() { s.sidecar.Submit(w.Now, request) })
+}
+
+// newRequest returns a new client request and registers it with the checker.
+func (w *World) newRequest(s *Proxy, path, key string) *sidecar.Request {
+	w.seq++
+	id := fmt.Sprintf("q%d", w.seq)
+	w.Checker.requestSent(s, id, path, key)
+	request := &sidecar.Request{Method: "POST", Target: path, Host: "shop.example", ID: id, IdempotencyKey: key, Timeout: 1.5,
+		Fields: []*meshpb.Field{{Name: sidecar.HeaderID, Value: id}, {Name: sidecar.HeaderIdempotencyKey, Value: key}}}
+	if serviceOf(path) == shardedService {
+		request.Fields = append(request.Fields, &meshpb.Field{Name: headerShardKey,
+			Value: strconv.Itoa(w.Rand.IntN(shardKeyCount))})
+	}
+	return request
+}
+
+// RequestAndDisconnect makes a client send a request to a proxy, and close its connection if there is no response after
+// afterSeconds.
+func (w *World) RequestAndDisconnect(s *Proxy, path, key string, afterSeconds float64) {
+	if !s.up {
+		return
+	}
+	request := w.newRequest(s, path, key)
+	incarnation, answered, disconnected := s.starts, false, false
+	request.ReplyTo = func(r sidecar.Reply) {
+		if !disconnected {
+			answered = true
+			w.Checker.responseReceived(request.ID, r)
+		}
+	}
+	s.input(func() { s.sidecar.Submit(w.Now, request) })
+	w.After(afterSeconds, func() {
+		if answered || !s.up || s.starts != incarnation {
+			return
+		}
+		disconnected = true
+		s.input(func() {
+			w.Checker.clientDisconnected(request.ID)
+			if w.IgnoreDisconnects {
+				return
+			}
+			s.sidecar.ClientLeft(w.Now, request)
+		})
+	})
+}
+
+// Config returns a configuration with safe, tracked and sharded routes that are the same in all versions, and one route that
+// depends on the version.
+func Config(version uint64) []byte { return ConfigVariant(version, 0) }
+
+// ConfigVariant returns one of several different configurations with the same version, as two operators may send them.
+func ConfigVariant(version uint64, variant int) []byte {
+	c := routeconfig.Config{Edition: fmt.Sprintf("r%d", version),
+		Itineraries: []routeconfig.Route{
+			{Name: "read", Depot: "shop.example", LanePrefix: "/read/", RouteKind: routeconfig.Safe, TimeoutMs: 1200,
+				TargetMs: 200,
+				Carrier:  "shop", Tries: 2},
+			{Name: "pay", Depot: "shop.example", LanePrefix: "/pay/", RouteKind: routeconfig.Tracked, TimeoutMs: 1000,
+				TargetMs: 200,
+				Carrier:  "till", Tries: 2},
+			{Name: "stock", Depot: "shop.example", LanePrefix: "/stock/", RouteKind: routeconfig.Safe, TimeoutMs: 1200,
+				TargetMs: 200,
+				Carrier:  shardedService, Tries: 2},
+			{Name: "new", Depot: "shop.example", LanePrefix: fmt.Sprintf("/new%d/", version+uint64(variant)<<32),
+				RouteKind: routeconfig.Safe, TimeoutMs: 1000,
+				TargetMs: 200, Carrier: "shop", Tries: 2}},
+		Carriers: []routeconfig.Service{{Name: "shop", HealthPath: "/health"}, {Name: "till", HealthPath: "/health"},
+			{Name: shardedService, HealthPath: "/health", Sharded: true, WarmUpS: 2}}}
+	text, err := json.Marshal(c)
+	if err != nil {
+		panic(err)
+	}
+	return text
+}
+
+// Configure makes an operator send a configuration to the control server at an index, and to the next one after each failure or
+// timeout, until it is acknowledged. Then onAck is called, unless it is nil.
+func (w *World) Configure(index int, version uint64, onAck func()) {
+	server := w.Servers[index%len(w.Servers)]
+	done, incarnation := false, server.starts
+	tryNext := func() {
+		if !done {
+			done = true
+			w.After(0.1, func() { w.Configure(index+1, version, onAck) })
+		}
+	}
+	w.Checker.configSent(version)
+	if !server.up {
+		tryNext()
+		return
+	}
+	w.After(1, tryNext)
+	server.input(func() {
+		server.server.Order(w.Now, version, Config(version), func(result control.OrderResult) {
+			if done || !server.up || server.starts != incarnation {
+				return
+			}
+			if result != control.OrderTaken {
+				w.Checker.configRefused(version, result)
+				tryNext()
+				return
+			}
+			done = true
+			w.Checker.configAcked(version)
+			if onAck != nil {
+				onAck()
+			}
+		})
+	})
+}
+
+// SendConfig sends a configuration to one control server, once. answer is called with the result unless the process ends
+// before.
+func (w *World) SendConfig(to *ControlServer, version uint64, text []byte, answer func(control.OrderResult)) {
+	w.Checker.configSent(version)
+	incarnation := to.starts
+	to.input(func() {
+		to.server.Order(w.Now, version, text, func(result control.OrderResult) {
+			if to.up && to.starts == incarnation && answer != nil {
+				answer(result)
+			}
+		})
+	})
+}
+
+// ReadConfig makes an operator read the configuration from the control server at an index, and from the next ones until one
+// answers.
+func (w *World) ReadConfig(index int, got func(version uint64)) {
+	server := w.Servers[index%len(w.Servers)]
+	done := false
+	tryNext := func() {
+		if !done {
+			done = true
+			w.After(0.1, func() { w.ReadConfig(index+1, got) })
+		}
+	}
+	if !server.up {
+		tryNext()
+		return
+	}
+	w.After(1, tryNext)
+	server.input(func() {
+		server.server.Configuration(w.Now, func(text []byte, result control.OrderResult) {
+			if done {
+				return
+			}
+			if result != control.OrderTaken {
+				tryNext()
+				return
+			}
+			done = true
+			table, err := routeconfig.Compile(text)
+			if err != nil {
+				got(0)
+				return
+			}
+			got(table.Edition)
+		})
+	})
+}
--- a/internal/mesh/simulation/calls_test.go
+++ b/internal/mesh/simulation/calls_test.go
@@ -6,12 +6,12 @@
 )
 
 // shopping is a cluster of one proxy that asks, and three that have a shop's host beside them.
-func shopping(t *testing.T, seed uint64) (w *World, asker *Proxy) {
+func newShopCluster(t *testing.T, seed uint64) (w *World, sender *Proxy) {
 	t.Helper()
 	w = New(seed, 3, Host{"till", "a"}, Host{"shop", "a"}, Host{"shop", "a"}, Host{"shop", "a"})
 	w.Configure(int(seed), 1, nil)
 	w.Run(4)
-	if w.Checker.Newest != 1 {
+	if w.Checker.NewestAcked != 1 {
 		t.Fatalf("seed %d: no configuration after 4 s", seed)
 	}
 	return w, w.Proxies[0]
@@ -19,19 +19,19 @@
 
 // askThroughRestart has a proxy ask, be killed, start again and ask on while hosts are at work on what it
 // asked first.
-func askThroughRestart(w *World, asker *Proxy) {
+func requestThroughRestart(w *World, sender *Proxy) {
 	for _, s := range w.Proxies[1:] {
-		s.station.takes = 0.5
+		s.instance.extraSeconds = 0.5
 	}
 	for i := range 12 {
-		w.After(float64(i)*0.01, func() { w.Ask(asker, "/read/x", "", 1) })
+		w.After(float64(i)*0.01, func() { w.Request(sender, "/read/x", "", 1) })
 	}
 	w.Run(0.2)
-	asker.Kill()
+	sender.Kill()
 	w.Run(0.01)
-	asker.Start()
+	sender.Start()
 	for i := range 60 {
-		w.After(0.05+float64(i)*0.005, func() { w.Ask(asker, "/read/x", "", 1) })
+		w.After(0.05+float64(i)*0.005, func() { w.Request(sender, "/read/x", "", 1) })
 	}
 	w.Run(4)
 }
@@ -40,9 +40,9 @@
 // come by new connections while those are open: none of them is given to a client of the new process.
 func TestAnswersToAFormerProcessAreNobodys(t *testing.T) {
 	for seed := range uint64(20) {
-		w, asker := shopping(t, seed)
-		askThroughRestart(w, asker)
-		verdictOn(t, w, fmt.Sprintf("seed %d", seed), 0)
+		w, sender := newShopCluster(t, seed)
+		requestThroughRestart(w, sender)
+		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0)
 	}
 }
 
@@ -53,20 +53,20 @@
 		w := New(seed, 3, Host{"shop", "a"}, Host{"till", "a"})
 		w.Configure(int(seed), 1, nil)
 		w.Run(4)
-		asker, gate := w.Proxies[0], w.Proxies[1]
-		gate.station.takes = 0.5
-		w.Faults.Double, w.Faults.Within = 1, 0.8
-		w.Ask(asker, "/pay/x", "k", 1)
+		sender, receiver := w.Proxies[0], w.Proxies[1]
+		receiver.instance.extraSeconds = 0.5
+		w.Faults.Duplicate, w.Faults.MaxDelaySeconds = 1, 0.8
+		w.Request(sender, "/pay/x", "k", 1)
 		w.Run(0.02)
-		w.Faults.Double = 0
-		if w.Checker.RunsAt(gate) != 1 {
-			t.Fatalf("seed %d: %d runs after 20 ms", seed, w.Checker.RunsAt(gate))
+		w.Faults.Duplicate = 0
+		if w.Checker.RunsAt(receiver) != 1 {
+			t.Fatalf("seed %d: %d runs after 20 ms", seed, w.Checker.RunsAt(receiver))
 		}
-		gate.Kill()
+		receiver.Kill()
 		w.Run(0.005)
-		gate.Start()
+		receiver.Start()
 		w.Run(3)
-		verdictOn(t, w, fmt.Sprintf("seed %d", seed), 0)
+		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0)
 	}
 }
 
@@ -75,35 +75,35 @@
 // another's answer. A step is found by its time: claims take some milliseconds, runs up to sixty.
 func TestOperationsAtEachStep(t *testing.T) {
 	const step, last = 0.002, 0.09
-	for name, befall := range map[string]func(w *World, asker, gate *Proxy){
-		"gate killed": func(w *World, _, gate *Proxy) { restart(w, gate, 0.05) },
-		"gate dark": func(w *World, _, gate *Proxy) {
-			gate.PowerOff()
-			w.After(0.1, func() { gate.Start(); gate.StartHost() })
+	for name, inject := range map[string]func(w *World, sender, receiver *Proxy){
+		"gate killed": func(w *World, _, receiver *Proxy) { restart(w, receiver, 0.05) },
+		"gate dark": func(w *World, _, receiver *Proxy) {
+			receiver.PowerOff()
+			w.After(0.1, func() { receiver.Start(); receiver.StartHost() })
 		},
-		"gate frozen":    func(w *World, _, gate *Proxy) { gate.Freeze(); w.After(1, gate.Thaw) },
-		"gate's SIGTERM": func(w *World, _, gate *Proxy) { gate.Term(func() { w.After(0.05, gate.Start) }) },
-		"gate frozen, then killed": func(w *World, _, gate *Proxy) {
-			gate.Freeze()
-			w.After(0.3, func() { restart(w, gate, 0.01) })
+		"gate frozen":    func(w *World, _, receiver *Proxy) { receiver.Freeze(); w.After(1, receiver.Thaw) },
+		"gate's SIGTERM": func(w *World, _, receiver *Proxy) { receiver.Terminate(func() { w.After(0.05, receiver.Start) }) },
+		"gate frozen, then killed": func(w *World, _, receiver *Proxy) {
+			receiver.Freeze()
+			w.After(0.3, func() { restart(w, receiver, 0.01) })
 		},
-		"asker killed":    func(w *World, asker, _ *Proxy) { restart(w, asker, 0.02) },
-		"asker frozen":    func(w *World, asker, _ *Proxy) { asker.Freeze(); w.After(1, asker.Thaw) },
-		"asker's SIGTERM": func(w *World, asker, _ *Proxy) { asker.Term(func() { w.After(0.05, asker.Start) }) },
-		"reset":           func(w *World, asker, gate *Proxy) { w.Reset(asker.addr, gate.addr) },
+		"asker killed":    func(w *World, sender, _ *Proxy) { restart(w, sender, 0.02) },
+		"asker frozen":    func(w *World, sender, _ *Proxy) { sender.Freeze(); w.After(1, sender.Thaw) },
+		"asker's SIGTERM": func(w *World, sender, _ *Proxy) { sender.Terminate(func() { w.After(0.05, sender.Start) }) },
+		"reset":           func(w *World, sender, receiver *Proxy) { w.Reset(sender.addr, receiver.addr) },
 	} {
-		w := stall(t, 1)
-		w.Faults.Double, w.Faults.Within = 0.5, 0.5
-		asker, gate := w.Proxies[0], w.Proxies[1]
+		w := newTillCluster(t, 1)
+		w.Faults.Duplicate, w.Faults.MaxDelaySeconds = 0.5, 0.5
+		sender, receiver := w.Proxies[0], w.Proxies[1]
 		for at := 0.0; at < last; at += step {
 			key := fmt.Sprintf("%s at %.3f", name, at)
-			w.Ask(asker, "/pay/x", key, 2)
-			w.Ask(asker, "/pay/x", "", 1)
-			w.After(0.3, func() { w.Ask(w.Proxies[2], "/pay/x", key, 2) })
-			w.After(at, func() { befall(w, asker, gate) })
+			w.Request(sender, "/pay/x", key, 2)
+			w.Request(sender, "/pay/x", "", 1)
+			w.After(0.3, func() { w.Request(w.Proxies[2], "/pay/x", key, 2) })
+			w.After(at, func() { inject(w, sender, receiver) })
 			w.Run(3.5)
 		}
-		verdictOn(t, w, name, 0.5)
+		checkOutcome(t, w, name, 0.5)
 	}
 }
 
@@ -115,18 +115,18 @@
 		w := New(seed, 3, Host{"shop", "a"}, Host{"till", "a"})
 		w.Configure(int(seed), 1, nil)
 		w.Run(4)
-		asker, gate := w.Proxies[0], w.Proxies[1]
-		w.Ask(asker, "/pay/x", "first", 1) // so that it is known which process is there
+		sender, receiver := w.Proxies[0], w.Proxies[1]
+		w.Request(sender, "/pay/x", "first", 1) // so that it is known which process is there
 		w.Run(1)
-		w.Ask(asker, "/pay/x", "k", 1)
-		gate.Freeze()
+		w.Request(sender, "/pay/x", "k", 1)
+		receiver.Freeze()
 		w.Run(2)
 		if w.Checker.Statuses[503] != 1 {
 			t.Fatalf("seed %d: answers %v, want a promise", seed, w.Checker.Statuses)
 		}
-		w.Run(1.5 * window)
-		gate.Thaw()
+		w.Run(1.5 * dedupWindowSeconds)
+		receiver.Thaw()
 		w.Run(3)
-		verdictOn(t, w, fmt.Sprintf("seed %d", seed), 0)
+		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0)
 	}
 }
--- a/internal/mesh/simulation/checker.go
+++ b/internal/mesh/simulation/checker.go
@@ -10,136 +10,146 @@
 	"beechwing/internal/mesh/sidecar"
 )
 
-// Checker knows the operators' rules by their names, and judges by what hosts, clients and operators saw.
+// Checker verifies the correctness rules of the system from what hosts, clients and operators observe. Each violation begins
+// with the name of its rule.
 type Checker struct {
-	w        *World
-	Broken   []string
-	runs     map[string][]run // by key
-	byID     map[string][]run
-	requests map[string]request
-	promised map[string]bool // ids that were answered by a promise
-	stamps   map[string]run
-	versions map[uint64]bool // ever sent
-	Newest   uint64          // acknowledged
-	ackedAt  map[uint64]float64
-	seen     map[string]uint64 // by a life of a proxy
-	at       map[*Proxy]int    // runs of the host beside a proxy
-	Served   int
-	Asked    int
-	Statuses map[int]int
-	asks     map[string][]float64 // when requests for a service came
-	further  map[string][]float64 // when one arrived at a host that had arrived at another before
-	kept     map[string]success   // by key, the first answer
-	leftAt   map[string]float64   // by id, when its client closed the connection
-	Left     int                  // clients that closed before they had an answer
-	Near     int                  // runs in the zone in which they were asked for, of those that may run anywhere
-	Far      int
+	w              *World
+	Violations     []string
+	runsByKey      map[string][]run         // by idempotency key
+	runsByRequest  map[string][]run         // by request ID
+	requests       map[string]clientRequest // by request ID
+	promisedNotRun map[string]bool          // request IDs whose response promised that the request will not run
+	runsByPostmark map[string]run
+	sentVersions   map[uint64]bool      // configuration versions that were ever sent
+	NewestAcked    uint64               // newest acknowledged configuration version
+	ackedAt        map[uint64]float64   // by configuration version
+	configSeen     map[string]uint64    // configuration version in force, by proxy address and incarnation
+	runCounts      map[*Proxy]int       // runs of the proxy's host
+	Served         int                  // successful responses
+	Requested      int                  // client requests, retries by clients included
+	Statuses       map[int]int          // responses by status
+	requestTimes   map[string][]float64 // by service: times of the client requests
+	retryTimes     map[string][]float64 // by service: times at which a request reached a host that had reached a host before
+	firstSuccess   map[string]success   // by idempotency key
+	disconnectedAt map[string]float64   // by request ID: time at which the client closed the connection
+	Disconnected   int                  // clients that closed the connection before they got a response
+	SameZone       int                  // runs of untracked requests in the zone of the proxy that the client asked
+	CrossZone      int                  // runs of untracked requests in another zone
 }
 
+// run is one execution of a request at a host. Its postmark is unique and comes back in the response.
 type run struct {
-	id, key, stamp string
-	at             float64
+	id, key, postmark string
+	at                float64
 }
 
-// success is the answer to an operation.
+// success is the first successful response to a tracked request.
 type success struct {
 	at    float64
-	proxy string // that gave it
+	proxy string // address of the proxy that responded
 }
 
-type request struct {
+// clientRequest is a request as its client sent it.
+type clientRequest struct {
 	path, key, zone string
-	proxy           string // address of the one that was asked
+	proxy           string // address of the proxy that the client asked
 	at              float64
 }
 
 func newChecker(w *World) *Checker {
-	return &Checker{w: w, runs: map[string][]run{}, byID: map[string][]run{}, requests: map[string]request{},
-		promised: map[string]bool{}, stamps: map[string]run{}, versions: map[uint64]bool{}, ackedAt: map[uint64]float64{},
-		seen: map[string]uint64{}, at: map[*Proxy]int{}, Statuses: map[int]int{}, asks: map[string][]float64{},
-		further: map[string][]float64{}, leftAt: map[string]float64{}, kept: map[string]success{}}
+	return &Checker{w: w, runsByKey: map[string][]run{}, runsByRequest: map[string][]run{}, requests: map[string]clientRequest{},
+		promisedNotRun: map[string]bool{}, runsByPostmark: map[string]run{}, sentVersions: map[uint64]bool{},
+		ackedAt:    map[uint64]float64{},
+		configSeen: map[string]uint64{}, runCounts: map[*Proxy]int{}, Statuses: map[int]int{},
+		requestTimes: map[string][]float64{},
+		retryTimes:   map[string][]float64{}, disconnectedAt: map[string]float64{}, firstSuccess: map[string]success{}}
 }
 
+// fail records a violation of a rule.
 func (c *Checker) fail(rule, format string, args ...any) {
-	c.Broken = append(c.Broken, fmt.Sprintf("%s at %.3f: ", rule, c.w.Now)+fmt.Sprintf(format, args...))
+	c.Violations = append(c.Violations, fmt.Sprintf("%s at %.3f: ", rule, c.w.Now)+fmt.Sprintf(format, args...))
 }
 
-func (c *Checker) asked(s *Proxy, id, path, key string) {
-	c.Asked++
-	c.asks[serviceOf(path)] = append(c.asks[serviceOf(path)], c.w.Now)
-	c.requests[id] = request{path, key, s.host.Zone, s.addr, c.w.Now}
+// requestSent records that a client sends a request.
+func (c *Checker) requestSent(s *Proxy, id, path, key string) {
+	c.Requested++
+	c.requestTimes[serviceOf(path)] = append(c.requestTimes[serviceOf(path)], c.w.Now)
+	c.requests[id] = clientRequest{path, key, s.host.Zone, s.addr, c.w.Now}
 }
 
-// ran is a host that begins a request.
-func (c *Checker) ran(s *Proxy, st *station, id string, carry *meshpb.Forward) string {
-	c.at[s]++
-	q, known := c.requests[id]
+// runStarted checks and records that a host starts to run a request. It returns the postmark of the run.
+func (c *Checker) runStarted(s *Proxy, instance *hostInstance, id string, forward *meshpb.Forward) string {
+	c.runCounts[s]++
+	request, known := c.requests[id]
 	if !known {
-		c.fail("UNASKED", "%s runs %s, which nobody asked", st.id, id)
+		c.fail("UNASKED", "%s runs %s, which no client sent", instance.id, id)
 	}
-	tracked := strings.HasPrefix(q.path, "/pay/")
-	if c.leftLongAgo(id) && c.w.inTouch(s.addr, q.proxy) {
-		c.fail("GONE", "%s runs %s, whose client left at %.3f", st.id, id, c.leftAt[id])
+	tracked := strings.HasPrefix(request.path, "/pay/")
+	if c.disconnectedLongAgo(id) && c.w.undisturbed(s.addr, request.proxy) {
+		c.fail("GONE", "%s runs %s, whose client disconnected at %.3f", instance.id, id, c.disconnectedAt[id])
 	}
-	if len(c.byID[id]) > 0 {
-		c.again(s.host.Carrier)
+	if len(c.runsByRequest[id]) > 0 {
+		c.retryArrived(s.host.Service)
 	}
 	switch {
 	case tracked:
-	case q.zone == s.host.Zone:
-		c.Near++
+	case request.zone == s.host.Zone:
+		c.SameZone++
 	default:
-		c.Far++
+		c.CrossZone++
 	}
-	if s.host.Carrier != serviceOf(q.path) {
-		c.fail("ROUTE", "%s of %s runs %s", st.id, s.host.Carrier, q.path)
+	if s.host.Service != serviceOf(request.path) {
+		c.fail("ROUTE", "host %s of service %s runs %s", instance.id, s.host.Service, request.path)
 	}
-	if key, sharded := shardKey(carry); sharded {
-		c.owner(st, key)
+	if key, sharded := shardKey(forward); sharded {
+		c.checkOwner(instance, key)
 	}
-	if st.acked > 0 && c.w.Now > st.acked+2 {
-		c.fail("DRAIN", "%s runs %s %.1f s after its word was acknowledged", st.id, id, c.w.Now-st.acked)
+	if instance.drainAckedAt > 0 && c.w.Now > instance.drainAckedAt+2 {
+		c.fail("DRAIN", "%s runs %s %.1f s after its drain was acknowledged", instance.id, id, c.w.Now-instance.drainAckedAt)
 	}
-	if c.promised[id] && tracked {
-		c.fail("REFUSED", "%s runs after it was promised not to", id)
+	if c.promisedNotRun[id] && tracked {
+		c.fail("REFUSED", "%s runs after a response promised that it would not run", id)
 	}
-	r := run{id, q.key, fmt.Sprintf("%s.%d", st.id, len(c.stamps)), c.w.Now}
-	if tracked && q.key == "" && len(c.byID[id]) > 0 {
-		c.fail("TWICE", "%s has no key, ran as %s and runs again", id, c.byID[id][0].stamp)
+	r := run{id, request.key, fmt.Sprintf("%s.%d", instance.id, len(c.runsByPostmark)), c.w.Now}
+	if tracked && request.key == "" && len(c.runsByRequest[id]) > 0 {
+		c.fail("TWICE", "%s has no key, ran as %s and runs again", id, c.runsByRequest[id][0].postmark)
 	}
-	if tracked && q.key != "" {
-		if before := c.runs[q.key]; len(before) > 0 && c.w.Now < before[0].at+window {
-			c.fail("TWICE", "key %s ran as %s at %.3f and as %s", q.key, before[0].id, before[0].at, id)
+	if tracked && request.key != "" {
+		if before := c.runsByKey[request.key]; len(before) > 0 && c.w.Now < before[0].at+dedupWindowSeconds {
+			c.fail("TWICE", "key %s ran as %s at %.3f and as %s", request.key, before[0].id, before[0].at, id)
 		}
-		c.runs[q.key] = append(c.runs[q.key], r)
+		c.runsByKey[request.key] = append(c.runsByKey[request.key], r)
 	}
-	c.byID[id] = append(c.byID[id], r)
-	c.stamps[r.stamp] = r
-	return r.stamp
+	c.runsByRequest[id] = append(c.runsByRequest[id], r)
+	c.runsByPostmark[r.postmark] = r
+	return r.postmark
 }
 
-// left is a client that closes its connection before it has an answer.
-func (c *Checker) left(id string) {
-	c.leftAt[id] = c.w.Now
-	c.Left++
+// clientDisconnected records that a client closes its connection before it has a response.
+func (c *Checker) clientDisconnected(id string) {
+	c.disconnectedAt[id] = c.w.Now
+	c.Disconnected++
 }
 
-// goneSlack is for how many seconds after its client has left a request may still reach a host, or be at work there. The operators'
-// rule bears a few that are later; here there are none.
-const goneSlack = 0.5
+// disconnectGraceSeconds is the time after the client's disconnect in which a request may still reach a host or run there. The
+// operators' rule tolerates a few that are later; the simulation tolerates none.
+const disconnectGraceSeconds = 0.5
 
-func (c *Checker) leftLongAgo(id string) bool {
-	at, left := c.leftAt[id]
-	return left && c.w.Now > at+goneSlack
+// disconnectedLongAgo reports whether the client of a request disconnected more than disconnectGraceSeconds ago.
+func (c *Checker) disconnectedLongAgo(id string) bool {
+	at, left := c.disconnectedAt[id]
+	return left && c.w.Now > at+disconnectGraceSeconds
 }
 
-// worked is a host that comes to the end of a run. What may be repeated is broken off once its client has left.
-func (c *Checker) worked(s *Proxy, id string, carry *meshpb.Forward) {
-	if carry.Repeatable && c.leftLongAgo(id) && c.w.inTouch(s.addr, c.requests[id].proxy) {
-		c.fail("GONE", "a host worked on %s to its end, its client left at %.3f", id, c.leftAt[id])
+// runFinished checks that a run which a host completes was not to be aborted: a repeatable request is aborted when its client
+// disconnects.
+func (c *Checker) runFinished(s *Proxy, id string, forward *meshpb.Forward) {
+	if forward.Repeatable && c.disconnectedLongAgo(id) && c.w.undisturbed(s.addr, c.requests[id].proxy) {
+		c.fail("GONE", "a host completed %s, whose client disconnected at %.3f", id, c.disconnectedAt[id])
 	}
 }
 
+// serviceOf returns the service to which a path is routed.
 func serviceOf(path string) string {
 	switch {
 	case strings.HasPrefix(path, "/pay/"):
@@ -150,15 +160,17 @@
 	return "shop"
 }
 
-// The budget of further tries, as the proxies are told it.
+// The retry budget: in a window, retries may number retryRatio of the requests plus retrySlack. The proxies have the same
+// settings.
 const (
-	retryRatio, retryWindow, retrySlack = 0.2, 10.0, 60.0
+	retryRatio, retryWindowSeconds, retrySlack = 0.2, 10.0, 60.0
 )
 
-// again counts an arrival beyond a request's first against the budget of its service, summed over all proxies.
-func (c *Checker) again(service string) {
-	c.further[service] = append(c.further[service], c.w.Now)
-	in := func(times []float64, from, to float64) (n int) {
+// retryArrived counts the arrival of a request at a host after its first arrival, and checks the retry budget of the service,
+// summed over all proxies.
+func (c *Checker) retryArrived(service string) {
+	c.retryTimes[service] = append(c.retryTimes[service], c.w.Now)
+	countIn := func(times []float64, from, to float64) (n int) {
 		for _, at := range times {
 			if at > from && at <= to {
 				n++
@@ -167,94 +179,102 @@
 		return n
 	}
 	now := c.w.Now
-	asked := max(in(c.asks[service], now-retryWindow, now), in(c.asks[service], now-2*retryWindow, now-retryWindow),
-		in(c.asks[service], now-1.5*retryWindow, now-retryWindow/2))
-	if n := in(c.further[service], now-retryWindow, now); float64(n) > retryRatio*float64(asked)+retrySlack {
-		c.fail("BUDGET", "%d further arrivals at %s for %d requests", n, service, asked)
+	requests := max(countIn(c.requestTimes[service], now-retryWindowSeconds, now),
+		countIn(c.requestTimes[service], now-2*retryWindowSeconds, now-retryWindowSeconds),
+		countIn(c.requestTimes[service], now-1.5*retryWindowSeconds, now-retryWindowSeconds/2))
+	if n := countIn(c.retryTimes[service], now-retryWindowSeconds, now); float64(n) > retryRatio*float64(requests)+retrySlack {
+		c.fail("BUDGET", "%d retries at service %s for %d requests", n, service, requests)
 	}
 }
 
-// answered is a client that gets an answer.
-func (c *Checker) answered(id string, r sidecar.Reply) {
+// responseReceived checks and records the response to a client.
+func (c *Checker) responseReceived(id string, r sidecar.Reply) {
 	c.Statuses[r.Status]++
-	q := c.requests[id]
-	tracked := strings.HasPrefix(q.path, "/pay/")
+	request := c.requests[id]
+	tracked := strings.HasPrefix(request.path, "/pay/")
 	switch {
 	case r.Status < 300:
 		c.Served++
-		stamp := field(r.Fields, sidecar.HeaderPostmark)
-		ran, known := c.stamps[stamp]
-		if !known || string(r.Body) != "body of "+stamp || ran.id != id && (q.key == "" || ran.key != q.key) {
-			c.fail("MIXED", "%s is answered by %q", id, stamp)
+		postmark := fieldValue(r.Fields, sidecar.HeaderPostmark)
+		ran, known := c.runsByPostmark[postmark]
+		if !known || string(r.Body) != "body of "+postmark || ran.id != id && (request.key == "" || ran.key != request.key) {
+			c.fail("MIXED", "%s got a response of another request or with a wrong body, its postmark is %q", id, postmark)
 		}
-		if _, known := c.kept[q.key]; tracked && q.key != "" && !known {
-			c.kept[q.key] = success{c.w.Now, q.proxy}
+		if _, known := c.firstSuccess[request.key]; tracked && request.key != "" && !known {
+			c.firstSuccess[request.key] = success{c.w.Now, request.proxy}
 		}
-		if tracked && q.key != "" && (len(c.runs[q.key]) == 0 || ran.stamp != c.runs[q.key][0].stamp) {
-			c.fail("MIXED", "key %s is answered by another run than its first", q.key)
+		if tracked && request.key != "" && (len(c.runsByKey[request.key]) == 0 ||
+			ran.postmark != c.runsByKey[request.key][0].postmark) {
+			c.fail("MIXED", "key %s got a response of another run than its first", request.key)
 		}
 	case r.Status == 409:
-		c.denied(id, q)
+		c.conflictReceived(id, request)
 	case r.Status == 503 || r.Status == 429 || r.Status == 408 || r.Status == 421:
-		c.promised[id] = true
-		if tracked && len(c.byID[id]) > 0 {
-			c.fail("REFUSED", "%s is promised not to have run, and has", id)
+		c.promisedNotRun[id] = true
+		if tracked && len(c.runsByRequest[id]) > 0 {
+			c.fail("REFUSED", "the response to %s promised that it did not run, but it did", id)
 		}
 	}
 }
 
-// repeatAfter is how many seconds after an operation's answer a repeat gets the same, and is not told that it is at work.
-const repeatAfter = 1.0
+// conflictGraceSeconds is the time after the first response within which a repeat with the same key may still get status 409,
+// that the request is in progress. Later repeats get the response again.
+const conflictGraceSeconds = 1.0
 
-// denied is a repeat that is told that its operation is at work. The operators' rule bears three such keys on a day; here there are none.
-func (c *Checker) denied(id string, q request) {
-	first, known := c.kept[q.key]
-	if !known || q.at < first.at+repeatAfter || c.w.Now > first.at+window || !c.w.inTouch(q.proxy) || !c.w.settled() {
+// conflictReceived checks a repeat that got status 409, that a request with its key is in progress. The operators' rule
+// tolerates three such keys a day after the first response; the simulation tolerates none.
+func (c *Checker) conflictReceived(id string, request clientRequest) {
+	first, known := c.firstSuccess[request.key]
+	if !known || request.at < first.at+conflictGraceSeconds || c.w.Now > first.at+dedupWindowSeconds ||
+		!c.w.undisturbed(request.proxy) || !c.w.controlPlaneUndisturbed() {
 		return
 	}
-	if at, disturbed := c.w.disturbedAt[first.proxy]; disturbed && at > first.at-touchAfter && at < first.at+touchAfter {
+	if at, disturbed := c.w.disturbedAt[first.proxy]; disturbed && at > first.at-disturbanceSeconds &&
+		at < first.at+disturbanceSeconds {
 		return
 	}
-	c.fail("DENIED", "%s repeats key %s, which was answered at %.3f, and gets 409", id, q.key, first.at)
+	c.fail("DENIED", "%s repeats key %s, which got its response at %.3f, and gets 409", id, request.key, first.at)
 }
 
-// refused is an order that was answered otherwise than by a yes: of one text under a number, none is ever refused for another's sake.
-func (c *Checker) refused(version uint64, result control.OrderResult) {
+// configRefused checks a configuration that was not accepted. Where only one text is sent under a version, no other can
+// conflict with it.
+func (c *Checker) configRefused(version uint64, result control.OrderResult) {
 	if result == control.OrderConflict {
-		c.fail("CONFIG", "%d is refused, though no other text was sent under its number", version)
+		c.fail("CONFIG", "%d is refused as a conflict, though no other text was sent under this version", version)
 	}
 }
 
-func (c *Checker) sent(version uint64) { c.versions[version] = true }
+func (c *Checker) configSent(version uint64) { c.sentVersions[version] = true }
 
-func (c *Checker) acked(version uint64) {
+func (c *Checker) configAcked(version uint64) {
 	if c.ackedAt[version] == 0 {
 		c.ackedAt[version] = c.w.Now
 	}
-	c.Newest = max(c.Newest, version)
+	c.NewestAcked = max(c.NewestAcked, version)
 }
 
-// edition looks which configuration a proxy acts by: it never goes back within a life, and only to what was sent.
-func (c *Checker) edition(s *Proxy) {
-	name := fmt.Sprintf("%s/%d", s.addr, s.lives)
-	now := s.sidecar.Edition()
-	if was := c.seen[name]; now < was {
-		c.fail("CONFIG", "%s went back from %d to %d", name, was, now)
+// checkEdition checks the configuration version that a proxy uses: it never decreases within an incarnation, and was sent by an
+// operator.
+func (c *Checker) checkEdition(s *Proxy) {
+	name := fmt.Sprintf("%s/%d", s.addr, s.starts)
+	current := s.sidecar.Edition()
+	if previous := c.configSeen[name]; current < previous {
+		c.fail("CONFIG", "%s went back from version %d to %d", name, previous, current)
 	}
-	if now > 0 && !c.versions[now] {
-		c.fail("CONFIG", "%s acts by %d, which nobody sent", name, now)
+	if current > 0 && !c.sentVersions[current] {
+		c.fail("CONFIG", "%s uses version %d, which no operator sent", name, current)
 	}
-	c.seen[name] = now
+	c.configSeen[name] = current
 }
 
-// InForce checks that proxies act by the newest acknowledged configuration.
-func (c *Checker) InForce(proxies ...*Proxy) {
+// CheckConfigInForce checks that proxies use the newest acknowledged configuration, or a newer one.
+func (c *Checker) CheckConfigInForce(proxies ...*Proxy) {
 	for _, s := range proxies {
-		if s.up && s.sidecar.Edition() < c.Newest {
-			c.fail("CONFIG", "%s acts by %d, %d was acknowledged", s.addr, s.sidecar.Edition(), c.Newest)
+		if s.up && s.sidecar.Edition() < c.NewestAcked {
+			c.fail("CONFIG", "%s uses version %d, though %d was acknowledged", s.addr, s.sidecar.Edition(), c.NewestAcked)
 		}
 	}
 }
 
-// RunsAt is how much the host beside a proxy has run.
-func (c *Checker) RunsAt(s *Proxy) int { return c.at[s] }
+// RunsAt returns the number of requests that a proxy's host has started.
+func (c *Checker) RunsAt(s *Proxy) int { return c.runCounts[s] }
--- a/internal/mesh/simulation/departure_test.go
+++ b/internal/mesh/simulation/client_disconnect_test.go
@@ -6,20 +6,20 @@
 )
 
 // impatient is a cluster whose hosts take so many seconds more for each run than they would.
-func impatient(t *testing.T, seed uint64, takes float64) *World {
+func newSlowCluster(t *testing.T, seed uint64, extraSeconds float64) *World {
 	t.Helper()
 	w := New(seed, 3, Host{"shop", "a"}, Host{"shop", "b"}, Host{"till", "a"}, Host{"till", "b"})
-	configured(t, seed, w)
+	applyFirstConfig(t, seed, w)
 	for _, s := range w.Proxies {
-		s.station.takes = takes
+		s.instance.extraSeconds = extraSeconds
 	}
 	return w
 }
 
 // mustKeep fails the test for each broken rule.
-func mustKeep(t *testing.T, seed uint64, w *World) {
+func checkNoViolations(t *testing.T, seed uint64, w *World) {
 	t.Helper()
-	for _, broken := range w.Checker.Broken {
+	for _, broken := range w.Checker.Violations {
 		t.Errorf("seed %d: %s", seed, broken)
 	}
 }
@@ -27,18 +27,18 @@
 // Hosts lose answers half a second after they began, so requests go to a second host: not for a client that has left.
 func TestNothingIsSentForClientsThatLeft(t *testing.T) {
 	for seed := range uint64(8) {
-		w := impatient(t, seed, 0.55)
+		w := newSlowCluster(t, seed, 0.55)
 		for _, s := range w.Proxies[:2] {
 			s.LoseAnswers(0.5)
 		}
 		for i := range 60 {
-			w.After(0.1*float64(i), func() { w.AskAndLeave(w.Proxies[i%4], "/read/x", "", 0.02+0.01*float64(i%7)) })
+			w.After(0.1*float64(i), func() { w.RequestAndDisconnect(w.Proxies[i%4], "/read/x", "", 0.02+0.01*float64(i%7)) })
 		}
 		w.Run(9)
-		if w.Checker.Left < 50 {
-			t.Errorf("seed %d: %d clients left, want most of 60", seed, w.Checker.Left)
+		if w.Checker.Disconnected < 50 {
+			t.Errorf("seed %d: %d clients left, want most of 60", seed, w.Checker.Disconnected)
 		}
-		mustKeep(t, seed, w)
+		checkNoViolations(t, seed, w)
 	}
 }
 
@@ -46,38 +46,38 @@
 // broken off, and those who stay are served in its place.
 func TestHostsStopForClientsThatLeft(t *testing.T) {
 	for seed := range uint64(8) {
-		w := impatient(t, seed, 0.9)
+		w := newSlowCluster(t, seed, 0.9)
 		for i := range 40 {
-			w.After(0.05*float64(i), func() { w.AskAndLeave(w.Proxies[i%4], "/read/x", "", 0.1) })
+			w.After(0.05*float64(i), func() { w.RequestAndDisconnect(w.Proxies[i%4], "/read/x", "", 0.1) })
 		}
 		w.Run(2)
 		served := w.Checker.Served
 		for _, s := range w.Proxies {
-			s.station.takes = 0
-			w.Ask(s, "/read/x", "", 1)
+			s.instance.extraSeconds = 0
+			w.Request(s, "/read/x", "", 1)
 		}
 		w.Run(0.5)
 		if n := w.Checker.Served - served; n != len(w.Proxies) {
 			t.Errorf("seed %d: %d of %d who stay are served", seed, n, len(w.Proxies))
 		}
-		mustKeep(t, seed, w)
+		checkNoViolations(t, seed, w)
 	}
 }
 
 // An operation goes on when its client leaves: whoever repeats it by its key gets the answer of the one run.
 func TestOperationsOutliveTheirClients(t *testing.T) {
 	for seed := range uint64(8) {
-		w := impatient(t, seed, 0.3)
+		w := newSlowCluster(t, seed, 0.3)
 		for i := range 12 {
 			key := fmt.Sprintf("k%d", i)
-			w.After(0.2*float64(i), func() { w.AskAndLeave(w.Proxies[i%4], "/pay/x", key, 0.01+0.02*float64(i)) })
-			w.After(0.2*float64(i)+1.5, func() { w.Ask(w.Proxies[(i+1)%4], "/pay/x", key, 3) })
+			w.After(0.2*float64(i), func() { w.RequestAndDisconnect(w.Proxies[i%4], "/pay/x", key, 0.01+0.02*float64(i)) })
+			w.After(0.2*float64(i)+1.5, func() { w.Request(w.Proxies[(i+1)%4], "/pay/x", key, 3) })
 		}
 		w.Run(8)
 		if w.Checker.Served < 12 {
 			t.Errorf("seed %d: %d of 12 repeats are served", seed, w.Checker.Served)
 		}
-		mustKeep(t, seed, w)
+		checkNoViolations(t, seed, w)
 	}
 }
 
@@ -85,15 +85,15 @@
 func TestCheckerFindsWorkForClientsThatLeft(t *testing.T) {
 	found := 0
 	for seed := range uint64(3) {
-		w := cluster(t, seed, 3)
-		w.CloseUnheard = true
+		w := newCluster(t, seed, 3)
+		w.IgnoreDisconnects = true
 		for _, s := range w.Proxies {
 			s.LoseAnswers(0.3)
-			s.station.takes = 0.7
+			s.instance.extraSeconds = 0.7
 		}
-		traffic(w, 6)
+		startTraffic(w, 6)
 		w.Run(8)
-		found += broken(w)["GONE"]
+		found += violationsByRule(w)["GONE"]
 	}
 	if found == 0 {
 		t.Error("nothing is found")
@@ -103,11 +103,11 @@
 
 // The checker finds it where repeats are told that an operation is at work, which was answered over a second before.
 func TestCheckerFindsRepeatsDenied(t *testing.T) {
-	w := cluster(t, 1, 3)
-	w.EndsUntold = true
-	traffic(w, 6)
+	w := newCluster(t, 1, 3)
+	w.DropSettles = true
+	startTraffic(w, 6)
 	w.Run(8)
-	found := broken(w)["DENIED"]
+	found := violationsByRule(w)["DENIED"]
 	if found == 0 {
 		t.Error("nothing is found")
 	}
--- a/internal/mesh/simulation/control_test.go
+++ b/internal/mesh/simulation/control_test.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	configWithin = 2.0 // seconds within which proxies act by what was acknowledged
-	catchUp      = 4.0 // seconds within which a replacement is complete
+	configSeconds  = 2.0 // seconds within which proxies act by what was acknowledged
+	catchUpSeconds = 4.0 // seconds within which a replacement is complete
 )
 
 // cutWays are the ways in which a server is cut off from others.
-var cutWays = []string{"both", "out", "in"}
+var partitionDirections = []string{"both", "out", "in"}
 
-func cutOff(w *World, one *ControlServer, way string) {
+func partition(w *World, server *ControlServer, direction string) {
 	for _, o := range w.Servers {
-		if o == one {
+		if o == server {
 			continue
 		}
-		if way != "in" {
-			w.Cut(one.addr, o.addr)
+		if direction != "in" {
+			w.Block(server.addr, o.addr)
 		}
-		if way != "out" {
-			w.Cut(o.addr, one.addr)
+		if direction != "out" {
+			w.Block(o.addr, server.addr)
 		}
 	}
 }
@@ -36,23 +36,23 @@
 func TestServerCutOffFor20Seconds(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(9) {
-		w := cluster(t, seed, 3+int(seed%3))
-		cut, way := w.Servers[seed%3], cutWays[seed/3%3]
-		name := fmt.Sprintf("seed %d, %s", seed, way)
-		at := w.Now
-		cutOff(w, cut, way)
+		w := newCluster(t, seed, 3+int(seed%3))
+		isolated, direction := w.Servers[seed%3], partitionDirections[seed/3%3]
+		name := fmt.Sprintf("seed %d, %s", seed, direction)
+		cutAt := w.Now
+		partition(w, isolated, direction)
 		slowest, confirmed := 0.0, 0
 		for i := range 190 {
 			w.After(float64(i)*0.1, func() {
-				asked := w.Now
-				w.Order(cut, 1000+uint64(i), Config(1000+uint64(i)), func(result control.OrderResult) {
+				sentAt := w.Now
+				w.SendConfig(isolated, 1000+uint64(i), Config(1000+uint64(i)), func(result control.OrderResult) {
 					if result == control.OrderTaken {
 						confirmed++
 					}
-					if asked > at+1 {
-						slowest = max(slowest, w.Now-asked)
-					} else if w.Now > asked+1 {
-						t.Errorf("%s: an order at the cut is answered after %.2f s", name, w.Now-asked)
+					if sentAt > cutAt+1 {
+						slowest = max(slowest, w.Now-sentAt)
+					} else if w.Now > sentAt+1 {
+						t.Errorf("%s: an order at the cut is answered after %.2f s", name, w.Now-sentAt)
 					}
 				})
 			})
@@ -61,19 +61,19 @@
 			version := uint64(2000 + i)
 			w.After(2*float64(i), func() { w.Configure(int(seed)+1, version, nil) })
 			w.After(2*float64(i)+0.1, func() {
-				late := w.Proxies[i%len(w.Proxies)]
-				late.Kill()
-				late.seeds = []string{cut.addr}
-				late.Start()
+				restarted := w.Proxies[i%len(w.Proxies)]
+				restarted.Kill()
+				restarted.seeds = []string{isolated.addr}
+				restarted.Start()
 			})
 		}
 		w.Run(1.5)
 		for range 16 {
 			w.Run(1)
-			newest := w.Checker.Newest
+			newest := w.Checker.NewestAcked
 			w.After(0, func() {})
-			if w.Checker.ackedAt[newest] < w.Now-configWithin {
-				w.Checker.InForce(w.Proxies...)
+			if w.Checker.ackedAt[newest] < w.Now-configSeconds {
+				w.Checker.CheckConfigInForce(w.Proxies...)
 			}
 		}
 		w.Run(2)
@@ -83,15 +83,15 @@
 		if slowest > 0.02 {
 			t.Errorf("%s: it took %.3f s to refuse an order", name, slowest)
 		}
-		w.JoinAll()
+		w.HealNetwork()
 		w.Run(1)
 		taken := false
-		w.Order(cut, 3000, Config(3000), func(result control.OrderResult) { taken = result == control.OrderTaken })
+		w.SendConfig(isolated, 3000, Config(3000), func(result control.OrderResult) { taken = result == control.OrderTaken })
 		w.Run(0.5)
 		if !taken {
 			t.Errorf("%s: a second after it is back it takes no orders", name)
 		}
-		verdictOn(t, w, name, 0)
+		checkOutcome(t, w, name, 0)
 	}
 }
 
@@ -99,11 +99,11 @@
 func TestContactComesAndGoes(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
-		w := cluster(t, seed, 3)
-		cut := w.Servers[seed%3]
+		w := newCluster(t, seed, 3)
+		isolated := w.Servers[seed%3]
 		for i := range 8 {
-			w.After(2*float64(i), func() { cutOff(w, cut, cutWays[w.Rand.IntN(3)]) })
-			w.After(2*float64(i)+1, w.JoinAll)
+			w.After(2*float64(i), func() { partition(w, isolated, partitionDirections[w.Rand.IntN(3)]) })
+			w.After(2*float64(i)+1, w.HealNetwork)
 		}
 		version := uint64(1)
 		for i := range 50 {
@@ -112,39 +112,39 @@
 			w.After(0.3*float64(i), func() { w.Configure(w.Rand.IntN(3), v, nil) })
 		}
 		w.Run(20)
-		w.Checker.InForce(w.Proxies...)
-		if w.Checker.Newest != version {
-			t.Errorf("seed %d: %d of %d acknowledged", seed, w.Checker.Newest, version)
+		w.Checker.CheckConfigInForce(w.Proxies...)
+		if w.Checker.NewestAcked != version {
+			t.Errorf("seed %d: %d of %d acknowledged", seed, w.Checker.NewestAcked, version)
 		}
-		verdictOn(t, w, fmt.Sprintf("seed %d", seed), 0)
+		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0)
 	}
 }
 
 // texts keeps what was confirmed under each number.
-type texts struct {
+type confirmedConfigs struct {
 	t         *testing.T
 	name      string
 	confirmed map[uint64][]byte
 	conflicts int
 }
 
-func newTexts(t *testing.T, name string) *texts {
-	return &texts{t: t, name: name, confirmed: map[uint64][]byte{}}
+func newConfirmedConfigs(t *testing.T, name string) *confirmedConfigs {
+	return &confirmedConfigs{t: t, name: name, confirmed: map[uint64][]byte{}}
 }
 
 // order sends a text to a server and notes the end: of two texts under a number one is confirmed, and that one is never refused.
-func (x *texts) order(w *World, to *ControlServer, version uint64, text []byte) {
+func (x *confirmedConfigs) send(w *World, to *ControlServer, version uint64, text []byte) {
 	if !to.up {
 		return
 	}
-	w.Order(to, version, text, func(result control.OrderResult) {
+	w.SendConfig(to, version, text, func(result control.OrderResult) {
 		held, known := x.confirmed[version]
 		switch {
 		case result == control.OrderTaken && known && !bytes.Equal(held, text):
 			x.t.Errorf("%s: two texts are confirmed under %d", x.name, version)
 		case result == control.OrderTaken:
 			x.confirmed[version] = text
-			w.Checker.acked(version)
+			w.Checker.configAcked(version)
 		case result == control.OrderConflict && known && bytes.Equal(held, text):
 			x.t.Errorf("%s: %d is refused though it was confirmed", x.name, version)
 		case result == control.OrderConflict:
@@ -154,7 +154,7 @@
 }
 
 // check compares what proxies act by with what was confirmed.
-func (x *texts) check(w *World) {
+func (x *confirmedConfigs) check(w *World) {
 	for _, p := range w.Proxies {
 		text, version := p.sidecar.Configuration()
 		if held := x.confirmed[version]; p.up && held != nil && !bytes.Equal(held, text) {
@@ -169,36 +169,36 @@
 	t.Parallel()
 	conflicts := 0
 	for seed := range uint64(60) {
-		w := cluster(t, seed, 3+int(seed%3))
-		x := newTexts(t, fmt.Sprintf("seed %d", seed))
+		w := newCluster(t, seed, 3+int(seed%3))
+		x := newConfirmedConfigs(t, fmt.Sprintf("seed %d", seed))
 		a, b, c := w.Servers[seed%3], w.Servers[(seed+1)%3], w.Servers[(seed+2)%3]
 		for i := range 6 {
 			version := uint64(10 + i)
 			w.After(0.7*float64(i), func() {
-				x.order(w, a, version, ConfigVariant(version, 1))
-				w.After(0.01*w.Rand.Float64(), func() { x.order(w, b, version, ConfigVariant(version, 2)) })
-				w.After(0.6*w.Rand.Float64(), func() { x.order(w, c, version, ConfigVariant(version, 3)) })
+				x.send(w, a, version, ConfigVariant(version, 1))
+				w.After(0.01*w.Rand.Float64(), func() { x.send(w, b, version, ConfigVariant(version, 2)) })
+				w.After(0.6*w.Rand.Float64(), func() { x.send(w, c, version, ConfigVariant(version, 3)) })
 			})
 		}
 		if seed%2 == 0 {
-			w.After(2, func() { cutOff(w, c, cutWays[seed%3]) })
+			w.After(2, func() { partition(w, c, partitionDirections[seed%3]) })
 		}
 		w.Run(8)
-		w.JoinAll()
+		w.HealNetwork()
 		w.Run(2)
 		x.check(w)
-		w.Checker.InForce(w.Proxies...)
+		w.Checker.CheckConfigInForce(w.Proxies...)
 		for _, h := range w.Servers { // whatever is sent again is answered alike everywhere
 			for version := range x.confirmed {
 				for variant := range 3 {
-					x.order(w, h, version, ConfigVariant(version, variant+1))
+					x.send(w, h, version, ConfigVariant(version, variant+1))
 				}
 			}
 		}
 		w.Run(1)
 		x.check(w)
 		conflicts += x.conflicts
-		verdictOn(t, w, x.name, 0)
+		checkOutcome(t, w, x.name, 0)
 	}
 	if conflicts < 600 {
 		t.Errorf("%d conflicts: this shows little", conflicts)
@@ -210,10 +210,10 @@
 func TestOrderSentAgainLater(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		w := cluster(t, seed, 3)
-		x := newTexts(t, fmt.Sprintf("seed %d", seed))
+		w := newCluster(t, seed, 3)
+		x := newConfirmedConfigs(t, fmt.Sprintf("seed %d", seed))
 		first := uint64(5)
-		x.order(w, w.Servers[0], first, Config(first))
+		x.send(w, w.Servers[0], first, Config(first))
 		w.Run(0.2)
 		if x.confirmed[first] == nil {
 			t.Fatalf("seed %d: not confirmed", seed)
@@ -221,22 +221,22 @@
 		const changes = 320
 		for i := range changes {
 			version := uint64(100 + i)
-			w.After(0.25*float64(i/8), func() { x.order(w, w.Servers[w.Rand.IntN(3)], version, Config(version)) })
+			w.After(0.25*float64(i/8), func() { x.send(w, w.Servers[w.Rand.IntN(3)], version, Config(version)) })
 		}
 		w.After(4, w.Servers[0].PowerOff)
 		w.After(5, w.Servers[0].Start)
 		w.Run(20)
 		lost := w.Servers[1]
 		w.LoseDisk(lost, 0.5)
-		w.Run(catchUp)
+		w.Run(catchUpSeconds)
 		w.Replace(w.Servers[2])
-		w.Run(catchUp)
+		w.Run(catchUpSeconds)
 		if n := len(w.Members()); n != 3 {
 			t.Errorf("%s: %d members", x.name, n)
 		}
 		for _, h := range w.Members() {
 			answered := false
-			w.Order(h, first, Config(first), func(result control.OrderResult) {
+			w.SendConfig(h, first, Config(first), func(result control.OrderResult) {
 				answered = true
 				if result != control.OrderTaken {
 					t.Errorf("%s: %s answers %v to what was confirmed before", x.name, h.addr, result)
@@ -247,17 +247,17 @@
 				t.Errorf("%s: %s does not answer", x.name, h.addr)
 			}
 		}
-		w.Checker.InForce(w.Proxies...)
+		w.Checker.CheckConfigInForce(w.Proxies...)
 		if len(x.confirmed) < changes*9/10 {
 			t.Errorf("%s: %d of %d changes confirmed", x.name, len(x.confirmed), changes)
 		}
-		verdictOn(t, w, x.name, 0)
+		checkOutcome(t, w, x.name, 0)
 	}
 }
 
 // survives loses as many members as are to be borne, with their disks, and all others their power; then everything that was confirmed
 // has to be there, and operations have to be served.
-func survives(t *testing.T, w *World, name string) {
+func checkSurvivesLoss(t *testing.T, w *World, name string) {
 	t.Helper()
 	members := w.Members()
 	w.Rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
@@ -271,18 +271,18 @@
 	for _, h := range members {
 		h.Start()
 	}
-	w.Run(catchUp)
+	w.Run(catchUpSeconds)
 	var read uint64
-	w.ReadBack(0, func(version uint64) { read = version })
+	w.ReadConfig(0, func(version uint64) { read = version })
 	w.Run(2)
-	if read < w.Checker.Newest {
-		t.Errorf("%s: read back %d, %d was confirmed", name, read, w.Checker.Newest)
+	if read < w.Checker.NewestAcked {
+		t.Errorf("%s: read back %d, %d was confirmed", name, read, w.Checker.NewestAcked)
 	}
-	w.Checker.InForce(w.Proxies...)
+	w.Checker.CheckConfigInForce(w.Proxies...)
 	served := w.Checker.Served
 	for i := range 40 {
 		w.After(float64(i)*0.02, func() {
-			w.Ask(w.Proxies[i%len(w.Proxies)], "/pay/x", fmt.Sprintf("%s/after%d", name, i), 3)
+			w.Request(w.Proxies[i%len(w.Proxies)], "/pay/x", fmt.Sprintf("%s/after%d", name, i), 3)
 		})
 	}
 	w.Run(3)
@@ -299,26 +299,26 @@
 		n := 3 + int(seed%3)
 		planned := seed/3%2 == 0
 		name := fmt.Sprintf("seed %d, planned %v", seed, planned)
-		w := cluster(t, seed, n)
-		traffic(w, 14)
+		w := newCluster(t, seed, n)
+		startTraffic(w, 14)
 		w.Run(1)
 		old := w.Servers[w.Rand.IntN(n)]
 		if planned {
-			w.Add()
+			w.AddServer()
 			w.Run(1)
-			old.Term()
-			w.Run(catchUp - 1)
+			old.Terminate()
+			w.Run(catchUpSeconds - 1)
 		} else {
 			w.Replace(old)
-			w.Run(catchUp)
+			w.Run(catchUpSeconds)
 		}
 		w.Configure(int(seed)%n, 7, nil)
 		w.Run(0.5)
 		if members := w.Members(); len(members) != n || old.up {
 			t.Errorf("%s: %d members, the old one is up: %v", name, len(members), old.up)
 		}
-		survives(t, w, name)
-		verdictOn(t, w, name, 0.3)
+		checkSurvivesLoss(t, w, name)
+		checkOutcome(t, w, name, 0.3)
 	}
 }
 
@@ -327,13 +327,13 @@
 	t.Parallel()
 	for seed := range uint64(6) {
 		n := 3 + int(seed%3)
-		w := cluster(t, seed, n)
+		w := newCluster(t, seed, n)
 		h := w.Servers[seed%3]
 		w.LoseDisk(h, 0.5)
-		w.Run(catchUp)
+		w.Run(catchUpSeconds)
 		epochs := []uint64{w.Members()[0].server.State(w.Now).Epoch}
 		w.Replace(w.Servers[(seed+1)%3])
-		w.Run(catchUp)
+		w.Run(catchUpSeconds)
 		epochs = append(epochs, w.Members()[0].server.State(w.Now).Epoch)
 		if epochs[0] != 3 || epochs[1] != 5 {
 			t.Errorf("seed %d: epochs %v after one replacement and after two, want 3 and 5", seed, epochs)
@@ -347,8 +347,8 @@
 	for seed := range uint64(8) {
 		n := 3 + int(seed%3)
 		name := fmt.Sprintf("seed %d", seed)
-		w := cluster(t, seed, n)
-		traffic(w, float64(n)*(catchUp+2))
+		w := newCluster(t, seed, n)
+		startTraffic(w, float64(n)*(catchUpSeconds+2))
 		version := uint64(1)
 		for i := range n {
 			for k := range 8 {
@@ -358,15 +358,15 @@
 			}
 			old := w.Servers[i]
 			if w.Rand.IntN(2) == 0 {
-				w.Add()
+				w.AddServer()
 				w.Run(1)
-				old.Term()
+				old.Terminate()
 				w.Run(0.5)
 			} else {
 				w.Replace(old)
 				w.Run(0.5)
 			}
-			w.Run(catchUp)
+			w.Run(catchUpSeconds)
 		}
 		for i := range n {
 			if w.Servers[i].up {
@@ -376,12 +376,12 @@
 		if got := len(w.Members()); got != n {
 			t.Errorf("%s: %d members of %d", name, got, n)
 		}
-		if w.Checker.Newest != version {
-			t.Errorf("%s: %d of %d confirmed", name, w.Checker.Newest, version)
+		if w.Checker.NewestAcked != version {
+			t.Errorf("%s: %d of %d confirmed", name, w.Checker.NewestAcked, version)
 		}
-		verdictOn(t, w, name, 0.9)
-		survives(t, w, name)
-		verdictOn(t, w, name, 0.5)
+		checkOutcome(t, w, name, 0.9)
+		checkSurvivesLoss(t, w, name)
+		checkOutcome(t, w, name, 0.5)
 	}
 }
 
@@ -391,36 +391,36 @@
 	t.Parallel()
 	for seed := range uint64(60) {
 		n := 3 + int(seed%3)
-		way := []string{"newcomer lost", "newcomer wiped", "two at once", "power", "old one back", "core killed"}[seed/3%6]
-		name := fmt.Sprintf("seed %d, %s", seed, way)
-		w := cluster(t, seed, n)
-		traffic(w, 12)
+		fault := []string{"newcomer lost", "newcomer wiped", "two at once", "power", "old one back", "core killed"}[seed/3%6]
+		name := fmt.Sprintf("seed %d, %s", seed, fault)
+		w := newCluster(t, seed, n)
+		startTraffic(w, 12)
 		for i := range 20 {
 			v := uint64(2 + i)
 			w.After(0.4*float64(i), func() { w.Configure(w.Rand.IntN(len(w.Servers)), v, nil) })
 		}
 		w.Run(0.5)
 		old := w.Servers[w.Rand.IntN(n)]
-		back := way == "old one back"
+		back := fault == "old one back"
 		if back {
-			cutOff(w, old, "both")
+			partition(w, old, "both")
 		} else {
 			w.Remove(old)
 		}
 		w.Run(1)
-		newcomer := w.Add()
-		moment := 2 * w.Rand.Float64()
-		w.Run(moment)
-		switch way {
+		newcomer := w.AddServer()
+		joinSeconds := 2 * w.Rand.Float64()
+		w.Run(joinSeconds)
+		switch fault {
 		case "newcomer lost":
 			w.Replace(newcomer)
 		case "newcomer wiped":
 			w.LoseDisk(newcomer, 0.3)
 		case "two at once":
-			w.Add()
+			w.AddServer()
 		case "power", "core killed":
 			for _, h := range w.Servers {
-				if way == "power" {
+				if fault == "power" {
 					h.PowerOff()
 				} else {
 					h.Kill()
@@ -431,15 +431,15 @@
 				w.After(0.4*w.Rand.Float64(), h.Start)
 			}
 		case "old one back":
-			w.Run(max(0, 3-moment))
-			w.JoinAll()
+			w.Run(max(0, 3-joinSeconds))
+			w.HealNetwork()
 		}
-		w.Run(catchUp + 2)
+		w.Run(catchUpSeconds + 2)
 		if got := len(w.Members()); got != n {
 			t.Errorf("%s: %d members of %d", name, got, n)
 		}
-		survives(t, w, name)
-		verdictOn(t, w, name, 0.3)
+		checkSurvivesLoss(t, w, name)
+		checkOutcome(t, w, name, 0.3)
 	}
 }
 
@@ -450,7 +450,7 @@
 	for seed := range uint64(6) {
 		n := 3 + int(seed%3)
 		name := fmt.Sprintf("seed %d", seed)
-		w := cluster(t, seed, n)
+		w := newCluster(t, seed, n)
 		const changes = 300
 		for i := range changes {
 			v := uint64(2 + i)
@@ -471,7 +471,7 @@
 		if got := h.server.State(w.Now).InForceVersion; got != 1000 {
 			t.Errorf("%s: it has %d, 1000 was confirmed", name, got)
 		}
-		survives(t, w, name)
-		verdictOn(t, w, name, 0)
+		checkSurvivesLoss(t, w, name)
+		checkOutcome(t, w, name, 0)
 	}
 }
--- a/internal/mesh/simulation/ejection_test.go
+++ b/internal/mesh/simulation/ejection_test.go
@@ -10,29 +10,29 @@
 )
 
 // tills is a cluster whose four tills take operations, with proxies that leave a host out by agreement only.
-func tills(t *testing.T, seed uint64) *World {
+func newEjectionCluster(t *testing.T, seed uint64) *World {
 	t.Helper()
 	w := New(seed, 3, Host{"till", "a"}, Host{"till", "b"}, Host{"till", "a"}, Host{"till", "b"}, Host{"shop", "a"}, Host{"shop", "b"},
 		Host{"shop", "a"}, Host{"shop", "b"})
 	w.Configure(int(seed), 1, nil)
 	w.Run(4)
-	agree(w)
+	enableAgreedEjection(w)
 	return w
 }
 
-func operations(w *World, seconds float64) {
-	const every = 0.005
-	for i := range int(seconds / every) {
-		w.After(float64(i)*every, func() {
-			w.Ask(w.Proxies[w.Rand.IntN(len(w.Proxies))], "/pay/x", fmt.Sprintf("k%d-%d", w.Rand.IntN(1<<30), i), 1)
+func startOperations(w *World, seconds float64) {
+	const interval = 0.005
+	for i := range int(seconds / interval) {
+		w.After(float64(i)*interval, func() {
+			w.Request(w.Proxies[w.Rand.IntN(len(w.Proxies))], "/pay/x", fmt.Sprintf("k%d-%d", w.Rand.IntN(1<<30), i), 1)
 		})
 	}
 }
 
 // condemners counts the proxies for which a host is out.
-func condemners(w *World, station string) (n int) {
+func countEjecting(w *World, hostID string) (n int) {
 	for _, s := range w.Proxies {
-		if s.up && slices.Contains(s.State().Ejected, station) {
+		if s.up && slices.Contains(s.State().Ejected, hostID) {
 			n++
 		}
 	}
@@ -44,34 +44,34 @@
 func TestFailingHostGoesOutForAll(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
-		w := tills(t, seed)
-		operations(w, 14)
+		w := newEjectionCluster(t, seed)
+		startOperations(w, 14)
 		w.Run(2)
-		grey := w.Proxies[1]
-		grey.LoseAnswers(0.9)
-		within := 0.0
-		for ; within < 4 && condemners(w, grey.station.id) < len(w.Proxies); within += 0.05 {
+		failing := w.Proxies[1]
+		failing.LoseAnswers(0.9)
+		waitedSeconds := 0.0
+		for ; waitedSeconds < 4 && countEjecting(w, failing.instance.id) < len(w.Proxies); waitedSeconds += 0.05 {
 			w.Run(0.05)
 		}
-		if within > 2 {
-			t.Errorf("seed %d: after %.2f s %d of %d proxies agree", seed, within, condemners(w, grey.station.id), len(w.Proxies))
+		if waitedSeconds > 2 {
+			t.Errorf("seed %d: after %.2f s %d of %d proxies agree", seed, waitedSeconds, countEjecting(w, failing.instance.id), len(w.Proxies))
 		}
-		runs := w.Checker.RunsAt(grey)
+		runs := w.Checker.RunsAt(failing)
 		w.Run(1)
-		if n := w.Checker.RunsAt(grey) - runs; n > 2 { // what was on its way
+		if n := w.Checker.RunsAt(failing) - runs; n > 2 { // what was on its way
 			t.Errorf("seed %d: %d operations reached it in the second after", seed, n)
 		}
-		grey.LoseAnswers(0)
+		failing.LoseAnswers(0)
 		w.Run(7)
-		if condemners(w, grey.station.id) > 0 {
+		if countEjecting(w, failing.instance.id) > 0 {
 			t.Errorf("seed %d: it is out still, well for 7 s", seed)
 		}
-		runs = w.Checker.RunsAt(grey)
+		runs = w.Checker.RunsAt(failing)
 		w.Run(1.5)
-		if w.Checker.RunsAt(grey) < runs+5 {
-			t.Errorf("seed %d: %d operations in 1.5 s after its return", seed, w.Checker.RunsAt(grey)-runs)
+		if w.Checker.RunsAt(failing) < runs+5 {
+			t.Errorf("seed %d: %d operations in 1.5 s after its return", seed, w.Checker.RunsAt(failing)-runs)
 		}
-		verdictOn(t, w, fmt.Sprintf("seed %d", seed), 0.7)
+		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0.7)
 	}
 }
 
@@ -79,41 +79,41 @@
 // operations of the others go on everywhere.
 func TestOneProxyTakesNobodyOut(t *testing.T) {
 	t.Parallel()
-	for _, way := range []string{"one host", "all", "one way"} {
-		w := tills(t, 3)
-		bad := w.Proxies[5]
-		operations(w, 8)
+	for _, fault := range []string{"one host", "all", "one way"} {
+		w := newEjectionCluster(t, 3)
+		isolated := w.Proxies[5]
+		startOperations(w, 8)
 		w.Run(1)
 		runs := map[*Proxy]int{}
 		for i, s := range w.Proxies[:4] {
 			runs[s] = w.Checker.RunsAt(s)
-			switch way {
+			switch fault {
 			case "one host":
 				if i == 2 {
-					w.CutOff(bad.addr, s.addr)
+					w.Isolate(isolated.addr, s.addr)
 				}
 			case "all":
-				w.CutOff(bad.addr, s.addr)
+				w.Isolate(isolated.addr, s.addr)
 			default:
-				w.Cut(s.addr, bad.addr)
+				w.Block(s.addr, isolated.addr)
 			}
 		}
 		for range 40 {
 			w.Run(0.1)
 			for _, s := range w.Proxies[:4] {
-				if n := condemners(w, s.station.id); n > 0 {
-					t.Fatalf("%s: %s is out for %d proxies", way, s.addr, n)
+				if n := countEjecting(w, s.instance.id); n > 0 {
+					t.Fatalf("%s: %s is out for %d proxies", fault, s.addr, n)
 				}
 			}
 		}
 		for _, s := range w.Proxies[:4] {
 			if n := w.Checker.RunsAt(s) - runs[s]; n < 60 {
-				t.Errorf("%s: %s got %d operations in 4 s", way, s.addr, n)
+				t.Errorf("%s: %s got %d operations in 4 s", fault, s.addr, n)
 			}
 		}
-		w.JoinAll()
+		w.HealNetwork()
 		w.Run(4)
-		verdictOn(t, w, way, 0.7)
+		checkOutcome(t, w, fault, 0.7)
 	}
 }
 
@@ -121,12 +121,12 @@
 // a second word.
 func TestOutByHand(t *testing.T) {
 	t.Parallel()
-	w := tills(t, 2)
-	operations(w, 30)
+	w := newEjectionCluster(t, 2)
+	startOperations(w, 30)
 	order := func(h int, s *Proxy, out, force bool) (err error) {
 		err = errors.New("no answer")
 		w.Servers[h].input(func() {
-			w.Servers[h].server.OrderEjection(w.Now, s.station.id, out, force, "ann", "test", func(e error) { err = e })
+			w.Servers[h].server.OrderEjection(w.Now, s.instance.id, out, force, "ann", "test", func(e error) { err = e })
 		})
 		w.Run(0.5)
 		return err
@@ -140,7 +140,7 @@
 	if err := order(2, third, true, false); !errors.Is(err, ejection.ErrForceRequired) {
 		t.Errorf("one of four left: %v", err)
 	}
-	still := func(what string) {
+	wantNoRequests := func(what string) {
 		t.Helper()
 		w.Run(0.5)
 		a, b := w.Checker.RunsAt(first), w.Checker.RunsAt(second)
@@ -149,7 +149,7 @@
 			t.Errorf("%s: %d operations reached hosts that are out", what, n)
 		}
 	}
-	still("taken out")
+	wantNoRequests("taken out")
 	for _, h := range w.Servers {
 		h.Kill()
 	}
@@ -162,7 +162,7 @@
 		s.Start()
 	}
 	w.Run(2)
-	still("after restarts")
+	wantNoRequests("after restarts")
 	for h, s := range []*Proxy{first, second} {
 		if err := order(h, s, false, false); err != nil {
 			t.Fatal(err)
@@ -173,5 +173,5 @@
 	if w.Checker.RunsAt(first) < runs+5 {
 		t.Errorf("called back: %d operations in 3 s", w.Checker.RunsAt(first)-runs)
 	}
-	verdictOn(t, w, "by hand", 0.5)
+	checkOutcome(t, w, "by hand", 0.5)
 }
--- a/internal/mesh/simulation/faults.go
+++ b/internal/mesh/simulation/faults.go
@@ -10,162 +10,165 @@
 	"beechwing/internal/mesh/transport"
 )
 
-// Faults are what the network does to messages, by lot.
+// Faults are the random faults that the network inflicts on messages.
 type Faults struct {
-	Double  float64 // share of messages that come a second time, by a connection of their own
-	Late    float64 // share that come by a connection of their own, after all else
-	Within  float64 // seconds within which those come
-	Garble  float64 // share of which a byte is changed on the way
-	Lose    float64 // share that do not come: their connection ends
-	Control bool    // they befall messages between control processes too
-	Renamed bool    // what comes a second time has an id that was not seen before: a planted fault
-	done    map[string]int
+	Duplicate       float64 // share of messages that are delivered a second time, over another connection
+	Delay           float64 // share of messages that are delivered late and out of order, over another connection
+	MaxDelaySeconds float64 // maximum delay of duplicated and delayed messages
+	Corrupt         float64 // share of messages in which one byte is changed
+	Drop            float64 // share of messages that are lost together with their connection
+	ControlPlane    bool    // apply the faults also to messages between control servers
+	NewIDs          bool    // deliberate bug: duplicates get a new message ID, so receivers cannot detect them
+	counts          map[string]int
 }
 
-// firstRenamed is where the ids of doubled messages begin that Faults.Renamed asks for.
-const firstRenamed = 1 << 63
+// newIDBit is set in the IDs of duplicated messages if Faults.NewIDs is set. No other message has this bit.
+const newIDBit = 1 << 63
 
-// Done is how often a fault came to pass, by its name.
-func (f *Faults) Done(name string) int { return f.done[name] }
+// Count returns how many times a fault was injected, by its name: duplicate, delay, corrupt or drop.
+func (f *Faults) Count(name string) int { return f.counts[name] }
 
-func (w *World) faulty(name string, share float64, from, to string) bool {
+// drawFault decides at random whether a fault is injected, and counts it.
+func (w *World) drawFault(name string, share float64, from, to string) bool {
 	if share == 0 || w.Rand.Float64() >= share {
 		return false
 	}
-	if w.Faults.done == nil {
-		w.Faults.done = map[string]int{}
+	if w.Faults.counts == nil {
+		w.Faults.counts = map[string]int{}
 	}
-	w.Faults.done[name]++
-	w.disturbed(from, to)
+	w.Faults.counts[name]++
+	w.noteDisturbance(from, to)
 	return true
 }
 
-// befallen says whether faults are for the messages from one process to another: a proxy is at one end at
-// least, or Faults.Control is set.
-func (w *World) befallen(from, to string) bool {
-	_, sends := w.byAddr[from].(*Proxy)
-	_, takes := w.byAddr[to].(*Proxy)
-	return sends || takes || w.Faults.Control
+// faultsApply reports whether faults apply to the messages from one process to another: at least one of them is a proxy, or
+// Faults.ControlPlane is set.
+func (w *World) faultsApply(from, to string) bool {
+	_, fromProxy := w.machines[from].(*Proxy)
+	_, toProxy := w.machines[to].(*Proxy)
+	return fromProxy || toProxy || w.Faults.ControlPlane
 }
 
-// disturb has a message come twice, or late; true: not by its own connection.
-func (w *World) disturb(from, to string, m *meshpb.Message) (late bool) {
-	if !w.befallen(from, to) {
+// duplicateOrDelay injects the faults duplicate and delay. It returns true if the message is delivered late, so that its own
+// connection must not carry it.
+func (w *World) duplicateOrDelay(from, to string, m *meshpb.Message) (delayed bool) {
+	if !w.faultsApply(from, to) {
 		return false
 	}
-	if w.faulty("double", w.Faults.Double, from, to) {
+	if w.drawFault("duplicate", w.Faults.Duplicate, from, to) {
 		again := proto.Clone(m).(*meshpb.Message)
-		if w.Faults.Renamed {
-			again.Id |= firstRenamed
+		if w.Faults.NewIDs {
+			again.Id |= newIDBit
 		}
-		w.stray(from, to, again)
+		w.deliverSeparately(from, to, again)
 	}
-	if w.faulty("late", w.Faults.Late, from, to) {
-		w.stray(from, to, m)
+	if w.drawFault("delay", w.Faults.Delay, from, to) {
+		w.deliverSeparately(from, to, m)
 		return true
 	}
 	return false
 }
 
-// stray brings a message by a connection of its own, to whatever process has the address by then.
-func (w *World) stray(from, to string, m *meshpb.Message) {
-	w.After(w.Delay+w.Faults.Within*w.Rand.Float64(), func() {
-		target := w.byAddr[to]
-		if target.alive() && !w.cuts[[2]string{from, to}] {
-			target.heard(from, m)
+// deliverSeparately delivers a message over a separate connection after a random delay, to the process that has the address
+// then.
+func (w *World) deliverSeparately(from, to string, m *meshpb.Message) {
+	w.After(w.LatencySeconds+w.Faults.MaxDelaySeconds*w.Rand.Float64(), func() {
+		target := w.machines[to]
+		if target.alive() && !w.blocked[[2]string{from, to}] {
+			target.receive(from, m)
 		}
 	})
 }
 
-func (w *World) garbles(from, to string) bool {
-	return w.befallen(from, to) && w.faulty("garble", w.Faults.Garble, from, to)
+func (w *World) drawCorruption(from, to string) bool {
+	return w.faultsApply(from, to) && w.drawFault("corrupt", w.Faults.Corrupt, from, to)
 }
 
-// garble changes a byte of a message. What the reader of the connection makes of that comes; where it makes
-// nothing, the connection ends for both.
-func (w *World) garble(l *link, from, to string, m *meshpb.Message) {
-	const frameHead = 4
+// corrupt changes one byte of the encoded message. If the transport can still decode the frame, the decoded message is
+// delivered; otherwise the connection is closed at both ends.
+func (w *World) corrupt(l *link, from, to string, m *meshpb.Message) {
+	const frameHeaderSize = 4
 	frame, err := transport.AppendFrame(nil, &meshpb.Message{Hello: &meshpb.Hello{From: from}})
 	if err != nil {
 		panic(err)
 	}
-	hello := len(frame)
+	helloLength := len(frame)
 	if frame, err = transport.AppendFrame(frame, m); err != nil {
 		panic(err)
 	}
-	at := hello + frameHead + w.Rand.IntN(len(frame)-hello-frameHead)
-	frame[at] ^= byte(1 + w.Rand.IntN(255))
+	offset := helloLength + frameHeaderSize + w.Rand.IntN(len(frame)-helloLength-frameHeaderSize)
+	frame[offset] ^= byte(1 + w.Rand.IntN(255))
 	r := transport.NewReader(bufio.NewReader(bytes.NewReader(frame)), nil)
 	if _, err := r.Read(); err != nil {
 		panic(err)
 	}
 	if changed, err := r.Read(); err == nil {
-		w.byAddr[to].heard(from, changed)
+		w.machines[to].receive(from, changed)
 		return
 	}
-	w.endBoth(l, from, to)
+	w.closeBoth(l, from, to)
 }
 
-func (w *World) loses(from, to string) bool {
-	return w.befallen(from, to) && w.faulty("lose", w.Faults.Lose, from, to)
+func (w *World) drawDrop(from, to string) bool {
+	return w.faultsApply(from, to) && w.drawFault("drop", w.Faults.Drop, from, to)
 }
 
-// endBoth breaks a connection for the processes at both ends.
-func (w *World) endBoth(l *link, from, to string) {
-	w.end(l, from, to)
+// closeBoth closes a connection in both directions.
+func (w *World) closeBoth(l *link, from, to string) {
+	w.closeLink(l, from, to)
 	if back := w.links[[2]string{to, from}]; back != nil {
-		w.end(back, to, from)
+		w.closeLink(back, to, from)
 	}
 }
 
-// end breaks a connection. The process that sends by it hears of that; what is on its way may have arrived.
-func (w *World) end(l *link, from, to string) {
-	sender := w.byAddr[from]
-	if l.dead || !sender.alive() || sender.life() != l.born {
+// closeLink closes one direction of a connection and notifies the sending process. Messages in flight may have arrived.
+func (w *World) closeLink(l *link, from, to string) {
+	sender := w.machines[from]
+	if l.closed || !sender.alive() || sender.incarnation() != l.senderIncarnation {
 		return
 	}
-	l.dead = true
-	sender.broke(transport.Disconnected{Peer: to, Link: l.number})
+	l.closed = true
+	sender.connectionLost(transport.Disconnected{Peer: to, Link: l.number})
 }
 
-// freezer holds up a process, as SIGSTOP does: its connections stay, and what comes waits.
+// freezer stops a process, as SIGSTOP does: its connections stay open, and its inputs wait.
 type freezer struct {
-	frozen bool
-	waits  []func()
-	thawed int // how often it was
+	frozen   bool
+	deferred []func()
+	thaws    int // number of times that the process was thawed
 }
 
-// Freeze holds the process up.
+// Freeze stops the process.
 func (f *freezer) Freeze() { f.frozen = true }
 
-// Thaw lets it go on. What came meanwhile comes now, in order.
+// Thaw resumes the process. The inputs that arrived while it was frozen are handled in order.
 func (f *freezer) Thaw() {
 	if !f.frozen {
 		return
 	}
 	f.frozen = false
-	f.thawed++
-	waits := f.waits
-	f.waits = nil
-	for _, do := range waits {
+	f.thaws++
+	deferred := f.deferred
+	f.deferred = nil
+	for _, do := range deferred {
 		do()
 	}
 }
 
-// holds keeps an input for later while the process is frozen.
-func (f *freezer) holds(input func(), give func(func())) bool {
+// deferWhileFrozen keeps an input for Thaw if the process is frozen, and reports whether it is.
+func (f *freezer) deferWhileFrozen(input func(), deliver func(func())) bool {
 	if f.frozen {
-		f.waits = append(f.waits, func() { give(input) })
+		f.deferred = append(f.deferred, func() { deliver(input) })
 	}
 	return f.frozen
 }
 
-// Reset ends the connections between two machines, with what is on its way in them.
+// Reset closes the connections between two machines. Messages in flight are lost.
 func (w *World) Reset(one, other string) {
-	w.disturbed(one, other)
+	w.noteDisturbance(one, other)
 	for _, key := range [][2]string{{one, other}, {other, one}} {
 		if l := w.links[key]; l != nil {
-			w.end(l, key[0], key[1])
+			w.closeLink(l, key[0], key[1])
 		}
 	}
 }
--- a/internal/mesh/simulation/forgotten_test.go
+++ b/internal/mesh/simulation/forgotten_test.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	silentWithin    = 8.5  // seconds after a machine's end until no proxy lists it
-	forgottenWithin = 34.0 // and until every server and every proxy has forgotten it
-	listedWithin    = 2.5  // seconds after a proxy speaks again until all list it
-	lookEvery       = 0.1
+	silentSeconds        = 8.5  // seconds after a machine's end until no proxy lists it
+	forgetSeconds        = 34.0 // and until every server and every proxy has forgotten it
+	relistSeconds        = 2.5  // seconds after a proxy speaks again until all list it
+	checkIntervalSeconds = 0.1
 )
 
 // lists says whether a proxy would send calls to the host beside another.
-func lists(s, other *Proxy) bool {
+func isListed(s, other *Proxy) bool {
 	state := s.State()
 	for _, silent := range state.Silent {
 		if silent == other.addr {
@@ -31,7 +31,7 @@
 }
 
 // remembers says whether a proxy has a record of another.
-func remembers(s, other *Proxy) bool {
+func hasRecord(s, other *Proxy) bool {
 	for _, r := range s.State().Records {
 		if r.Source == other.addr {
 			return true
@@ -41,31 +41,31 @@
 }
 
 // staysOut runs the world and counts the looks at which a proxy listed another that is not to be listed.
-func staysOut(w *World, seconds float64, proxies []*Proxy, out *Proxy) (looks, wrong int) {
-	for until := w.Now + seconds; w.Now < until; looks++ {
-		w.Run(lookEvery)
+func countListed(w *World, seconds float64, proxies []*Proxy, removed *Proxy) (checks, listed int) {
+	for until := w.Now + seconds; w.Now < until; checks++ {
+		w.Run(checkIntervalSeconds)
 		for _, s := range proxies {
-			if s.up && lists(s, out) {
-				wrong++
+			if s.up && isListed(s, removed) {
+				listed++
 				break
 			}
 		}
 	}
-	return looks, wrong
+	return checks, listed
 }
 
 // wantForgotten checks that no server and no proxy knows a source any more.
-func wantForgotten(t *testing.T, name string, w *World, proxies []*Proxy, out *Proxy) {
+func wantForgotten(t *testing.T, name string, w *World, proxies []*Proxy, removed *Proxy) {
 	t.Helper()
 	for _, h := range w.Servers {
 		for _, r := range h.server.State(w.Now).Records {
-			if r.Source == out.addr {
+			if r.Source == removed.addr {
 				t.Errorf("%s: server %s knows it", name, h.addr)
 			}
 		}
 	}
 	for _, s := range proxies {
-		if remembers(s, out) {
+		if hasRecord(s, removed) {
 			t.Errorf("%s: proxy %s knows it", name, s.addr)
 		}
 	}
@@ -75,7 +75,7 @@
 func wantListed(t *testing.T, name string, w *World, one *Proxy) {
 	t.Helper()
 	for _, s := range w.Proxies {
-		if s != one && !lists(s, one) {
+		if s != one && !isListed(s, one) {
 			t.Errorf("%s: %s does not list %s", name, s.addr, one.addr)
 		}
 	}
@@ -84,10 +84,10 @@
 // isolate cuts a proxy off from all other machines.
 func isolate(w *World, one *Proxy) {
 	for _, h := range w.Servers {
-		w.CutOff(one.addr, h.addr)
+		w.Isolate(one.addr, h.addr)
 	}
 	for _, s := range w.Proxies {
-		w.CutOff(one.addr, s.addr)
+		w.Isolate(one.addr, s.addr)
 	}
 }
 
@@ -100,11 +100,11 @@
 }
 
 // restartInTurn has the control servers restart one after the other, after so many seconds.
-func restartInTurn(w *World, after float64) {
-	const each, down = 2.0, 0.5
+func rollingRestart(w *World, after float64) {
+	const interval, downSeconds = 2.0, 0.5
 	for i, h := range w.Servers {
-		w.After(after+each*float64(i), h.Kill)
-		w.After(after+each*float64(i)+down, h.Start)
+		w.After(after+interval*float64(i), h.Kill)
+		w.After(after+interval*float64(i)+downSeconds, h.Start)
 	}
 }
 
@@ -115,27 +115,27 @@
 	t.Parallel()
 	for seed := range uint64(6) {
 		name := fmt.Sprintf("seed %d", seed)
-		w := cluster(t, seed, 3+2*int(seed%2))
-		gone, cut, others := w.Proxies[0], w.Proxies[1], w.Proxies[2:]
-		isolate(w, cut)
+		w := newCluster(t, seed, 3+2*int(seed%2))
+		gone, isolated, others := w.Proxies[0], w.Proxies[1], w.Proxies[2:]
+		isolate(w, isolated)
 		gone.PowerOff()
-		w.Run(silentWithin)
-		restartInTurn(w, 2)
-		restartInTurn(w, 18) // as it is forgotten, or shortly before
-		looks, wrong := staysOut(w, 2*forgottenWithin, others, gone)
-		if wrong > 0 {
-			t.Errorf("%s: listed at %d of %d looks", name, wrong, looks)
+		w.Run(silentSeconds)
+		rollingRestart(w, 2)
+		rollingRestart(w, 18) // as it is forgotten, or shortly before
+		checks, listed := countListed(w, 2*forgetSeconds, others, gone)
+		if listed > 0 {
+			t.Errorf("%s: listed at %d of %d looks", name, listed, checks)
 		}
 		wantForgotten(t, name, w, others, gone)
-		w.JoinAll()
-		w.Run(listedWithin)
+		w.HealNetwork()
+		w.Run(relistSeconds)
 		wantForgotten(t, name+", back from a cut", w, w.Proxies[1:], gone)
-		looks, wrong = staysOut(w, forgottenWithin, w.Proxies[1:], gone)
-		if wrong > 0 {
-			t.Errorf("%s: after the cut listed at %d of %d looks", name, wrong, looks)
+		checks, listed = countListed(w, forgetSeconds, w.Proxies[1:], gone)
+		if listed > 0 {
+			t.Errorf("%s: after the cut listed at %d of %d looks", name, listed, checks)
 		}
 		wantListed(t, name, w, others[0])
-		verdictOn(t, w, name, 0)
+		checkOutcome(t, w, name, 0)
 	}
 }
 
@@ -145,25 +145,25 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		name := fmt.Sprintf("seed %d", seed)
-		w := cluster(t, seed, 3)
-		gone, cut := w.Proxies[0], w.Proxies[1]
-		isolate(w, cut)
+		w := newCluster(t, seed, 3)
+		gone, isolated := w.Proxies[0], w.Proxies[1]
+		isolate(w, isolated)
 		gone.PowerOff()
-		w.Run(forgottenWithin + silentWithin)
+		w.Run(forgetSeconds + silentSeconds)
 		for _, s := range w.Proxies[2:] { // with their tombstones
 			s.Kill()
 			s.Start()
 		}
 		restartServers(w)
 		w.Run(3)
-		w.JoinAll()
-		w.Run(silentWithin)
-		looks, wrong := staysOut(w, forgottenWithin, w.Proxies[1:], gone)
-		if wrong > 0 {
-			t.Errorf("%s: listed at %d of %d looks", name, wrong, looks)
+		w.HealNetwork()
+		w.Run(silentSeconds)
+		checks, listed := countListed(w, forgetSeconds, w.Proxies[1:], gone)
+		if listed > 0 {
+			t.Errorf("%s: listed at %d of %d looks", name, listed, checks)
 		}
 		wantForgotten(t, name, w, w.Proxies[1:], gone)
-		verdictOn(t, w, name, 0)
+		checkOutcome(t, w, name, 0)
 	}
 }
 
@@ -173,27 +173,27 @@
 	t.Parallel()
 	for seed := range uint64(6) {
 		name := fmt.Sprintf("seed %d", seed)
-		w := cluster(t, seed, 3)
+		w := newCluster(t, seed, 3)
 		one := w.Proxies[0]
 		if seed%2 == 0 {
 			isolate(w, one)
 		} else {
 			one.PowerOff()
 		}
-		w.Run(silentWithin + forgottenWithin)
+		w.Run(silentSeconds + forgetSeconds)
 		wantForgotten(t, name, w, w.Proxies[1:], one)
 		if seed%2 == 0 {
-			w.JoinAll()
+			w.HealNetwork()
 		} else {
 			one.version = 0
 			one.Start()
 			one.StartHost()
 		}
-		w.Run(listedWithin)
+		w.Run(relistSeconds)
 		wantListed(t, name, w, one)
-		w.Run(forgottenWithin)
+		w.Run(forgetSeconds)
 		wantListed(t, name+", later", w, one)
-		verdictOn(t, w, name, 0)
+		checkOutcome(t, w, name, 0)
 	}
 }
 
@@ -203,24 +203,24 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		name := fmt.Sprintf("seed %d", seed)
-		w := cluster(t, seed, 3)
+		w := newCluster(t, seed, 3)
 		h := w.Servers[seed%3]
-		cutOff(w, h, cutWays[seed%3])
+		partition(w, h, partitionDirections[seed%3])
 		if seed%2 == 0 {
 			for _, s := range w.Proxies {
-				w.CutOff(h.addr, s.addr)
+				w.Isolate(h.addr, s.addr)
 			}
 		}
-		w.Run(silentWithin + forgottenWithin)
-		w.JoinAll()
-		for until := w.Now + 3; w.Now < until; w.Run(lookEvery) {
+		w.Run(silentSeconds + forgetSeconds)
+		w.HealNetwork()
+		for until := w.Now + 3; w.Now < until; w.Run(checkIntervalSeconds) {
 			for _, s := range w.Proxies[1:] {
-				if !remembers(s, w.Proxies[0]) {
+				if !hasRecord(s, w.Proxies[0]) {
 					t.Fatalf("%s: %s has forgotten a proxy that lives", name, s.addr)
 				}
 			}
 		}
 		wantListed(t, name, w, w.Proxies[0])
-		verdictOn(t, w, name, 0)
+		checkOutcome(t, w, name, 0)
 	}
 }
--- a/internal/mesh/simulation/freeze_test.go
+++ b/internal/mesh/simulation/freeze_test.go
@@ -8,26 +8,26 @@
 // The only gate of a service is frozen for some seconds and thaws. Its host was there all the time: requests
 // that come afterwards are served.
 func TestThawedGateServes(t *testing.T) {
-	const asks = 10
+	const requests = 10
 	for _, frozen := range []float64{2, 4, 6, 8} {
 		for seed := range uint64(5) {
 			w := New(seed, 3, Host{"shop", "a"}, Host{"till", "a"})
 			w.Configure(int(seed), 1, nil)
 			w.Run(4)
-			asker, gate := w.Proxies[0], w.Proxies[1]
-			gate.Freeze()
+			sender, receiver := w.Proxies[0], w.Proxies[1]
+			receiver.Freeze()
 			w.Run(frozen)
-			gate.Thaw()
+			receiver.Thaw()
 			w.Run(12)
-			for i := range asks {
-				w.After(float64(i)*0.1, func() { w.Ask(asker, "/pay/x", fmt.Sprintf("k%d", i), 1) })
+			for i := range requests {
+				w.After(float64(i)*0.1, func() { w.Request(sender, "/pay/x", fmt.Sprintf("k%d", i), 1) })
 			}
 			w.Run(3)
-			if w.Checker.Served != asks {
+			if w.Checker.Served != requests {
 				t.Errorf("seed %d, %v s frozen: %d of %d served 12 s after the thaw; answers %v", seed, frozen,
-					w.Checker.Served, asks, w.Checker.Statuses)
+					w.Checker.Served, requests, w.Checker.Statuses)
 			}
-			verdictOn(t, w, fmt.Sprintf("seed %d, %v s", seed, frozen), 0)
+			checkOutcome(t, w, fmt.Sprintf("seed %d, %v s", seed, frozen), 0)
 		}
 	}
 }
@@ -37,17 +37,17 @@
 	w := New(1, 3, Host{"shop", "a"}, Host{"till", "a"})
 	w.Configure(1, 1, nil)
 	w.Run(4)
-	gate := w.Proxies[1]
-	gate.Freeze()
-	gate.CrashHost()
+	receiver := w.Proxies[1]
+	receiver.Freeze()
+	receiver.CrashHost()
 	w.Run(8)
-	gate.Thaw()
+	receiver.Thaw()
 	w.Run(1)
-	if got := gate.State().Host.Condition; got != 1 {
+	if got := receiver.State().Host.Condition; got != 1 {
 		t.Errorf("1 s after the thaw its condition is %d", got)
 	}
 	w.Run(5)
-	if got := gate.State().Host.Condition; got != 3 {
+	if got := receiver.State().Host.Condition; got != 3 {
 		t.Errorf("6 s after the thaw its condition is %d", got)
 	}
 }
--- a/internal/mesh/simulation/fuzz_test.go
+++ b/internal/mesh/simulation/fuzz_test.go
@@ -18,16 +18,16 @@
 
 // drawn makes random messages: each field is there or missing by lot, and has a value that means something to
 // the processes, or any.
-type drawn struct {
-	rng  *rand.Rand
-	ids  []uint64 // of questions that are open
-	many bool     // most fields are there, else few
+type messageGenerator struct {
+	rng   *rand.Rand
+	ids   []uint64 // of questions that are open
+	dense bool     // most fields are there, else few
 }
 
 // message is a random message as it comes off the wire.
-func (d *drawn) message(t *testing.T) *meshpb.Message {
+func (d *messageGenerator) message(t *testing.T) *meshpb.Message {
 	t.Helper()
-	d.many = d.rng.IntN(2) == 0
+	d.dense = d.rng.IntN(2) == 0
 	m := &meshpb.Message{}
 	fields := m.ProtoReflect().Descriptor().Fields()
 	d.fill(m.ProtoReflect(), d.rng.IntN(fields.Len()), 0)
@@ -47,11 +47,11 @@
 
 // fill draws the fields of a message. One of them, by number, is there in any case. Of the kinds of content at
 // the top there is seldom more than one.
-func (d *drawn) fill(m protoreflect.Message, wanted, depth int) {
+func (d *messageGenerator) fill(m protoreflect.Message, wanted, depth int) {
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
 		f := fields.Get(i)
-		there := d.rng.IntN(4) == 0 || d.many && d.rng.IntN(4) > 0
+		there := d.rng.IntN(4) == 0 || d.dense && d.rng.IntN(4) > 0
 		if depth == 0 && f.Message() != nil {
 			there = d.rng.IntN(40) == 0
 		}
@@ -70,7 +70,7 @@
 }
 
 // value draws one value of a field.
-func (d *drawn) value(empty protoreflect.Value, f protoreflect.FieldDescriptor, depth int) protoreflect.Value {
+func (d *messageGenerator) value(empty protoreflect.Value, f protoreflect.FieldDescriptor, depth int) protoreflect.Value {
 	small := d.rng.IntN(5) > 0
 	number := d.rng.Uint64()
 	if small {
@@ -95,14 +95,14 @@
 }
 
 // text draws an address, a key, a host or a service.
-func (d *drawn) text() string {
+func (d *messageGenerator) text() string {
 	all := []string{"", "a:1", "b:1", "c:1", "p:1", "q:1", "k", "\x00configuration", "\x00view", "\x00ejections\x00shop",
 		"i-1", "shop", "till"}
 	return all[d.rng.IntN(len(all))]
 }
 
 // bytes draws a configuration, a value of a register, or garbage.
-func (d *drawn) bytes() []byte {
+func (d *messageGenerator) bytes() []byte {
 	switch d.rng.IntN(3) {
 	case 0:
 		return Config(1)
@@ -117,18 +117,18 @@
 }
 
 // survive gives a process an input, and tells what it was where that panics.
-func survive(t *testing.T, name string, m *meshpb.Message, input func()) {
+func mustNotPanic(t *testing.T, name string, m *meshpb.Message, input func()) {
 	t.Helper()
 	defer func() {
-		if why := recover(); why != nil {
-			t.Fatalf("%s: %v\n%v", name, why, m)
+		if reason := recover(); reason != nil {
+			t.Fatalf("%s: %v\n%v", name, reason, m)
 		}
 	}()
 	input()
 }
 
 // note keeps the ids of questions that a process asks.
-func (d *drawn) note(sends []transport.Send) {
+func (d *messageGenerator) recordIDs(sends []transport.Send) {
 	const most = 32
 	for _, s := range sends {
 		if s.Message.Id != 0 && !meshpb.IsAnswer(s.Message) {
@@ -146,14 +146,14 @@
 	return 100
 }
 
-const messagesEach = 200
+const messagesPerProcess = 200
 
 // A control server gets random messages of any sender, its own included, with parts missing: it does not panic.
 func TestControlServerSurvivesAnyMessage(t *testing.T) {
 	for seed := range fuzzRounds() {
-		d := &drawn{rng: rand.New(rand.NewPCG(seed, 3))}
+		d := &messageGenerator{rng: rand.New(rand.NewPCG(seed, 3))}
 		seeds := []string{"a:1", "b:1", "c:1"}
-		s, err := control.New(1, control.Options{Self: "a:1", Seeds: seeds, Bootstrap: true, Tolerance: 1, RetentionSeconds: window, Life: 1}, nil)
+		s, err := control.New(1, control.Options{Self: "a:1", Seeds: seeds, Bootstrap: true, Tolerance: 1, RetentionSeconds: dedupWindowSeconds, Life: 1}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -161,11 +161,11 @@
 		take := func() {
 			for range 4 {
 				out := s.TakeEffects()
-				d.note(out.Sends)
-				d.note(out.After)
+				d.recordIDs(out.Sends)
+				d.recordIDs(out.After)
 				for _, send := range append(out.Sends, out.After...) {
 					if send.To == "a:1" {
-						survive(t, fmt.Sprintf("seed %d, its own", seed), send.Message, func() { s.HandleMessage(now, "a:1", send.Message) })
+						mustNotPanic(t, fmt.Sprintf("seed %d, its own", seed), send.Message, func() { s.HandleMessage(now, "a:1", send.Message) })
 					}
 				}
 			}
@@ -176,14 +176,14 @@
 			}
 		}
 		for range 200 {
-			now += tickEvery
+			now += tickSeconds
 			s.Tick(now)
 			take()
 		}
 		if seed%3 > 0 && !s.Voting() {
 			t.Fatalf("seed %d: it does not vote: this shows little", seed)
 		}
-		for i := range messagesEach {
+		for i := range messagesPerProcess {
 			m := d.message(t)
 			from := []string{"a:1", "b:1", "c:1", "p:1"}[d.rng.IntN(4)]
 			if d.rng.IntN(4) > 0 { // as of this epoch, by a member
@@ -193,9 +193,9 @@
 				}
 			}
 			name := fmt.Sprintf("seed %d, message %d from %s", seed, i, from)
-			survive(t, name, m, func() { s.HandleMessage(now, from, m); take() })
-			now += tickEvery * d.rng.Float64()
-			survive(t, name+", then a tick", m, func() { s.Tick(now); take() })
+			mustNotPanic(t, name, m, func() { s.HandleMessage(now, from, m); take() })
+			now += tickSeconds * d.rng.Float64()
+			mustNotPanic(t, name+", then a tick", m, func() { s.Tick(now); take() })
 		}
 	}
 }
@@ -203,13 +203,13 @@
 // A proxy gets random messages of any sender with parts missing, while it asks: it does not panic.
 func TestProxySurvivesAnyMessage(t *testing.T) {
 	for seed := range fuzzRounds() {
-		d := &drawn{rng: rand.New(rand.NewPCG(seed, 5))}
-		p := sidecar.New(1, sidecar.Options{Self: "p:1", Zone: "a", Service: "shop", Seeds: []string{"a:1", "b:1", "c:1"}, HeartbeatInterval: beat,
+		d := &messageGenerator{rng: rand.New(rand.NewPCG(seed, 5))}
+		p := sidecar.New(1, sidecar.Options{Self: "p:1", Zone: "a", Service: "shop", Seeds: []string{"a:1", "b:1", "c:1"}, HeartbeatInterval: heartbeatSeconds,
 			RetryRatio: 0.2, RetrySlack: 60, RecordVersion: 1, Seed: seed, MaxBodyBytes: 1 << 24, AgreedEjection: seed%2 == 0})
 		now, life := 1.0, uint64(0)
 		take := func() {
 			out := p.TakeOutput()
-			d.note(out.Sends)
+			d.recordIDs(out.Sends)
 			for _, s := range out.Sends {
 				if !meshpb.IsAnswer(s.Message) {
 					life = s.Message.Life
@@ -224,21 +224,21 @@
 		p.Heartbeat(now, sidecar.Heartbeat{ID: "i-1", Service: "shop", Slots: 1, Sequence: 1})
 		p.Tick(now)
 		take()
-		for i := range messagesEach {
+		for i := range messagesPerProcess {
 			m := d.message(t)
 			from := []string{"a:1", "b:1", "c:1", "p:1", "q:1"}[d.rng.IntN(5)]
 			if d.rng.IntN(4) > 0 {
 				m.Life = life
 			}
 			name := fmt.Sprintf("seed %d, message %d from %s", seed, i, from)
-			survive(t, name, m, func() { p.Receive(now, from, m); take() })
+			mustNotPanic(t, name, m, func() { p.Receive(now, from, m); take() })
 			o := &sidecar.Request{Method: "POST", Target: "/read/x", Host: "shop.example", ID: "q", Timeout: 1, ReplyTo: 0}
 			if i%2 == 0 {
 				o.Target, o.IdempotencyKey = "/pay/x", "k"
 			}
-			now += tickEvery * d.rng.Float64()
-			survive(t, name+", then a request", m, func() { p.Submit(now, o); take() })
-			survive(t, name+", then a tick", m, func() { p.Tick(now); take() })
+			now += tickSeconds * d.rng.Float64()
+			mustNotPanic(t, name+", then a request", m, func() { p.Submit(now, o); take() })
+			mustNotPanic(t, name+", then a tick", m, func() { p.Tick(now); take() })
 		}
 	}
 }
--- a/internal/mesh/simulation/keys.go
+++ b/internal/mesh/simulation/keys.go
@@ -7,30 +7,30 @@
 	"beechwing/internal/mesh/sidecar"
 )
 
-// Keys that hosts hold: a host of the sharded service runs a request only while it holds the request's key.
-
+// A host of the sharded service runs a request only while it holds the request's shard key.
 const (
-	shardedService = "stock"
-	shardKeys      = 1 << 16
-	headerShardKey = "Beechwing-Shard-Key"
-	holdMost       = 10.0 // seconds that hosts let themselves be granted keys for
-	slowClock      = 1.02 // a hold lasts so many times as long at a host whose clock runs slow
+	shardedService  = "stock"
+	shardKeyCount   = 1 << 16
+	headerShardKey  = "Beechwing-Shard-Key"
+	maxHoldSeconds  = 10.0 // longest time for which hosts accept a grant of keys
+	slowClockFactor = 1.02 // holds last longer by this factor, as at a host with a slow clock
 )
 
-// heldKeys are a host's holds.
-type heldKeys struct{ holds []hold }
+// keyHolds is the set of key ranges that were granted to a host.
+type keyHolds struct{ list []keyHold }
 
-type hold struct {
+// keyHold is a granted range of keys with its fence. The keys are held until a time; 0: they are released.
+type keyHold struct {
 	first, last int
 	fence       uint64
 	until       float64
 }
 
-func (h hold) covers(key int) bool { return h.first <= key && key <= h.last }
+func (h keyHold) covers(key int) bool { return h.first <= key && key <= h.last }
 
-// has says whether a key is held.
-func (h *heldKeys) has(now float64, key int) bool {
-	for _, x := range h.holds {
+// holdsKey reports whether the host holds a key.
+func (h *keyHolds) holdsKey(now float64, key int) bool {
+	for _, x := range h.list {
 		if x.covers(key) && now < x.until {
 			return true
 		}
@@ -38,62 +38,62 @@
 	return false
 }
 
-// grant takes keys for a time from now on, unless a higher fence was seen on one of them.
-func (h *heldKeys) grant(now float64, call sidecar.KeyCall) bool {
-	for _, x := range h.holds {
+// grant accepts a grant of keys from now on, and returns false if the host knows a higher fence for one of them.
+func (h *keyHolds) grant(now float64, call sidecar.KeyCall) bool {
+	for _, x := range h.list {
 		if x.fence > call.Fence && x.first <= call.LastKey && call.FirstKey <= x.last {
 			return false
 		}
 	}
-	h.cut(call)
-	h.holds = append(h.holds, hold{call.FirstKey, call.LastKey, call.Fence, now + slowClock*float64(call.HoldMs)/1000})
+	h.remove(call)
+	h.list = append(h.list, keyHold{call.FirstKey, call.LastKey, call.Fence, now + slowClockFactor*float64(call.HoldMs)/1000})
 	return true
 }
 
-// release ends new work on keys at once. Their fence stays known.
-func (h *heldKeys) release(call sidecar.KeyCall) {
-	h.cut(call)
-	h.holds = append(h.holds, hold{call.FirstKey, call.LastKey, call.Fence, 0})
+// release ends the hold of keys immediately. The host remembers their fence.
+func (h *keyHolds) release(call sidecar.KeyCall) {
+	h.remove(call)
+	h.list = append(h.list, keyHold{call.FirstKey, call.LastKey, call.Fence, 0})
 }
 
-// cut takes keys out of what is held.
-func (h *heldKeys) cut(call sidecar.KeyCall) {
-	var left []hold
-	for _, x := range h.holds {
+// remove removes a range of keys from all holds.
+func (h *keyHolds) remove(call sidecar.KeyCall) {
+	var remaining []keyHold
+	for _, x := range h.list {
 		if x.first < call.FirstKey {
-			left = append(left, hold{x.first, min(x.last, call.FirstKey-1), x.fence, x.until})
+			remaining = append(remaining, keyHold{x.first, min(x.last, call.FirstKey-1), x.fence, x.until})
 		}
 		if x.last > call.LastKey {
-			left = append(left, hold{max(x.first, call.LastKey+1), x.last, x.fence, x.until})
+			remaining = append(remaining, keyHold{max(x.first, call.LastKey+1), x.last, x.fence, x.until})
 		}
 	}
-	h.holds = left
+	h.list = remaining
 }
 
-// callKeys is the host taking calls about keys, one after the other.
+// callKeys makes the host handle grants and releases of keys, one after the other.
 func (s *Proxy) callKeys(do sidecar.KeyCalls) {
-	st, life := s.station, s.lives
+	instance, incarnation := s.instance, s.starts
 	for i, call := range do.Calls {
 		s.w.After(0.001*float64(i+1), func() {
-			if !s.up || s.lives != life {
+			if !s.up || s.starts != incarnation {
 				return
 			}
 			var result sidecar.KeyResult
-			takes := 0.0
+			seconds := 0.0
 			switch {
-			case st == nil || st.dead || s.station != st:
+			case instance == nil || instance.ended || s.instance != instance:
 				result.Refused = true
 			case call.Release:
-				st.held.release(call)
-				result.Status, result.Handover, takes = 200, st.id, 0.05
-			case s.w.Now >= do.GrantBefore: // not sent
-			case st.held.grant(s.w.Now, call):
+				instance.holds.release(call)
+				result.Status, result.Handover, seconds = 200, instance.id, 0.05
+			case s.w.Now >= do.GrantBefore: // the grant is too old to be sent
+			case instance.holds.grant(s.w.Now, call):
 				result.Status = 200
 			default:
 				result.Status = 409
 			}
-			s.w.After(takes, func() {
-				if s.up && s.lives == life {
+			s.w.After(seconds, func() {
+				if s.up && s.starts == incarnation {
 					s.input(func() { s.sidecar.KeyCallDone(s.w.Now, call.ID, result) })
 				}
 			})
@@ -101,9 +101,9 @@
 	}
 }
 
-// shardKey is the key of a request to the sharded service.
-func shardKey(c *meshpb.Forward) (key int, sharded bool) {
-	text := field(c.Fields, headerShardKey)
+// shardKey returns the shard key of a request. sharded is false if it has none.
+func shardKey(forward *meshpb.Forward) (key int, sharded bool) {
+	text := fieldValue(forward.Fields, headerShardKey)
 	if text == "" {
 		return 0, false
 	}
@@ -111,11 +111,11 @@
 	return key, err == nil
 }
 
-// owner is a host that begins a request by a key: no other that is up holds the key at that time.
-func (c *Checker) owner(st *station, key int) {
+// checkOwner checks, when a host starts a request with a shard key, that no other running host holds the key.
+func (c *Checker) checkOwner(instance *hostInstance, key int) {
 	for _, s := range c.w.Proxies {
-		if other := s.station; other != nil && other != st && !other.dead && other.held.has(c.w.Now, key) {
-			c.fail("OWNER", "%s begins a request on key %d, which %s holds", st.id, key, other.id)
+		if other := s.instance; other != nil && other != instance && !other.ended && other.holds.holdsKey(c.w.Now, key) {
+			c.fail("OWNER", "%s starts a request for key %d, which %s holds", instance.id, key, other.id)
 		}
 	}
 }
--- a/internal/mesh/simulation/large_config_test.go
+++ b/internal/mesh/simulation/large_config_test.go
@@ -30,11 +30,11 @@
 // A configuration of 1,400 routes goes between control servers, to their disks and to proxies in a fraction of its bytes, all act by it,
 // and it is read back as it was sent.
 func TestLargeConfigurationIsPacked(t *testing.T) {
-	w := cluster(t, 1, 3)
+	w := newCluster(t, 1, 3)
 	text := largeConfig(t, 2, 1400)
 	before := w.Bytes
 	taken := false
-	w.Order(w.Servers[0], 2, text, func(r control.OrderResult) { taken = r == control.OrderTaken })
+	w.SendConfig(w.Servers[0], 2, text, func(r control.OrderResult) { taken = r == control.OrderTaken })
 	w.Run(2)
 	if !taken {
 		t.Fatal("the order is not taken")
@@ -58,9 +58,9 @@
 	}
 	w.Run(1)
 	for _, h := range w.Servers {
-		if size := len(h.disk.held["k."+"\x00configuration"]); size == 0 || size > len(text)/5 {
+		if size := len(h.disk.values["k."+"\x00configuration"]); size == 0 || size > len(text)/5 {
 			t.Errorf("%s keeps %d bytes", h.addr, size)
 		}
 	}
-	verdictOn(t, w, "large", 0)
+	checkOutcome(t, w, "large", 0)
 }
--- a/internal/mesh/simulation/overload_test.go
+++ b/internal/mesh/simulation/overload_test.go
@@ -12,23 +12,23 @@
 var loadedProcessor = Processor{Message: 165e-6, Sync: 2e-3, Value: 250e-6}
 
 const (
-	loadedRate  = 113.0 // operations a second
-	loadedFirst = 25.0  // seconds of them before the fault
-	offFor      = 1.2   // seconds without power
-	soon        = 5.0   // seconds after the start until operations are to be served again
+	loadPerSecond   = 113.0 // operations a second
+	loadSeconds     = 25.0  // seconds of them before the fault
+	powerOffSeconds = 1.2   // seconds without power
+	serveSeconds    = 5.0   // seconds after the start until operations are to be served again
 )
 
 // operate has clients send so many operations a second for some seconds, each once more if it is not served.
-func operate(w *World, rate, seconds float64) {
+func startRetriedOperations(w *World, rate, seconds float64) {
 	for i := range int(rate * seconds) {
 		w.After(float64(i)/rate, func() {
-			w.Ask(w.Proxies[w.Rand.IntN(len(w.Proxies))], "/pay/x", fmt.Sprintf("o%d-%d", w.Rand.IntN(1<<30), i), 2)
+			w.Request(w.Proxies[w.Rand.IntN(len(w.Proxies))], "/pay/x", fmt.Sprintf("o%d-%d", w.Rand.IntN(1<<30), i), 2)
 		})
 	}
 }
 
 // loaded is a cluster of four control servers, as many as make the loss of one leave the smallest quorum, under load.
-func loaded(t *testing.T, seed uint64) *World {
+func newLoadedCluster(t *testing.T, seed uint64) *World {
 	t.Helper()
 	var hosts []Host
 	for i := range 12 {
@@ -39,38 +39,38 @@
 	w.Configure(int(seed), 1, nil)
 	w.Run(4)
 	w.Processor = loadedProcessor
-	if w.Checker.Newest != 1 {
+	if w.Checker.NewestAcked != 1 {
 		t.Fatalf("seed %d: no configuration after 4 s", seed)
 	}
 	return w
 }
 
 // seedsOr is how many seeds a test plays: more by hand, with SIMULATION_LOADED.
-func seedsOr(usual uint64) uint64 {
+func seedsFromEnv(fallback uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("SIMULATION_LOADED"), 10, 64); err == nil {
 		return n
 	}
-	return usual
+	return fallback
 }
 
 // recovery is what became of a cluster after a fault under load.
 type recovery struct {
-	calm         int // operations served before
+	servedBefore int // operations served before
 	acknowledged bool
 	served       int  // operations in the six seconds from soon after the start on
-	joined       bool // the server that lost its disk votes
+	rejoined     bool // the server that lost its disk votes
 }
 
 const (
-	judgedFor     = 6.0 // seconds, from soon after the start on
-	loadedCatchUp = 6.0 // seconds after the start until the server that lost its disk votes, as the deployment allows
+	judgedSeconds = 6.0 // seconds, from soon after the start on
+	voteSeconds   = 6.0 // seconds after the start until the server that lost its disk votes, as the deployment allows
 )
 
 // losePower has all control servers of a loaded cluster lose power as a change is sent, and one of them its disk.
-func losePower(w *World, seed uint64, first float64) (r recovery) {
-	operate(w, loadedRate, first+offFor+soon+8)
+func runPowerLoss(w *World, seed uint64, first float64) (r recovery) {
+	startRetriedOperations(w, loadPerSecond, first+powerOffSeconds+serveSeconds+8)
 	w.Run(first)
-	r.calm = w.Checker.Served
+	r.servedBefore = w.Checker.Served
 	w.Configure(int(seed), 2, nil)
 	w.Run(0.162)
 	for _, h := range w.Servers {
@@ -78,17 +78,17 @@
 	}
 	lost := w.Servers[seed%4]
 	lost.Wipe()
-	w.Run(offFor)
+	w.Run(powerOffSeconds)
 	for _, h := range w.Servers {
 		h.Start()
 	}
 	w.Run(4)
-	r.acknowledged = w.Checker.Newest == 2
-	w.Run(soon - 4)
+	r.acknowledged = w.Checker.NewestAcked == 2
+	w.Run(serveSeconds - 4)
 	served := w.Checker.Served
-	w.Run(loadedCatchUp - soon)
-	r.joined = lost.Voting()
-	w.Run(judgedFor - (loadedCatchUp - soon))
+	w.Run(voteSeconds - serveSeconds)
+	r.rejoined = lost.Voting()
+	w.Run(judgedSeconds - (voteSeconds - serveSeconds))
 	r.served = w.Checker.Served - served
 	w.Run(4)
 	return r
@@ -98,90 +98,90 @@
 // served again within seconds, and the server that lost its disk is replaced by itself, within catchUpS.
 func TestPowerLossWithAnEmptyDiskUnderLoad(t *testing.T) {
 	t.Parallel()
-	for seed := range seedsOr(3) {
-		w := loaded(t, seed)
-		judgeRecovery(t, w, fmt.Sprintf("seed %d", seed), losePower(w, seed, loadedFirst), loadedFirst)
+	for seed := range seedsFromEnv(3) {
+		w := newLoadedCluster(t, seed)
+		checkRecovery(t, w, fmt.Sprintf("seed %d", seed), runPowerLoss(w, seed, loadSeconds), loadSeconds)
 	}
 }
 
 // The same with as many registers as the window of keys ever leaves: what a start and catching up cost grows with them, and no faster.
 func TestPowerLossWithAllRegistersOfAWindow(t *testing.T) {
 	t.Parallel()
-	for seed := range seedsOr(1) {
-		w := loaded(t, seed)
-		const first = window + 10
-		judgeRecovery(t, w, fmt.Sprintf("seed %d", seed), losePower(w, seed, first), first)
+	for seed := range seedsFromEnv(1) {
+		w := newLoadedCluster(t, seed)
+		const first = dedupWindowSeconds + 10
+		checkRecovery(t, w, fmt.Sprintf("seed %d", seed), runPowerLoss(w, seed, first), first)
 	}
 }
 
-func judgeRecovery(t *testing.T, w *World, name string, r recovery, first float64) {
+func checkRecovery(t *testing.T, w *World, name string, r recovery, first float64) {
 	t.Helper()
-	if float64(r.calm) < 0.9*loadedRate*first {
-		t.Errorf("%s: %d served before the fault: this is not the load that it is for", name, r.calm)
+	if float64(r.servedBefore) < 0.9*loadPerSecond*first {
+		t.Errorf("%s: %d served before the fault: this is not the load that it is for", name, r.servedBefore)
 	}
 	if !r.acknowledged {
 		t.Errorf("%s: the change has no acknowledgement 4 s after the start", name)
 	}
-	if float64(r.served) < 0.9*judgedFor*loadedRate {
-		t.Errorf("%s: from %v s after the start on %d of %.0f operations are served in 6 s; answers %v", name, soon, r.served,
-			judgedFor*loadedRate, w.Checker.Statuses)
+	if float64(r.served) < 0.9*judgedSeconds*loadPerSecond {
+		t.Errorf("%s: from %v s after the start on %d of %.0f operations are served in 6 s; answers %v", name, serveSeconds, r.served,
+			judgedSeconds*loadPerSecond, w.Checker.Statuses)
 	}
-	if !r.joined {
-		t.Errorf("%s: %v s after the start the server that lost its disk does not vote", name, loadedCatchUp)
+	if !r.rejoined {
+		t.Errorf("%s: %v s after the start the server that lost its disk does not vote", name, voteSeconds)
 	}
-	verdictOn(t, w, name, 0)
-	t.Logf("%s: %d of %.0f served; answers %v", name, r.served, judgedFor*loadedRate, w.Checker.Statuses)
+	checkOutcome(t, w, name, 0)
+	t.Logf("%s: %d of %.0f served; answers %v", name, r.served, judgedSeconds*loadPerSecond, w.Checker.Statuses)
 }
 
 // A disk is lost under load while the others go on: operations are served all the time, but for the time until gates have gone elsewhere.
 func TestDiskLostUnderLoad(t *testing.T) {
 	t.Parallel()
-	for seed := range seedsOr(2) {
-		w := loaded(t, seed)
-		operate(w, loadedRate, loadedFirst+12)
-		w.Run(loadedFirst)
+	for seed := range seedsFromEnv(2) {
+		w := newLoadedCluster(t, seed)
+		startRetriedOperations(w, loadPerSecond, loadSeconds+12)
+		w.Run(loadSeconds)
 		lost := w.Servers[seed%4]
 		before := w.Checker.Served
-		w.LoseDisk(lost, offFor)
-		w.Run(10 - offFor)
+		w.LoseDisk(lost, powerOffSeconds)
+		w.Run(10 - powerOffSeconds)
 		served := w.Checker.Served - before
 		w.Run(4)
-		if float64(served) < 0.95*10*loadedRate {
-			t.Errorf("seed %d: %d of %.0f operations served in 10 s around the loss; answers %v", seed, served, 10*loadedRate, w.Checker.Statuses)
+		if float64(served) < 0.95*10*loadPerSecond {
+			t.Errorf("seed %d: %d of %.0f operations served in 10 s around the loss; answers %v", seed, served, 10*loadPerSecond, w.Checker.Statuses)
 		}
 		if !lost.Voting() {
 			t.Errorf("seed %d: the server that lost its disk does not vote", seed)
 		}
-		verdictOn(t, w, fmt.Sprintf("seed %d", seed), 0)
+		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0)
 	}
 }
 
 // contactsLost is how often contact is lost in 20 s in which more operations are asked for than the control servers' processors can do.
-func contactsLost(t *testing.T, seed uint64, heartbeatsWait bool) int {
+func countContactLosses(t *testing.T, seed uint64, heartbeatsWait bool) int {
 	t.Helper()
-	const overload, slower, lasts = 4, 12, 20.0
-	w := loaded(t, seed)
-	w.HeartbeatsWait = heartbeatsWait
-	w.Processor.Message *= slower
-	operate(w, overload*loadedRate, lasts)
+	const loadFactor, slowdown, totalSeconds = 4, 12, 20.0
+	w := newLoadedCluster(t, seed)
+	w.QueueHeartbeats = heartbeatsWait
+	w.Processor.Message *= slowdown
+	startRetriedOperations(w, loadFactor*loadPerSecond, totalSeconds)
 	w.Run(2) // until the processors are full
-	before := w.ContactsLost
-	w.Run(lasts - 2)
-	return w.ContactsLost - before
+	before := w.QuorumContactLosses
+	w.Run(totalSeconds - 2)
+	return w.QuorumContactLosses - before
 }
 
 // On full processors no contact is lost for 18 s: heartbeats are worked on before all else that waits. Where they wait their turn, it is.
 func TestContactHoldsOnFullProcessors(t *testing.T) {
 	t.Parallel()
-	planted := 0
-	for seed := range seedsOr(2) {
-		if lost := contactsLost(t, seed, false); lost > 0 {
+	lostWhenQueued := 0
+	for seed := range seedsFromEnv(2) {
+		if lost := countContactLosses(t, seed, false); lost > 0 {
 			t.Errorf("seed %d: contact lost %d times", seed, lost)
 		}
-		planted += contactsLost(t, seed, true)
+		lostWhenQueued += countContactLosses(t, seed, true)
 	}
-	t.Logf("%d times where heartbeats wait", planted)
-	if planted == 0 {
+	t.Logf("%d times where heartbeats wait", lostWhenQueued)
+	if lostWhenQueued == 0 {
 		t.Error("the processors are not full enough: contact holds where heartbeats wait")
 	}
 }
--- a/internal/mesh/simulation/processor.go
+++ b/internal/mesh/simulation/processor.go
@@ -1,45 +1,45 @@
 package simulation
 
-// Processor is how long the processor of a control server's machine takes for its work. With the zero value nothing takes time.
+// Processor has the processing times of a control server. With the zero value no work takes time.
 //
-// The figures of loadedProcessor are those of a load of five times the operations: measured were 0.033 ms a message on 0.176 of a core, 0.4 ms a sync
-// and 0.05 ms a value, at 565 operations a second over four servers.
+// loadedProcessor has five times the times that were measured at 565 operations a second over four servers: 0.033 ms per
+// message on 0.176 of a core, 0.4 ms per sync and 0.05 ms per value.
 type Processor struct {
-	Message float64 // seconds for each message that comes or goes
-	Sync    float64 // seconds for each sync of the disk, besides the disk's own time
-	Value   float64 // seconds for each value that is read at the start, or written
+	Message float64 // seconds for each message received or sent
+	Sync    float64 // seconds for each disk sync, in addition to the time of the disk
+	Value   float64 // seconds for each value read at the start or written
 }
 
-// processor is the processor of one machine: work waits for the work that came before it.
+// processor is the processor of one control server. It handles one input at a time, the urgent ones first.
 type processor struct {
-	freeAt float64
-	urgent []func() // heartbeats: they go before all other work
-	queue  []func()
-	asked  bool // the next piece of work has its time
+	freeAt    float64  // time at which the current work is done
+	urgent    []func() // heartbeats and ticks
+	queue     []func()
+	scheduled bool // the handling of the next input is scheduled
 }
 
-// spend occupies a machine's processor.
-func (h *ControlServer) spend(seconds float64) {
+// useProcessor occupies the processor for some seconds, after the work that it already has.
+func (h *ControlServer) useProcessor(seconds float64) {
 	h.processor.freeAt = max(h.processor.freeAt, h.w.Now) + seconds
 }
 
-// idle says that an input can be worked on at once.
+// idle reports whether an input can be handled immediately.
 func (h *ControlServer) idle() bool {
 	p := &h.processor
 	return h.w.Processor == (Processor{}) || len(p.urgent)+len(p.queue) == 0 && p.freeAt <= h.w.Now
 }
 
-// waits keeps an input until the processor is free. Inputs keep their order.
-func (h *ControlServer) waits(f func()) bool {
+// queueIfBusy queues an input if the processor is busy, and reports whether it is. Queued inputs keep their order.
+func (h *ControlServer) queueIfBusy(f func()) bool {
 	if h.idle() {
 		return false
 	}
 	h.processor.queue = append(h.processor.queue, f)
-	h.workLater()
+	h.scheduleNext()
 	return true
 }
 
-// next takes the input that is to be worked on now.
+// next removes and returns the next input, an urgent one if there is any.
 func (p *processor) next() (f func()) {
 	queue := &p.queue
 	if len(p.urgent) > 0 {
@@ -50,23 +50,23 @@
 	return f
 }
 
-// workLater takes the next input from the queue as the processor is free.
-func (h *ControlServer) workLater() {
-	if h.processor.asked || len(h.processor.urgent)+len(h.processor.queue) == 0 {
+// scheduleNext schedules the handling of the next queued input for when the processor is free.
+func (h *ControlServer) scheduleNext() {
+	if h.processor.scheduled || len(h.processor.urgent)+len(h.processor.queue) == 0 {
 		return
 	}
-	h.processor.asked = true
-	life := h.lives
+	h.processor.scheduled = true
+	incarnation := h.starts
 	h.w.After(max(0, h.processor.freeAt-h.w.Now), func() {
-		if !h.up || h.lives != life {
+		if !h.up || h.starts != incarnation {
 			return
 		}
-		h.processor.asked = false
-		if h.processor.freeAt > h.w.Now { // a write has taken it meanwhile
-			h.workLater()
+		h.processor.scheduled = false
+		if h.processor.freeAt > h.w.Now { // a disk write has occupied the processor meanwhile
+			h.scheduleNext()
 			return
 		}
-		h.work(h.processor.next())
-		h.workLater()
+		h.process(h.processor.next())
+		h.scheduleNext()
 	})
 }
--- a/internal/mesh/simulation/proxies.go
+++ b/internal/mesh/simulation/proxies.go
@@ -9,97 +9,98 @@
 	"beechwing/internal/mesh/sidecar"
 )
 
-// Proxies with the hosts beside them.
-
-// Proxy is a proxy with the host beside it.
+// Proxy is a machine with a proxy process (a sidecar) and the host that it serves.
 type Proxy struct {
-	w        *World
-	addr     string
-	host     Host
-	seeds    []string
-	sidecar  *sidecar.Sidecar
-	lives    int
-	up       bool
-	unlit    bool
-	version  uint64
-	station  *station
-	stations int
-	seed     uint64              // of its state machine; 0: drawn for each life
-	running  map[uint64]*hostRun // requests at the host, by their jobs
+	w             *World
+	addr          string
+	host          Host
+	seeds         []string
+	sidecar       *sidecar.Sidecar
+	starts        int // number of process starts; identifies the current process
+	up            bool
+	powerLost     bool
+	version       uint64 // of the proxy's record, at the start
+	instance      *hostInstance
+	instanceCount int                     // number of host instances so far
+	seed          uint64                  // of the sidecar's random numbers; 0: drawn for each process
+	running       map[uint64]*hostRequest // requests at the host, by job
 	freezer
 }
 
-func (s *Proxy) address() string { return s.addr }
-func (s *Proxy) alive() bool     { return s.up }
-func (s *Proxy) dark() bool      { return s.unlit }
-func (s *Proxy) life() int       { return s.lives }
+func (s *Proxy) address() string  { return s.addr }
+func (s *Proxy) alive() bool      { return s.up }
+func (s *Proxy) poweredOff() bool { return s.powerLost }
+func (s *Proxy) incarnation() int { return s.starts }
 
-// Start starts the process.
+// Start starts the proxy process.
 func (s *Proxy) Start() {
-	s.lives++
-	s.w.disturbed(s.addr)
-	s.up, s.unlit, s.freezer = true, false, freezer{}
-	s.running = map[uint64]*hostRun{}
-	s.version += uint64(1000 * s.w.Rand.Float64()) // the time of day may have gone back
-	s.sidecar = sidecar.New(s.w.Now, sidecar.Options{Self: s.addr, Zone: s.host.Zone, Service: s.host.Carrier, Seeds: s.seeds, HeartbeatInterval: beat,
-		RetryRatio: 0.2, RetrySlack: 60, RecordVersion: s.version, Seed: cmp.Or(s.seed, s.w.Rand.Uint64()), MaxBodyBytes: 1 << 24, AgreedEjection: s.w.Agreed, MaxKeyHold: holdMost})
-	life := s.lives
+	s.starts++
+	s.w.noteDisturbance(s.addr)
+	s.up, s.powerLost, s.freezer = true, false, freezer{}
+	s.running = map[uint64]*hostRequest{}
+	s.version += uint64(1000 * s.w.Rand.Float64()) // the version derives from the wall clock, which may have been set back
+	s.sidecar = sidecar.New(s.w.Now, sidecar.Options{Self: s.addr, Zone: s.host.Zone, Service: s.host.Service,
+		Seeds: s.seeds, HeartbeatInterval: heartbeatSeconds,
+		RetryRatio: 0.2, RetrySlack: 60, RecordVersion: s.version, Seed: cmp.Or(s.seed, s.w.Rand.Uint64()),
+		MaxBodyBytes: 1 << 24, AgreedEjection: s.w.AgreedEjection, MaxKeyHold: maxHoldSeconds})
+	incarnation := s.starts
 	var tick func()
 	tick = func() {
-		if s.up && s.lives == life {
+		if s.up && s.starts == incarnation {
 			s.input(func() { s.sidecar.Tick(s.w.Now) })
-			s.w.Checker.edition(s)
-			s.w.After(tickEvery, tick)
+			s.w.Checker.checkEdition(s)
+			s.w.After(tickSeconds, tick)
 		}
 	}
-	s.w.After(tickEvery*s.w.Rand.Float64(), tick)
+	s.w.After(tickSeconds*s.w.Rand.Float64(), tick)
 }
 
-// Kill ends the process. Its clients see their connections closed.
+// Kill ends the proxy process. Its clients see their connections closed. The host stays.
 func (s *Proxy) Kill() {
-	s.w.disturbed(s.addr)
+	s.w.noteDisturbance(s.addr)
 	s.up = false
 }
 
-// PowerOff takes the power of proxy and host away.
+// PowerOff cuts the power of the machine, which ends proxy and host.
 func (s *Proxy) PowerOff() {
-	s.w.disturbed(s.addr)
-	s.up, s.unlit = false, true
-	s.station = nil
+	s.w.noteDisturbance(s.addr)
+	s.up, s.powerLost = false, true
+	s.instance = nil
 }
 
-// Term tells the process to end, and ends it once nothing is under way, as its program does. ended is called then.
-func (s *Proxy) Term(ended func()) {
-	const notice, grace = 2.2, 5.0
-	began, life := s.w.Now, s.lives
-	s.input(func() { s.sidecar.BeginShutdown(s.w.Now, notice) })
-	var look func()
-	look = func() {
+// Terminate shuts the process down gracefully, as SIGTERM does: the process ends once no request is in progress, or after a
+// timeout. Then onExit is called.
+func (s *Proxy) Terminate(onExit func()) {
+	const noticeSeconds, graceSeconds = 2.2, 5.0
+	start, incarnation := s.w.Now, s.starts
+	s.input(func() { s.sidecar.BeginShutdown(s.w.Now, noticeSeconds) })
+	var poll func()
+	poll = func() {
 		switch {
-		case !s.up || s.lives != life:
-		case s.w.Now > began+notice && s.sidecar.Idle(), s.w.Now > began+grace:
+		case !s.up || s.starts != incarnation:
+		case s.w.Now > start+noticeSeconds && s.sidecar.Idle(), s.w.Now > start+graceSeconds:
 			s.up = false
-			ended()
+			onExit()
 		default:
-			s.w.After(tickEvery, look)
+			s.w.After(tickSeconds, poll)
 		}
 	}
-	s.w.After(notice, look)
+	s.w.After(noticeSeconds, poll)
 }
 
-// State is what the proxy knows.
+// State returns the state of the proxy.
 func (s *Proxy) State() sidecar.State { return s.sidecar.State(s.w.Now) }
 
-func (s *Proxy) heard(from string, p *meshpb.Message) {
+func (s *Proxy) receive(from string, p *meshpb.Message) {
 	s.input(func() { s.sidecar.Receive(s.w.Now, from, p) })
 }
 
-func (s *Proxy) broke(b transport.Disconnected) {
+func (s *Proxy) connectionLost(b transport.Disconnected) {
 	s.input(func() { s.sidecar.ConnectionLost(s.w.Now, b) })
 }
 
 func (s *Proxy) input(f func()) {
-	if !s.up || s.holds(f, s.input) {
+	if !s.up || s.deferWhileFrozen(f, s.input) {
 		return
 	}
 	f()
--- a/internal/mesh/simulation/regions_test.go
+++ b/internal/mesh/simulation/regions_test.go
@@ -6,7 +6,7 @@
 )
 
 // regionAway is one way between regions, in seconds.
-const regionAway = 0.055
+const regionLatencySeconds = 0.055
 
 // Three control servers in three regions, and proxies in each: every change of a register takes a way to another region and back, or
 // two. That is not overload: operations are claimed and served, also by homes that are far.
@@ -24,19 +24,19 @@
 		for one := range region {
 			for other := range region {
 				if region[one] != region[other] {
-					w.Slow(one, other, regionAway)
+					w.AddLatency(one, other, regionLatencySeconds)
 				}
 			}
 		}
 		w.Configure(int(seed), 1, nil)
 		w.Run(4)
 		const rate, seconds = 250.0, 12.0
-		operate(w, rate, seconds)
+		startRetriedOperations(w, rate, seconds)
 		w.Run(seconds + 3)
 		if float64(w.Checker.Served) < 0.97*rate*seconds {
 			t.Errorf("seed %d: %d of %.0f operations served; answers %v", seed, w.Checker.Served, rate*seconds, w.Checker.Statuses)
 		}
-		t.Logf("seed %d: %d served, %d asked, answers %v", seed, w.Checker.Served, w.Checker.Asked, w.Checker.Statuses)
-		verdictOn(t, w, fmt.Sprintf("seed %d", seed), 0)
+		t.Logf("seed %d: %d served, %d asked, answers %v", seed, w.Checker.Served, w.Checker.Requested, w.Checker.Statuses)
+		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0)
 	}
 }
--- a/internal/mesh/simulation/servers.go
+++ b/internal/mesh/simulation/servers.go
@@ -12,73 +12,72 @@
 	"beechwing/internal/mesh/store"
 )
 
-// Control servers with their disks.
-
-// disk keeps batches. One is on its way at a time; what has not been synced is lost with power, all of it or some.
+// disk is the disk of a control server. One batch is written at a time. A power failure loses all or a part of a batch that
+// is not synced yet.
 type disk struct {
-	held    map[string][]byte
+	values  map[string][]byte
 	writing []store.Put
 }
 
 func (d *disk) apply(puts []store.Put) {
 	for _, p := range puts {
 		if len(p.Value) == 0 {
-			delete(d.held, p.Name)
+			delete(d.values, p.Name)
 		} else {
-			d.held[p.Name] = slices.Clone(p.Value)
+			d.values[p.Name] = slices.Clone(p.Value)
 		}
 	}
 }
 
-// ---- control processes
-
-// ControlServer is a control process.
+// ControlServer is a machine with a control server process.
 type ControlServer struct {
-	w      *World
-	addr   string
-	seeds  []string
-	disk   *disk
-	server *control.Server
-	lives  int
-	up     bool
-	unlit  bool
-	gone   bool // for good
-	puts   []store.Put
-	after  []transport.Send
-	busy   bool
-
-	startValues int // that it found on its disk and has not written anew yet
-
-	Synced func() // called as a batch is on the disk, before anything is said of it
+	w            *World
+	addr         string
+	seeds        []string
+	disk         *disk
+	server       *control.Server
+	starts       int // number of process starts; identifies the current process
+	up           bool
+	powerLost    bool
+	removed      bool             // permanently
+	pendingPuts  []store.Put      // the next batch
+	pendingSends []transport.Send // messages to send once the next batch is synced
+	syncing      bool             // a batch is being written and synced
+
+	loadedValues int // number of values found on the disk at the start and not rewritten yet
+
+	OnSynced func() // called when a batch is synced, before dependent messages are sent
 	freezer
 	processor processor
 }
 
-func (h *ControlServer) address() string { return h.addr }
-func (h *ControlServer) alive() bool     { return h.up }
-func (h *ControlServer) dark() bool      { return h.unlit }
-func (h *ControlServer) life() int       { return h.lives }
+func (h *ControlServer) address() string  { return h.addr }
+func (h *ControlServer) alive() bool      { return h.up }
+func (h *ControlServer) poweredOff() bool { return h.powerLost }
+func (h *ControlServer) incarnation() int { return h.starts }
 
-// Start starts the process on what its disk holds.
+// Start starts the process with the content of its disk.
 func (h *ControlServer) Start() {
-	if h.gone || h.up {
+	if h.removed || h.up {
 		return
 	}
-	h.lives++
-	h.w.disturbed(h.addr)
+	h.starts++
+	h.w.noteDisturbance(h.addr)
 	h.freezer, h.processor = freezer{}, processor{}
-	h.up, h.unlit, h.busy, h.puts, h.after = true, false, false, nil, nil
+	h.up, h.powerLost, h.syncing, h.pendingPuts, h.pendingSends = true, false, false, nil, nil
 	values := map[string][]byte{}
-	for name, v := range h.disk.held {
+	for name, v := range h.disk.values {
 		values[name] = slices.Clone(v)
 	}
 	var err error
-	h.server, err = control.New(h.w.Now, control.Options{LeaseSeconds: cmp.Or(h.w.LeaseTime, sharding.LeaseSeconds(holdMost)), Self: h.addr, Seeds: h.seeds, Bootstrap: h.w.first && len(values) == 0,
-		Tolerance: h.w.tolerance, RetentionSeconds: window, Life: h.w.Rand.Uint32() | 1, RandomSeed: h.w.Rand.Uint64(),
+	h.server, err = control.New(h.w.Now, control.Options{
+		LeaseSeconds: cmp.Or(h.w.LeaseSeconds, sharding.LeaseSeconds(maxHoldSeconds)), Self: h.addr, Seeds: h.seeds,
+		Bootstrap: h.w.bootstrap && len(values) == 0,
+		Tolerance: h.w.tolerance, RetentionSeconds: dedupWindowSeconds, Life: h.w.Rand.Uint32() | 1, RandomSeed: h.w.Rand.Uint64(),
 		Log: func(event string, args ...any) {
 			trace("%.3f %s %s %v", h.w.Now, h.addr, event, args)
 			if event == "contact" && args[1] == false {
-				h.w.ContactsLost++
+				h.w.QuorumContactLosses++
 			}
 			if event == control.EventViolation {
 				h.w.Checker.fail("INVARIANT", "%s: %v", h.addr, args)
@@ -87,106 +86,107 @@
 	if err != nil {
 		panic(err)
 	}
-	h.startValues = len(values)
-	h.spend(float64(len(values)) * h.w.Processor.Value)
-	life := h.lives
+	h.loadedValues = len(values)
+	h.useProcessor(float64(len(values)) * h.w.Processor.Value)
+	incarnation := h.starts
 	var tick func()
 	tick = func() {
-		if h.up && h.lives == life {
-			h.inputFirst(func() {
+		if h.up && h.starts == incarnation {
+			h.inputUrgent(func() {
 				h.server.Tick(h.w.Now)
-				h.w.After(tickEvery, tick)
+				h.w.After(tickSeconds, tick)
 			})
 		}
 	}
-	h.w.After(tickEvery*h.w.Rand.Float64(), tick)
+	h.w.After(tickSeconds*h.w.Rand.Float64(), tick)
 }
 
-// Kill ends the process: what it had begun to write is on the disk.
+// Kill ends the process. The operating system completes a batch that is being written.
 func (h *ControlServer) Kill() {
 	if h.up {
-		h.w.disturbed(h.addr)
+		h.w.noteDisturbance(h.addr)
 		h.up = false
 		h.disk.apply(h.disk.writing)
 		h.disk.writing = nil
 	}
 }
 
-// Term tells the process to end as planned. It ends when its place is taken or nobody waits for it, and is not started again.
-func (h *ControlServer) Term() {
-	const leaveWithin = 3.0
-	late, life := h.w.Now+leaveWithin, h.lives
+// Terminate asks the process to leave the cluster, as SIGTERM does. The process ends when the server has left or after a
+// timeout, and is not started again.
+func (h *ControlServer) Terminate() {
+	const leaveTimeoutSeconds = 3.0
+	deadline, incarnation := h.w.Now+leaveTimeoutSeconds, h.starts
 	h.input(func() { h.server.Leave(h.w.Now) })
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		switch {
-		case !h.up || h.lives != life:
-		case h.server.MayStop(h.w.Now), h.w.Now > late:
+		case !h.up || h.starts != incarnation:
+		case h.server.MayStop(h.w.Now), h.w.Now > deadline:
 			h.Kill()
-			h.gone = true
+			h.removed = true
 		default:
-			h.w.After(tickEvery, look)
+			h.w.After(tickSeconds, poll)
 		}
 	}
-	h.w.After(tickEvery, look)
+	h.w.After(tickSeconds, poll)
 }
 
-// PowerOff takes the power away: of what was not synced some may be on the disk.
+// PowerOff cuts the power of the machine. A part of a batch that is not synced yet may be on the disk.
 func (h *ControlServer) PowerOff() {
 	if n := len(h.disk.writing); h.up && n > 0 && h.w.Rand.IntN(2) == 0 {
 		h.disk.apply(h.disk.writing[:h.w.Rand.IntN(n)])
 	}
 	h.disk.writing = nil
-	h.w.disturbed(h.addr)
-	h.up, h.unlit = false, true
+	h.w.noteDisturbance(h.addr)
+	h.up, h.powerLost = false, true
 }
 
-// Wipe takes the disk's content away. The process has to be down.
+// Wipe erases the disk. The process must not be running.
 func (h *ControlServer) Wipe() {
-	h.disk.held, h.disk.writing = map[string][]byte{}, nil
-	h.w.first = false
+	h.disk.values, h.disk.writing = map[string][]byte{}, nil
+	h.w.bootstrap = false
 }
 
-// Voting says whether the process takes part in ballots.
+// Voting reports whether the process is running and votes.
 func (h *ControlServer) Voting() bool { return h.up && h.server.Voting() }
 
-func (h *ControlServer) heard(from string, p *meshpb.Message) {
+func (h *ControlServer) receive(from string, p *meshpb.Message) {
 	f := func() { h.server.HandleMessage(h.w.Now, from, p) }
 	if meshpb.IsHeartbeat(p) {
-		h.inputFirst(f)
+		h.inputUrgent(f)
 		return
 	}
 	h.input(f)
 }
 
-// inputFirst gives the machine an input that goes before what waits: a heartbeat, and a tick, which in the program competes with the
-// inbox's one worker for each message anew, and so waits for one message at most.
-func (h *ControlServer) inputFirst(f func()) {
-	if h.frozen || h.idle() || h.w.HeartbeatsWait {
+// inputUrgent passes an input to the process ahead of all queued inputs. Heartbeats and ticks are urgent: in the program, a
+// tick competes with the single inbox worker for each message separately, so it waits for one message at most.
+func (h *ControlServer) inputUrgent(f func()) {
+	if h.frozen || h.idle() || h.w.QueueHeartbeats {
 		h.input(f)
 		return
 	}
 	h.processor.urgent = append(h.processor.urgent, f)
-	h.workLater()
+	h.scheduleNext()
 }
 
-func (h *ControlServer) broke(transport.Disconnected) {}
+func (h *ControlServer) connectionLost(transport.Disconnected) {}
 
-// input gives the machine something, and does what it wants done.
+// input passes an input to the process and carries out its output, once the process is not frozen and its processor is free.
 func (h *ControlServer) input(f func()) {
-	if h.holds(f, h.input) || h.waits(f) {
+	if h.deferWhileFrozen(f, h.input) || h.queueIfBusy(f) {
 		return
 	}
-	h.work(f)
+	h.process(f)
 }
 
-// work gives the machine an input that has the processor.
-func (h *ControlServer) work(f func()) {
-	h.spend(h.w.Processor.Message)
+// process handles an input, whose turn on the processor has come, and carries out the output.
+func (h *ControlServer) process(f func()) {
+	h.useProcessor(h.w.Processor.Message)
 	f()
 	for {
 		out := h.server.TakeEffects()
-		h.puts, h.after = append(h.puts, out.Puts...), append(h.after, out.After...)
+		h.pendingPuts, h.pendingSends = append(h.pendingPuts, out.Puts...), append(h.pendingSends, out.After...)
 		h.sync()
 		if len(out.Sends) == 0 {
 			return
@@ -201,31 +201,31 @@
 			h.server.HandleMessage(h.w.Now, h.addr, s.Message)
 			continue
 		}
-		h.spend(h.w.Processor.Message)
+		h.useProcessor(h.w.Processor.Message)
 		h.w.send(h.addr, s.To, s.Message)
 	}
 }
 
 func (h *ControlServer) sync() {
-	if h.busy || len(h.puts)+len(h.after) == 0 {
+	if h.syncing || len(h.pendingPuts)+len(h.pendingSends) == 0 {
 		return
 	}
-	h.busy = true
-	h.disk.writing = h.puts
-	after, life := h.after, h.lives
-	h.puts, h.after = nil, nil
-	values := len(h.disk.writing) + h.startValues // the first write of a process holds all that it found
-	h.startValues = 0
-	h.spend(h.w.Processor.Sync + float64(values)*h.w.Processor.Value)
-	h.w.After(max(0, h.processor.freeAt-h.w.Now)+syncTakes, func() {
-		if !h.up || h.lives != life {
+	h.syncing = true
+	h.disk.writing = h.pendingPuts
+	after, incarnation := h.pendingSends, h.starts
+	h.pendingPuts, h.pendingSends = nil, nil
+	values := len(h.disk.writing) + h.loadedValues // the first write of a process also rewrites all values that it loaded
+	h.loadedValues = 0
+	h.useProcessor(h.w.Processor.Sync + float64(values)*h.w.Processor.Value)
+	h.w.After(max(0, h.processor.freeAt-h.w.Now)+syncSeconds, func() {
+		if !h.up || h.starts != incarnation {
 			return
 		}
 		h.disk.apply(h.disk.writing)
 		h.disk.writing = nil
-		h.busy = false
-		if h.Synced != nil {
-			h.Synced()
+		h.syncing = false
+		if h.OnSynced != nil {
+			h.OnSynced()
 			if !h.up {
 				return
 			}
--- a/internal/mesh/simulation/simulation_test.go
+++ b/internal/mesh/simulation/simulation_test.go
@@ -8,22 +8,22 @@
 )
 
 // cluster is a small cluster: two services in two zones, with a configuration in force.
-func cluster(t *testing.T, seed uint64, servers int) *World {
+func newCluster(t *testing.T, seed uint64, servers int) *World {
 	t.Helper()
 	w := New(seed, servers, Host{"shop", "a"}, Host{"shop", "b"}, Host{"shop", "a"}, Host{"till", "a"}, Host{"till", "b"},
 		Host{"till", "b"})
 	w.Configure(int(seed), 1, nil)
 	w.Run(4)
-	w.Checker.InForce(w.Proxies...)
-	if w.Checker.Newest != 1 {
+	w.Checker.CheckConfigInForce(w.Proxies...)
+	if w.Checker.NewestAcked != 1 {
 		t.Fatalf("seed %d: no configuration after 4 s", seed)
 	}
 	return w
 }
 
 // agree has the proxies of a cluster leave hosts out for operations by agreement only, from a start anew.
-func agree(w *World) {
-	w.Agreed = true
+func enableAgreedEjection(w *World) {
+	w.AgreedEjection = true
 	for _, s := range w.Proxies {
 		s.Kill()
 		s.Start()
@@ -33,63 +33,63 @@
 
 // traffic has clients ask all the time: reads, and operations of which some are sent again from another proxy. Some leave before
 // they have an answer, of whom some come again with the same key.
-func traffic(w *World, seconds float64) {
-	const every = 0.01
-	for i := range int(seconds / every) {
-		w.After(float64(i)*every, func() {
+func startTraffic(w *World, seconds float64) {
+	const interval = 0.01
+	for i := range int(seconds / interval) {
+		w.After(float64(i)*interval, func() {
 			s := w.Proxies[w.Rand.IntN(len(w.Proxies))]
-			leaves := w.Rand.IntN(leavesOf) == 0
-			stays := 0.3 * w.Rand.Float64() * w.Rand.Float64()
+			disconnects := w.Rand.IntN(disconnectOneIn) == 0
+			staySeconds := 0.3 * w.Rand.Float64() * w.Rand.Float64()
 			if w.Rand.IntN(2) == 0 {
-				if leaves {
-					w.AskAndLeave(s, "/read/x", "", stays)
+				if disconnects {
+					w.RequestAndDisconnect(s, "/read/x", "", staySeconds)
 					return
 				}
-				w.Ask(s, "/read/x", "", 3)
+				w.Request(s, "/read/x", "", 3)
 				return
 			}
 			key := fmt.Sprintf("k%d-%d", w.Rand.IntN(1<<30), i)
-			if leaves {
-				w.AskAndLeave(s, "/pay/x", key, stays)
+			if disconnects {
+				w.RequestAndDisconnect(s, "/pay/x", key, staySeconds)
 			} else {
-				w.Ask(s, "/pay/x", key, 3)
+				w.Request(s, "/pay/x", key, 3)
 			}
 			if w.Rand.IntN(4) == 0 { // once more after its answer
 				other := w.Proxies[w.Rand.IntN(len(w.Proxies))]
-				w.After(1+3*w.Rand.Float64(), func() { w.Ask(other, "/pay/x", key, 2) })
+				w.After(1+3*w.Rand.Float64(), func() { w.Request(other, "/pay/x", key, 2) })
 			}
 			if w.Rand.IntN(3) == 0 {
 				other := w.Proxies[w.Rand.IntN(len(w.Proxies))]
-				w.After(0.3*w.Rand.Float64()*w.Rand.Float64(), func() { w.Ask(other, "/pay/x", key, 3) })
+				w.After(0.3*w.Rand.Float64()*w.Rand.Float64(), func() { w.Request(other, "/pay/x", key, 3) })
 			}
 		})
 	}
 }
 
 // leavesOf is that one client of so many leaves early.
-const leavesOf = 12
+const disconnectOneIn = 12
 
-func verdictOn(t *testing.T, w *World, name string, served float64) {
+func checkOutcome(t *testing.T, w *World, name string, minServed float64) {
 	t.Helper()
-	for i, b := range w.Checker.Broken {
+	for i, b := range w.Checker.Violations {
 		if i < 5 {
 			t.Errorf("%s: %s", name, b)
 		}
 	}
 	// A key that is at work has its answer: the client comes again.
-	waited := w.Checker.Asked - w.Checker.Left
-	if got := float64(w.Checker.Served+w.Checker.Statuses[409]) / float64(max(1, waited)); got < served {
-		t.Errorf("%s: %.3f of %d requests served, want %.3f; answers %v", name, got, waited, served, w.Checker.Statuses)
+	stayed := w.Checker.Requested - w.Checker.Disconnected
+	if got := float64(w.Checker.Served+w.Checker.Statuses[409]) / float64(max(1, stayed)); got < minServed {
+		t.Errorf("%s: %.3f of %d requests served, want %.3f; answers %v", name, got, stayed, minServed, w.Checker.Statuses)
 	}
 }
 
 func TestCalmDay(t *testing.T) {
 	t.Parallel()
 	for _, servers := range []int{3, 4, 5} {
-		w := cluster(t, 1, servers)
-		traffic(w, 3)
+		w := newCluster(t, 1, servers)
+		startTraffic(w, 3)
 		w.Run(7)
-		verdictOn(t, w, fmt.Sprintf("%d servers", servers), 0.97)
+		checkOutcome(t, w, fmt.Sprintf("%d servers", servers), 0.97)
 	}
 }
 
@@ -98,13 +98,13 @@
 func TestAcknowledgedConfigurationSurvives(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
-		w := cluster(t, seed, 3+int(seed%3))
-		way := []string{"power", "kill", "wipe"}[seed/3%3]
-		struck := false
+		w := newCluster(t, seed, 3+int(seed%3))
+		fault := []string{"power", "kill", "wipe"}[seed/3%3]
+		injected := false
 		w.Configure(int(seed), 9, func() {
-			struck = true
+			injected = true
 			for _, h := range w.Servers {
-				if way == "kill" {
+				if fault == "kill" {
 					h.Kill()
 				} else {
 					h.PowerOff()
@@ -113,12 +113,12 @@
 			for _, s := range w.Proxies {
 				s.PowerOff()
 			}
-			if way == "wipe" {
+			if fault == "wipe" {
 				w.Servers[w.Rand.IntN(len(w.Servers))].Wipe()
 			}
 		})
 		w.Run(1)
-		if !struck {
+		if !injected {
 			t.Fatalf("seed %d: not acknowledged within a second", seed)
 		}
 		for _, h := range w.Servers {
@@ -129,13 +129,13 @@
 		}
 		w.Run(5)
 		var read uint64
-		w.ReadBack(int(seed), func(v uint64) { read = v })
+		w.ReadConfig(int(seed), func(v uint64) { read = v })
 		w.Run(3)
-		w.Checker.InForce(w.Proxies...)
+		w.Checker.CheckConfigInForce(w.Proxies...)
 		if read != 9 {
-			t.Errorf("seed %d, %s: read back %d, acknowledged 9", seed, way, read)
+			t.Errorf("seed %d, %s: read back %d, acknowledged 9", seed, fault, read)
 		}
-		verdictOn(t, w, fmt.Sprintf("seed %d, %s", seed, way), 0)
+		checkOutcome(t, w, fmt.Sprintf("seed %d, %s", seed, fault), 0)
 	}
 }
 
@@ -143,8 +143,8 @@
 func TestWipedDiskDoesNotVote(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
-		w := cluster(t, seed, 3)
-		traffic(w, 4)
+		w := newCluster(t, seed, 3)
+		startTraffic(w, 4)
 		w.Run(1)
 		h := w.Servers[seed%3]
 		h.PowerOff()
@@ -162,7 +162,7 @@
 		if !h.Voting() {
 			t.Errorf("seed %d: it does not vote though all are there again", seed)
 		}
-		verdictOn(t, w, fmt.Sprintf("seed %d", seed), 0.3)
+		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0.3)
 	}
 }
 
@@ -170,14 +170,14 @@
 func TestDrainUnderTraffic(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
-		w := cluster(t, seed, 3)
-		traffic(w, 6)
+		w := newCluster(t, seed, 3)
+		startTraffic(w, 6)
 		for i, at := range []int{0, 3} {
 			w.After(1+float64(i), w.Proxies[at].Drain)
 			w.After(3.5+float64(i), w.Proxies[at].StartHost)
 		}
 		w.Run(10)
-		verdictOn(t, w, fmt.Sprintf("seed %d", seed), 0.95)
+		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0.95)
 	}
 }
 
@@ -185,11 +185,11 @@
 // end a proxy's host is of use to the others.
 func TestProxiesEndInTurn(t *testing.T) {
 	t.Parallel()
-	w := cluster(t, 8, 3)
-	traffic(w, 12)
+	w := newCluster(t, 8, 3)
+	startTraffic(w, 12)
 	for i, s := range w.Proxies {
 		w.After(0.5+1.5*float64(i), func() {
-			s.Term(func() {
+			s.Terminate(func() {
 				w.After(0.4, s.Start)
 			})
 			runs := w.Checker.RunsAt(s)
@@ -201,29 +201,29 @@
 		})
 	}
 	w.Run(14)
-	verdictOn(t, w, "ended in turn", 0.95)
+	checkOutcome(t, w, "ended in turn", 0.95)
 }
 
 // A proxy that hears no news goes on sending to a host that leaves. The proxy beside that host lets nothing through.
 func TestGateHoldsAgainstOldNews(t *testing.T) {
 	t.Parallel()
-	w := cluster(t, 5, 3)
-	old, leaves := w.Proxies[2], w.Proxies[0]
+	w := newCluster(t, 5, 3)
+	stale, draining := w.Proxies[2], w.Proxies[0]
 	for _, h := range w.Servers {
-		w.CutOff(old.addr, h.addr)
+		w.Isolate(stale.addr, h.addr)
 	}
 	for _, s := range w.Proxies {
-		if s != leaves {
-			w.CutOff(old.addr, s.addr)
+		if s != draining {
+			w.Isolate(stale.addr, s.addr)
 		}
 	}
-	leaves.Drain()
-	old.CrashHost()
+	draining.Drain()
+	stale.CrashHost()
 	for i := range 100 {
-		w.After(float64(i)*0.029, func() { w.Ask(old, "/read/x", "", 1) })
+		w.After(float64(i)*0.029, func() { w.Request(stale, "/read/x", "", 1) })
 	}
 	w.Run(6)
-	verdictOn(t, w, "old news", 0)
+	checkOutcome(t, w, "old news", 0)
 	if w.Checker.Statuses[503] < 80 {
 		t.Errorf("answers %v: it was to be turned away", w.Checker.Statuses)
 	}
@@ -232,15 +232,15 @@
 // A proxy cut off from the control plane learns of what is new from those that it watches.
 func TestCutOffProxyHearsFromNeighbours(t *testing.T) {
 	t.Parallel()
-	w := cluster(t, 3, 3)
-	cut := w.Proxies[2]
+	w := newCluster(t, 3, 3)
+	isolated := w.Proxies[2]
 	for _, h := range w.Servers {
-		w.CutOff(cut.addr, h.addr)
+		w.Isolate(isolated.addr, h.addr)
 	}
 	w.Configure(1, 5, nil)
 	w.Run(5)
-	w.Checker.InForce(cut)
-	verdictOn(t, w, "cut off", 0)
+	w.Checker.CheckConfigInForce(isolated)
+	checkOutcome(t, w, "cut off", 0)
 }
 
 // Days of troubles by lot: processes killed, power lost, disks lost within what is to be borne, machines and control processes
@@ -248,108 +248,108 @@
 // afterwards all is served again.
 func TestDaysOfTroubles(t *testing.T) {
 	t.Parallel()
-	days := 12
+	runs := 12
 	if n, err := strconv.Atoi(os.Getenv("SIMULATION_DAYS")); err == nil { // more, by hand
-		days = n
+		runs = n
 	}
-	for seed := range uint64(days) {
-		w := cluster(t, seed, 3+int(seed%3))
+	for seed := range uint64(runs) {
+		w := newCluster(t, seed, 3+int(seed%3))
 		if seed%2 == 1 {
-			agree(w)
+			enableAgreedEjection(w)
 		}
-		traffic(w, 14)
+		startTraffic(w, 14)
 		version := uint64(1)
-		lost := 0.0 // until then a control process is counted as lost: only one is at a time
+		lostUntil := 0.0 // until then a control process is counted as lost: only one is at a time
 		for at := 0.5; at < 9; at += 0.3 + 0.7*w.Rand.Float64() {
-			w.After(at, func() { trouble(w, &version, &lost) })
+			w.After(at, func() { injectFault(w, &version, &lostUntil) })
 		}
 		w.Run(12)
-		w.JoinAll()
+		w.HealNetwork()
 		for _, s := range w.Proxies {
-			if s.station != nil {
+			if s.instance != nil {
 				s.LoseAnswers(0)
 			}
 		}
 		w.Run(4)
-		w.Checker.InForce(w.Proxies...)
+		w.Checker.CheckConfigInForce(w.Proxies...)
 		served := w.Checker.Served
 		for i := range 40 {
-			w.After(float64(i)*0.02, func() { w.Ask(w.Proxies[i%len(w.Proxies)], "/pay/x", fmt.Sprintf("after%d", i), 3) })
+			w.After(float64(i)*0.02, func() { w.Request(w.Proxies[i%len(w.Proxies)], "/pay/x", fmt.Sprintf("after%d", i), 3) })
 		}
 		w.Run(4)
 		if got := w.Checker.Served - served; got < 36 {
 			t.Errorf("seed %d: %d of 40 operations served once all is over; answers %v", seed, got, w.Checker.Statuses)
 		}
 		var read uint64
-		w.ReadBack(0, func(v uint64) { read = v })
+		w.ReadConfig(0, func(v uint64) { read = v })
 		w.Run(2)
-		if read < w.Checker.Newest {
-			t.Errorf("seed %d: read back %d, acknowledged %d", seed, read, w.Checker.Newest)
+		if read < w.Checker.NewestAcked {
+			t.Errorf("seed %d: read back %d, acknowledged %d", seed, read, w.Checker.NewestAcked)
 		}
-		verdictOn(t, w, fmt.Sprintf("seed %d", seed), 0.3)
+		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0.3)
 	}
 }
 
-func trouble(w *World, version *uint64, lost *float64) {
+func injectFault(w *World, version *uint64, lostUntil *float64) {
 	h := w.Servers[w.Rand.IntN(len(w.Servers))]
 	s := w.Proxies[w.Rand.IntN(len(w.Proxies))]
-	down := 0.2 + 1.5*w.Rand.Float64()
-	free := w.Now > *lost
+	downSeconds := 0.2 + 1.5*w.Rand.Float64()
+	mayLoseServer := w.Now > *lostUntil
 	switch k := w.Rand.IntN(12); {
-	case k < 4 && !free, k >= 7 && k < 9 && !s.up:
+	case k < 4 && !mayLoseServer, k >= 7 && k < 9 && !s.up:
 	case k == 0:
-		*lost = w.Now + down + 4
+		*lostUntil = w.Now + downSeconds + 4
 		h.PowerOff()
 		if w.Rand.IntN(2) == 0 {
 			h.Wipe()
 		}
-		w.After(down, h.Start)
+		w.After(downSeconds, h.Start)
 	case k == 1:
-		*lost = w.Now + down + 4
+		*lostUntil = w.Now + downSeconds + 4
 		h.Kill()
-		w.After(down, h.Start)
+		w.After(downSeconds, h.Start)
 	case k == 2: // all at once, and their disks are kept
-		*lost = w.Now + 5
+		*lostUntil = w.Now + 5
 		for _, h := range w.Servers {
 			h.Kill()
 			w.After(0.9*w.Rand.Float64(), h.Start)
 		}
 	case k == 3:
-		*lost = w.Now + down + 4
+		*lostUntil = w.Now + downSeconds + 4
 		for _, o := range w.Servers {
 			if o != h {
-				w.Cut(h.addr, o.addr)
+				w.Block(h.addr, o.addr)
 				if w.Rand.IntN(2) == 0 {
-					w.Cut(o.addr, h.addr)
+					w.Block(o.addr, h.addr)
 				}
 			}
 		}
-		w.After(down, w.JoinAll)
+		w.After(downSeconds, w.HealNetwork)
 	case k == 4:
 		s.Kill()
-		w.After(down, s.Start)
+		w.After(downSeconds, s.Start)
 	case k == 5 && s.up:
 		s.PowerOff()
-		w.After(down, func() { s.Start(); s.StartHost() })
+		w.After(downSeconds, func() { s.Start(); s.StartHost() })
 	case k == 6:
 		for _, o := range w.Servers {
-			w.CutOff(s.addr, o.addr)
+			w.Isolate(s.addr, o.addr)
 		}
-		w.After(down, w.JoinAll)
-	case k == 7 && s.station != nil:
+		w.After(downSeconds, w.HealNetwork)
+	case k == 7 && s.instance != nil:
 		s.Drain()
-		w.After(3+down, s.StartHost)
-	case k == 8 && s.station != nil:
+		w.After(3+downSeconds, s.StartHost)
+	case k == 8 && s.instance != nil:
 		s.CrashHost()
-		w.After(down, s.StartHost)
+		w.After(downSeconds, s.StartHost)
 	case k == 10: // full links: what is given up arrives later
 		for _, o := range w.Proxies {
 			if w.Rand.IntN(3) == 0 {
-				w.Slow(s.addr, o.addr, 0.3+1.2*w.Rand.Float64())
+				w.AddLatency(s.addr, o.addr, 0.3+1.2*w.Rand.Float64())
 			}
 		}
-		w.After(1+down, w.EndSlow)
-	case k == 9 && s.station != nil:
+		w.After(1+downSeconds, w.ClearLatency)
+	case k == 9 && s.instance != nil:
 		s.LoseAnswers(0.2)
 	default:
 		*version += 1 + uint64(w.Rand.IntN(3))
@@ -365,7 +365,7 @@
 func TestStartBesideAServerWithoutPower(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
-		w := cluster(t, seed, 3)
+		w := newCluster(t, seed, 3)
 		for _, h := range w.Servers {
 			h.PowerOff()
 		}
@@ -384,8 +384,8 @@
 			s.StartHost()
 		}
 		w.Run(0.6)
-		w.Checker.InForce(w.Proxies...)
-		verdictOn(t, w, fmt.Sprintf("seed %d", seed), 0)
+		w.Checker.CheckConfigInForce(w.Proxies...)
+		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0)
 	}
 }
 
@@ -393,13 +393,13 @@
 // what it would cost.
 func TestNearHostsStayNear(t *testing.T) {
 	t.Parallel()
-	w := cluster(t, 4, 3)
+	w := newCluster(t, 4, 3)
 	for i := range 3000 {
-		w.After(float64(i)*0.02, func() { w.Ask(w.Proxies[w.Rand.IntN(len(w.Proxies))], "/read/x", "", 1) })
+		w.After(float64(i)*0.02, func() { w.Request(w.Proxies[w.Rand.IntN(len(w.Proxies))], "/read/x", "", 1) })
 	}
 	w.Run(62)
-	verdictOn(t, w, "near", 0.98)
-	if share := float64(w.Checker.Far) / float64(w.Checker.Near+w.Checker.Far); share > 0.2 {
+	checkOutcome(t, w, "near", 0.98)
+	if share := float64(w.Checker.CrossZone) / float64(w.Checker.SameZone+w.Checker.CrossZone); share > 0.2 {
 		t.Errorf("%.2f of all reads left their zone", share)
 	}
 }
@@ -409,26 +409,26 @@
 func TestOperationsCostTheMajority(t *testing.T) {
 	t.Parallel()
 	for _, servers := range []int{3, 5, 7, 9} {
-		w := cluster(t, 2, servers)
-		quiet := func() (words, bytes int) {
-			words, bytes = w.Messages, w.Bytes
+		w := newCluster(t, 2, servers)
+		measure := func() (messages, bytes int) {
+			messages, bytes = w.Messages, w.Bytes
 			w.Run(5)
-			return w.Messages - words, w.Bytes - bytes
+			return w.Messages - messages, w.Bytes - bytes
 		}
-		rest, restBytes := quiet()
+		idleMessages, idleBytes := measure()
 		const n = 200
 		for i := range n {
-			w.After(float64(i)*0.02, func() { w.Ask(w.Proxies[i%len(w.Proxies)], "/pay/x", fmt.Sprintf("k%d", i), 1) })
+			w.After(float64(i)*0.02, func() { w.Request(w.Proxies[i%len(w.Proxies)], "/pay/x", fmt.Sprintf("k%d", i), 1) })
 		}
-		busy, _ := quiet()
+		loadMessages, _ := measure()
 		others := servers / 2
-		if each := float64(busy-rest) / n; each > float64(4*others)*1.15+0.5 {
-			t.Errorf("%d control processes: %.1f words an operation, %d are needed", servers, each, 4*others)
+		if perOperation := float64(loadMessages-idleMessages) / n; perOperation > float64(4*others)*1.15+0.5 {
+			t.Errorf("%d control processes: %.1f words an operation, %d are needed", servers, perOperation, 4*others)
 		}
-		if most := 5 * 1024 * servers * servers; restBytes > most {
-			t.Errorf("%d control processes: %d bytes in 5 s at rest, at most %d", servers, restBytes, most)
+		if maxIdleBytes := 5 * 1024 * servers * servers; idleBytes > maxIdleBytes {
+			t.Errorf("%d control processes: %d bytes in 5 s at rest, at most %d", servers, idleBytes, maxIdleBytes)
 		}
-		verdictOn(t, w, fmt.Sprintf("%d servers", servers), 0.95)
+		checkOutcome(t, w, fmt.Sprintf("%d servers", servers), 0.95)
 	}
 }
 
@@ -437,16 +437,16 @@
 func TestLostAnswersStayInTheBudget(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		w := cluster(t, seed, 3)
+		w := newCluster(t, seed, 3)
 		for _, s := range w.Proxies {
 			s.LoseAnswers(0.9)
 		}
 		for i := range 4000 {
-			w.After(float64(i)*0.005, func() { w.Ask(w.Proxies[w.Rand.IntN(len(w.Proxies))], "/read/x", "", 1) })
+			w.After(float64(i)*0.005, func() { w.Request(w.Proxies[w.Rand.IntN(len(w.Proxies))], "/read/x", "", 1) })
 		}
 		w.Run(22)
-		verdictOn(t, w, fmt.Sprintf("seed %d", seed), 0)
-		if n := len(w.Checker.further["shop"]); n < 100 {
+		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0)
+		if n := len(w.Checker.retryTimes["shop"]); n < 100 {
 			t.Errorf("seed %d: %d further tries in 20 s: the budget is hardly used", seed, n)
 		}
 	}
@@ -457,13 +457,13 @@
 func TestNobodyWaitsForAServerThatRecovers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
-		w := cluster(t, seed, 5)
+		w := newCluster(t, seed, 5)
 		h := w.Servers[seed%3]
 		h.PowerOff()
 		h.Wipe()
 		w.Run(0.5)
 		for i := range 2 { // with two others silent to it, it can read back too little
-			w.CutOff(h.addr, w.Servers[3+i].addr)
+			w.Isolate(h.addr, w.Servers[3+i].addr)
 		}
 		h.Start()
 		w.Run(1)
@@ -474,10 +474,10 @@
 		w.Run(2)
 		w.Configure(int(seed)+3, 7, nil)
 		w.Run(2)
-		if h.Voting() || w.Checker.Newest != 7 {
-			t.Fatalf("seed %d: voting %v, acknowledged %d: this is not the case that it is for", seed, h.Voting(), w.Checker.Newest)
+		if h.Voting() || w.Checker.NewestAcked != 7 {
+			t.Fatalf("seed %d: voting %v, acknowledged %d: this is not the case that it is for", seed, h.Voting(), w.Checker.NewestAcked)
 		}
-		w.Checker.InForce(w.Proxies...)
-		verdictOn(t, w, fmt.Sprintf("seed %d", seed), 0)
+		w.Checker.CheckConfigInForce(w.Proxies...)
+		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0)
 	}
 }
--- a/internal/mesh/simulation/world.go
+++ b/internal/mesh/simulation/world.go
@@ -1,8 +1,17 @@
-// Package simulation is whole clusters in one process: clock, network and disks are simulated, the state machines are the ones
-// that the programs run. A seed replays.
+// Package simulation runs whole clusters in one process. Clock, network, disks and processors are simulated; the state
+// machines of the control servers (package control) and of the proxies (package sidecar) are the ones that the programs run.
+// All random decisions come from one seed, so a run with the same seed is repeated exactly.
 //
-// This file has the world: time, links, processes and disks. people.go has the hosts, clients and operators as stand-ins;
-// checker.go judges by what those saw, and by nothing else.
+// The main type is World, a discrete-event simulation. A test creates a World with New, schedules requests, configuration
+// changes and faults with After, advances the clock with Run, and then reads the violations that the Checker has recorded.
+//
+// world.go has the clock, the network and the machines. servers.go and proxies.go embed the two state machines. actors.go has
+// the simulated hosts, clients and operators, and keys.go the shard keys that hosts hold. faults.go, disturbance.go and
+// processor.go have network faults, the record of recent faults, and processor time. checker.go judges a run only by what
+// hosts, clients and operators observed.
+//
+// A proxy is the sidecar of one host: it sends the host's requests and admits the requests of others to the host. In the
+// names of the protocol, a carrier is a service and a station is the ID of a host instance.
 package simulation
 
 import (
@@ -17,78 +26,81 @@
 )
 
 const (
-	tickEvery   = 0.02
-	syncTakes   = 0.001
-	silentTakes = 1.5 // seconds until a connection to a silent machine is given up
-	window      = 60.0
+	tickSeconds        = 0.02
+	syncSeconds        = 0.001
+	unreachableSeconds = 1.5 // time until the connection to an unreachable machine fails
+	dedupWindowSeconds = 60.0
 )
 
-// trace tells what servers log. It is for looking at a failed seed.
+// trace receives the log events of the control servers. Set it to a printing function to debug a failed seed.
 var trace = func(format string, args ...any) {}
 
-// World is one cluster.
+// World is one simulated cluster with its clock.
 type World struct {
-	Now     float64
-	Delay   float64 // one way, between machines
-	Rand    *rand.Rand
-	Checker *Checker
-	Servers []*ControlServer
-	Proxies []*Proxy
+	Now            float64 // seconds on the simulated clock
+	LatencySeconds float64 // one-way network latency between machines, varied by 20 % up and down
+	Rand           *rand.Rand
+	Checker        *Checker
+	Servers        []*ControlServer
+	Proxies        []*Proxy
 
-	events events
-	seq    uint64
-	links  map[[2]string]*link
-	cuts   map[[2]string]bool
-	slow   map[[2]string]float64
-	byAddr map[string]machine
-	first  bool
+	events       events
+	seq          uint64
+	links        map[[2]string]*link   // by addresses of sender and receiver
+	blocked      map[[2]string]bool    // by addresses of sender and receiver
+	addedLatency map[[2]string]float64 // seconds, by addresses of sender and receiver
+	machines     map[string]machine    // by address
+	bootstrap    bool                  // the whole system starts for the first time
 
-	disturbedAt map[string]float64 // by address, when a machine or a link of it was last in trouble
+	disturbedAt map[string]float64 // by address: time of the last fault of a machine or of one of its links
 
-	tolerance int // control servers that may be lost at once
+	tolerance int // number of control servers that may be lost at once
 
-	Processor Processor // of the machines of control servers
+	Processor Processor // processing times of the control servers
 
-	HeartbeatsWait bool // planted: on a full processor heartbeats wait their turn
-	ContactsLost   int  // how often a control server lost contact with a quorum
+	QueueHeartbeats     bool // deliberate bug: heartbeats queue behind all other work on a busy processor
+	QuorumContactLosses int  // number of times that a control server lost contact with a quorum
 
-	LeaseTime float64 // planted: seconds after which control servers take a lease for over; 0: as they should
+	LeaseSeconds float64 // deliberate bug if not 0: control servers assume that leases expire after this time
 
-	EndsUntold bool // planted: word on the end of a run does not reach the control servers
+	DropSettles bool // deliberate bug: messages that report the end of a run (Settle) do not arrive
 
-	CloseUnheard bool // planted: no proxy hears that a client closes its connection
+	IgnoreDisconnects bool // deliberate bug: proxies are not told that a client has closed its connection
 
-	Agreed   bool   // proxies leave hosts out for operations by agreement only
-	Faults   Faults // of the network
-	Messages int    // parcels sent between control processes
-	Bytes    int    // in them
+	AgreedEjection bool   // proxies eject hosts for tracked operations only if the control plane has agreed
+	Faults         Faults // of the network
+	Messages       int    // sent between control servers
+	Bytes          int    // total size of Messages
 }
 
-// machine is one with a process on it.
+// machine is a machine with one process: a control server or a proxy.
 type machine interface {
 	address() string
-	alive() bool // its process runs
-	dark() bool  // it has no power
-	life() int
-	heard(from string, p *meshpb.Message)
-	broke(b transport.Disconnected)
+	alive() bool      // the process is running
+	poweredOff() bool // the machine has no power
+	incarnation() int // number of the current start of the process
+	receive(from string, p *meshpb.Message)
+	connectionLost(b transport.Disconnected)
 }
 
+// link is the sending direction of a connection between two machines.
 type link struct {
-	number uint64
-	born   int // life of the process at this end
-	life   int // and of the one at the other
-	last   float64
-	made   bool // the other end was there: what went by it may have arrived
-	dead   bool
+	number              uint64
+	senderIncarnation   int
+	receiverIncarnation int
+	lastArrival         float64 // time at which the latest message arrives
+	established         bool    // the receiver was running when the link was opened, so messages may have arrived
+	closed              bool
 }
 
+// event is a function to call at a simulated time. Events at the same time run in the order in which they were scheduled.
 type event struct {
 	at  float64
 	seq uint64
 	do  func()
 }
 
+// events is a heap of events by time.
 type events []event
 
 func (h events) Len() int { return len(h) }
@@ -105,13 +117,13 @@
 	return e
 }
 
-// Host says which service a proxy's host belongs to.
-type Host struct{ Carrier, Zone string }
+// Host describes a host: the service that it is part of, and its zone.
+type Host struct{ Service, Zone string }
 
-// New makes a cluster of so many control processes, and a proxy for each host.
+// New returns a cluster of the given number of control servers, with a proxy for each host. All of them are started.
 func New(seed uint64, servers int, hosts ...Host) *World {
-	w := &World{Now: 1, Delay: 0.001, Rand: rand.New(rand.NewPCG(seed, 7)), links: map[[2]string]*link{},
-		cuts: map[[2]string]bool{}, slow: map[[2]string]float64{}, byAddr: map[string]machine{}, first: true,
+	w := &World{Now: 1, LatencySeconds: 0.001, Rand: rand.New(rand.NewPCG(seed, 7)), links: map[[2]string]*link{},
+		blocked: map[[2]string]bool{}, addedLatency: map[[2]string]float64{}, machines: map[string]machine{}, bootstrap: true,
 		disturbedAt: map[string]float64{}}
 	w.Checker = newChecker(w)
 	w.tolerance = (servers - 1) / 2
@@ -120,10 +132,10 @@
 		seeds = append(seeds, fmt.Sprintf("10.0.0.%d:7000", i+1))
 	}
 	for _, addr := range seeds {
-		h := &ControlServer{w: w, addr: addr, seeds: seeds[:min(3, servers)], disk: &disk{held: map[string][]byte{}}}
-		w.Servers = append(w.Servers, h)
-		w.byAddr[addr] = h
-		h.Start()
+		server := &ControlServer{w: w, addr: addr, seeds: seeds[:min(3, servers)], disk: &disk{values: map[string][]byte{}}}
+		w.Servers = append(w.Servers, server)
+		w.machines[addr] = server
+		server.Start()
 	}
 	for _, host := range hosts {
 		w.addProxy(host, seeds[:min(3, servers)])
@@ -131,32 +143,32 @@
 	return w
 }
 
-// addProxy starts a machine with a host and the proxy beside it.
+// addProxy starts a machine with a host and its proxy.
 func (w *World) addProxy(host Host, seeds []string) *Proxy {
-	s := &Proxy{w: w, addr: fmt.Sprintf("10.0.1.%d:7000", len(w.Proxies)+1), host: host, seeds: seeds}
-	w.Proxies = append(w.Proxies, s)
-	w.byAddr[s.addr] = s
-	s.Start()
-	s.StartHost()
-	return s
+	p := &Proxy{w: w, addr: fmt.Sprintf("10.0.1.%d:7000", len(w.Proxies)+1), host: host, seeds: seeds}
+	w.Proxies = append(w.Proxies, p)
+	w.machines[p.addr] = p
+	p.Start()
+	p.StartHost()
+	return p
 }
 
-// AddHost starts a new machine with a host. Its proxy is told of control servers that are up.
-func (w *World) AddHost(host Host) *Proxy { return w.addProxy(host, w.upSeeds()) }
+// AddHost starts a new machine with a host and its proxy. The seed addresses of the proxy are those of running control servers.
+func (w *World) AddHost(host Host) *Proxy { return w.addProxy(host, w.runningSeeds()) }
 
-// Add starts a control server with an empty disk at an address that nobody had before. It is told of servers that are up.
-func (w *World) Add() *ControlServer {
+// AddServer starts a control server with an empty disk at an unused address. Its seed addresses are those of running servers.
+func (w *World) AddServer() *ControlServer {
 	addr := fmt.Sprintf("10.0.0.%d:7000", len(w.Servers)+1)
-	h := &ControlServer{w: w, addr: addr, seeds: w.upSeeds(), disk: &disk{held: map[string][]byte{}}}
-	w.first = false
-	w.Servers = append(w.Servers, h)
-	w.byAddr[addr] = h
-	h.Start()
-	return h
+	server := &ControlServer{w: w, addr: addr, seeds: w.runningSeeds(), disk: &disk{values: map[string][]byte{}}}
+	w.bootstrap = false
+	w.Servers = append(w.Servers, server)
+	w.machines[addr] = server
+	server.Start()
+	return server
 }
 
-// upSeeds names three servers that are up, as the operator's list would.
-func (w *World) upSeeds() (seeds []string) {
+// runningSeeds returns the addresses of up to three running servers, as an operator would configure them.
+func (w *World) runningSeeds() (seeds []string) {
 	for _, h := range w.Servers {
 		if h.up && len(seeds) < 3 {
 			seeds = append(seeds, h.addr)
@@ -165,28 +177,28 @@
 	return seeds
 }
 
-// Remove takes a machine away for good.
+// Remove powers a control server off permanently.
 func (w *World) Remove(h *ControlServer) {
 	h.PowerOff()
-	h.gone = true
+	h.removed = true
 }
 
-// Replace takes a machine away for good; a second later another one comes at an address of its own.
+// Replace removes a control server and adds a new one at another address a second later.
 func (w *World) Replace(h *ControlServer) {
 	w.Remove(h)
 	w.Run(1)
-	w.Add()
+	w.AddServer()
 }
 
-// LoseDisk takes a machine's power and its disk's content; so many seconds later it is back with an empty disk.
-func (w *World) LoseDisk(h *ControlServer, down float64) {
+// LoseDisk powers a control server off, erases its disk, and starts it again after downSeconds.
+func (w *World) LoseDisk(h *ControlServer, downSeconds float64) {
 	h.PowerOff()
 	h.Wipe()
-	w.Run(down)
+	w.Run(downSeconds)
 	h.Start()
 }
 
-// Members are the servers that vote, and are up.
+// Members returns the running servers that vote.
 func (w *World) Members() (all []*ControlServer) {
 	for _, h := range w.Servers {
 		if h.up && h.server.Voting() {
@@ -196,15 +208,15 @@
 	return all
 }
 
-// After does something so many seconds from now.
-func (w *World) After(s float64, do func()) {
+// After schedules do to be called the given number of seconds from now.
+func (w *World) After(seconds float64, do func()) {
 	w.seq++
-	heap.Push(&w.events, event{w.Now + s, w.seq, do})
+	heap.Push(&w.events, event{w.Now + seconds, w.seq, do})
 }
 
-// Run plays the world for so many seconds.
-func (w *World) Run(s float64) {
-	until := w.Now + s
+// Run advances the simulation by the given number of seconds.
+func (w *World) Run(seconds float64) {
+	until := w.Now + seconds
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
 		w.Now = e.at
@@ -213,66 +225,68 @@
 	w.Now = until
 }
 
-// Cut lets nothing pass from one machine to another.
-func (w *World) Cut(from, to string) {
-	w.disturbed(from, to)
-	w.cuts[[2]string{from, to}] = true
+// Block stops all traffic from one machine to another.
+func (w *World) Block(from, to string) {
+	w.noteDisturbance(from, to)
+	w.blocked[[2]string{from, to}] = true
 }
 
-// Join ends a cut.
-func (w *World) Join(from, to string) {
-	w.disturbed(from, to)
-	delete(w.cuts, [2]string{from, to})
+// Unblock ends a Block.
+func (w *World) Unblock(from, to string) {
+	w.noteDisturbance(from, to)
+	delete(w.blocked, [2]string{from, to})
 }
 
-// CutOff cuts a machine off from some others, both ways.
-func (w *World) CutOff(one string, others ...string) {
+// Isolate blocks the traffic between a machine and some others, in both directions.
+func (w *World) Isolate(addr string, others ...string) {
 	for _, o := range others {
-		if o != one {
-			w.Cut(one, o)
-			w.Cut(o, one)
+		if o != addr {
+			w.Block(addr, o)
+			w.Block(o, addr)
 		}
 	}
 }
 
-// Slow has what one machine sends another take so many seconds longer, as on a link that is full.
-func (w *World) Slow(from, to string, s float64) {
-	w.disturbed(from, to)
-	w.slow[[2]string{from, to}] = s
+// AddLatency delays everything that one machine sends to another by the given seconds, as on a congested link.
+func (w *World) AddLatency(from, to string, seconds float64) {
+	w.noteDisturbance(from, to)
+	w.addedLatency[[2]string{from, to}] = seconds
 }
 
-// JoinAll ends all cuts and slowness.
-func (w *World) JoinAll() {
-	for pair := range w.cuts {
-		w.disturbed(pair[:]...)
+// HealNetwork ends all blocked links and added latencies.
+func (w *World) HealNetwork() {
+	for pair := range w.blocked {
+		w.noteDisturbance(pair[:]...)
 	}
-	clear(w.cuts)
-	w.EndSlow()
+	clear(w.blocked)
+	w.ClearLatency()
 }
 
-// EndSlow ends all slowness.
-func (w *World) EndSlow() {
-	for pair := range w.slow {
-		w.disturbed(pair[:]...)
+// ClearLatency ends all added latencies.
+func (w *World) ClearLatency() {
+	for pair := range w.addedLatency {
+		w.noteDisturbance(pair[:]...)
 	}
-	clear(w.slow)
+	clear(w.addedLatency)
 }
 
-// send carries a parcel, in order on its link. A link to a process that has ended is reset; one to a silent machine is given up
-// after a while, and what was sent by it may have arrived.
+// send transmits a message over the connection between two machines, which keeps the order of messages, and returns the
+// number of that connection. A connection to a process that has ended is reset. A connection to an unreachable machine fails
+// after unreachableSeconds; messages sent over it before may have arrived.
 func (w *World) send(from, to string, p *meshpb.Message) uint64 {
-	key := [2]string{from, to}
-	sender, target := w.byAddr[from], w.byAddr[to]
+	pair := [2]string{from, to}
+	sender, target := w.machines[from], w.machines[to]
 	if target == nil {
 		return 0
 	}
-	l := w.links[key]
-	if l == nil || l.dead || l.born != sender.life() {
+	conn := w.links[pair]
+	if conn == nil || conn.closed || conn.senderIncarnation != sender.incarnation() {
 		w.seq++
-		l = &link{number: w.seq, born: sender.life(), life: target.life(), made: target.alive()}
-		w.links[key] = l
-		back := [2]string{to, from} // answers go by the connection that the question came by, and not by one to an earlier life
-		if r := w.links[back]; r != nil && r.life != sender.life() {
+		conn = &link{number: w.seq, senderIncarnation: sender.incarnation(), receiverIncarnation: target.incarnation(),
+			established: target.alive()}
+		w.links[pair] = conn
+		back := [2]string{to, from} // responses must not use a connection to an earlier incarnation of the sender
+		if r := w.links[back]; r != nil && r.receiverIncarnation != sender.incarnation() {
 			delete(w.links, back)
 		}
 	}
@@ -282,43 +296,43 @@
 			w.Bytes += proto.Size(p)
 		}
 	}
-	number, born, made := l.number, sender.life(), l.made
-	if w.EndsUntold && p.Settle != nil {
+	number, senderIncarnation, established := conn.number, sender.incarnation(), conn.established
+	if w.DropSettles && p.Settle != nil {
 		return number
 	}
-	parcel := proto.Clone(p).(*meshpb.Message)
-	fail := func(after float64, unsent bool) {
+	message := proto.Clone(p).(*meshpb.Message)
+	breakLink := func(after float64, unsent bool) {
 		w.After(after, func() {
-			if l.dead || !sender.alive() || sender.life() != born {
+			if conn.closed || !sender.alive() || sender.incarnation() != senderIncarnation {
 				return
 			}
-			l.dead = true
+			conn.closed = true
 			b := transport.Disconnected{Peer: to, Link: number}
 			if unsent {
-				b.Unsent = []uint64{parcel.Id}
+				b.Unsent = []uint64{message.Id}
 			}
-			sender.broke(b)
+			sender.connectionLost(b)
 		})
 	}
-	arrive := max(l.last, w.Now+w.slow[key]+w.Delay*(0.8+0.4*w.Rand.Float64()))
-	l.last = arrive
-	late := w.disturb(from, to, parcel)
-	if late {
+	arrival := max(conn.lastArrival, w.Now+w.addedLatency[pair]+w.LatencySeconds*(0.8+0.4*w.Rand.Float64()))
+	conn.lastArrival = arrival
+	delayed := w.duplicateOrDelay(from, to, message)
+	if delayed {
 		return number
 	}
-	garbled, lost := w.garbles(from, to), w.loses(from, to)
-	w.After(arrive-w.Now, func() {
+	corrupted, dropped := w.drawCorruption(from, to), w.drawDrop(from, to)
+	w.After(arrival-w.Now, func() {
 		switch {
-		case l.dead, w.cuts[key] || w.cuts[[2]string{to, from}] || target.dark():
-			fail(silentTakes, false)
-		case !target.alive() || target.life() != l.life:
-			fail(w.Delay, !made)
-		case lost:
-			w.endBoth(l, from, to)
-		case garbled:
-			w.garble(l, from, to, parcel)
+		case conn.closed, w.blocked[pair] || w.blocked[[2]string{to, from}] || target.poweredOff():
+			breakLink(unreachableSeconds, false)
+		case !target.alive() || target.incarnation() != conn.receiverIncarnation:
+			breakLink(w.LatencySeconds, !established)
+		case dropped:
+			w.closeBoth(conn, from, to)
+		case corrupted:
+			w.corrupt(conn, from, to, message)
 		default:
-			target.heard(from, parcel)
+			target.receive(from, message)
 		}
 	})
 	return number
--- a/internal/mesh/workload/workload.go
+++ b/internal/mesh/workload/workload.go
@@ -1,5 +1,7 @@
-// Package workload counts what a process spends its time on, by kind of work, so that an operator can tell an overload by requests
-// from one by recovery, and a slow disk from a slow processor.
+// Package workload measures how a process spends its time, by kind of work. With these figures an operator can tell an overload
+// caused by requests from one caused by recovery, and a slow disk from a slow processor.
+//
+// The main type is Meter. The process calls Done after each piece of work and reads the sums by Totals and Recent.
 package workload
 
 import (
@@ -10,28 +12,28 @@
 	"sync"
 )
 
-// Kind names a kind of work. Kinds are labels of a metric.
+// Kind names a kind of work. It is used as the value of a metric label.
 type Kind string
 
-// Total is what a kind of work has taken.
+// Total is the number of pieces of work of one kind and the time that they took.
 type Total struct {
 	Kind    Kind
 	Count   uint64
-	Seconds float64 // summed
-	Longest float64 // seconds that a single one took
+	Seconds float64 // sum over all pieces
+	Longest float64 // seconds that the longest piece took
 }
 
-// Meter adds up work. It may be used by several goroutines.
+// Meter sums the time of work by kind. It is safe for concurrent use.
 type Meter struct {
 	mu     sync.Mutex
 	totals map[Kind]*Total
-	recent map[Kind]*Total // since the last Recent
+	recent map[Kind]*Total // since the last call of Recent
 }
 
-// NewMeter makes a Meter that has counted nothing.
+// NewMeter returns an empty Meter.
 func NewMeter() *Meter { return &Meter{totals: map[Kind]*Total{}, recent: map[Kind]*Total{}} }
 
-// Done counts one piece of work that took so many seconds.
+// Done records one finished piece of work and its duration in seconds.
 func (m *Meter) Done(kind Kind, seconds float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -50,14 +52,14 @@
 	t.Longest = max(t.Longest, seconds)
 }
 
-// Totals gives what was counted since the start, the most seconds first.
+// Totals returns the sums since the start, the kind with the most seconds first.
 func (m *Meter) Totals() []Total {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return ordered(m.totals)
 }
 
-// Recent gives what was counted since the last call, the most seconds first.
+// Recent returns the sums since the last call of Recent, the kind with the most seconds first.
 func (m *Meter) Recent() []Total {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -75,7 +77,7 @@
 	return all
 }
 
-// Seconds sums totals.
+// Seconds returns the summed seconds of all totals.
 func Seconds(totals []Total) (sum float64) {
 	for _, t := range totals {
 		sum += t.Seconds
@@ -83,7 +85,7 @@
 	return sum
 }
 
-// Text writes totals for a line of a log: kind, count, milliseconds in all and of the longest.
+// Text formats totals for a log line. Each total is written as kind:count:sum:longest, with both times in milliseconds.
 func Text(totals []Total) string {
 	var text []string
 	for _, t := range totals {
--- a/internal/mesh/workload/workload_test.go
+++ b/internal/mesh/workload/workload_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Totals go on for ever, Recent begins anew with each call; both name the most expensive work first.
+// Totals accumulates from the start, Recent restarts at each call. Both list the most expensive kind of work first.
 func TestMeter(t *testing.T) {
 	m := NewMeter()
 	m.Done("claim", 0.001)
