--- a/internal/mesh/simulation/calls_test.go
+++ b/internal/mesh/simulation/calls_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// shopping is a cluster of one proxy that asks, and three that have a shop's host beside them.
+// newShopCluster returns a cluster with one proxy that sends requests, and three proxies with hosts of the service shop.
 func newShopCluster(t *testing.T, seed uint64) (w *World, sender *Proxy) {
 	t.Helper()
 	w = New(seed, 3, Host{"till", "a"}, Host{"shop", "a"}, Host{"shop", "a"}, Host{"shop", "a"})
@@ -17,8 +17,8 @@
 	return w, w.Proxies[0]
 }
 
-// askThroughRestart has a proxy ask, be killed, start again and ask on while hosts are at work on what it
-// asked first.
+// requestThroughRestart lets a proxy send requests, restarts the proxy while the hosts run them, and lets it send further
+// requests.
 func requestThroughRestart(w *World, sender *Proxy) {
 	for _, s := range w.Proxies[1:] {
 		s.instance.extraSeconds = 0.5
@@ -36,8 +36,8 @@
 	w.Run(4)
 }
 
-// A proxy asks, is killed, starts again and asks other things. The answers to what its former process asked
-// come by new connections while those are open: none of them is given to a client of the new process.
+// A proxy is killed and restarted while its requests run. The responses to requests of the former process arrive over new
+// connections while requests of the new process are open. No client of the new process gets such a response.
 func TestAnswersToAFormerProcessAreNobodys(t *testing.T) {
 	for seed := range uint64(20) {
 		w, sender := newShopCluster(t, seed)
@@ -46,8 +46,9 @@
 	}
 }
 
-// A gate dies with an operation at its host, at first contact with its asker. The request comes once more, to
-// the next process at the gate's address, which knows nothing of the first: it does not run again.
+// A receiving proxy is killed while an operation runs at its host, before the sending proxy knows its incarnation. A
+// duplicate of the request reaches the next process at this address, which does not know the first. The operation does not
+// run again.
 func TestRepeatToAGatesNextProcessDoesNotRun(t *testing.T) {
 	for seed := range uint64(20) {
 		w := New(seed, 3, Host{"shop", "a"}, Host{"till", "a"})
@@ -70,9 +71,11 @@
 	}
 }
 
-// Whatever befalls the gate, the asker or their connection, at each step of an operation and with its
-// messages coming twice: it does not run twice, it does not run once that is promised, and no client gets
-// another's answer. A step is found by its time: claims take some milliseconds, runs up to sixty.
+// Each fault of the receiving proxy, the sending proxy or their connection is injected at each step of an operation, while
+// messages are duplicated. The operation does not run twice, does not run after a promise that it will not, and no client
+// gets the response to another request. The steps are covered by varying the time: claims take some milliseconds, runs up to
+// 60 ms. The names of the faults are parts of the idempotency keys; in them, gate is the receiving proxy and asker the
+// sending one.
 func TestOperationsAtEachStep(t *testing.T) {
 	const step, last = 0.002, 0.09
 	for name, inject := range map[string]func(w *World, sender, receiver *Proxy){
@@ -107,22 +110,23 @@
 	}
 }
 
-// The only gate of a service is frozen as an operation comes to it. Its asker has the token voided and
-// promises that the operation never runs; the register forgets that after its window. What the gate finds in
-// its connections when it thaws after that does not run: it is as old as the freeze was long.
+// The only receiving proxy of a service is frozen when an operation arrives. The sending proxy has the claim's token voided
+// and promises the client that the operation never runs. The control servers forget the voided token after the deduplication
+// window. A request that the receiver reads from its connections when it thaws after that is too old, and must not run.
 func TestThawedGateRunsNothingOld(t *testing.T) {
 	for seed := range uint64(20) {
 		w := New(seed, 3, Host{"shop", "a"}, Host{"till", "a"})
 		w.Configure(int(seed), 1, nil)
 		w.Run(4)
 		sender, receiver := w.Proxies[0], w.Proxies[1]
-		w.Request(sender, "/pay/x", "first", 1) // so that it is known which process is there
+		w.Request(sender, "/pay/x", "first", 1) // so that the sender knows the receiver's incarnation
 		w.Run(1)
 		w.Request(sender, "/pay/x", "k", 1)
 		receiver.Freeze()
 		w.Run(2)
 		if w.Checker.Statuses[503] != 1 {
-			t.Fatalf("seed %d: answers %v, want a promise", seed, w.Checker.Statuses)
+			t.Fatalf("seed %d: statuses %v, want one 503, which promises that the operation does not run", seed,
+				w.Checker.Statuses)
 		}
 		w.Run(1.5 * dedupWindowSeconds)
 		receiver.Thaw()
--- a/internal/mesh/simulation/claims_test.go
+++ b/internal/mesh/simulation/claims_test.go
@@ -8,17 +8,19 @@
 	"beechwing/internal/mesh/sidecar"
 )
 
-// attempt is a request as a proxy would send it, of the first attempt, that names no life of its gate.
+// newForward returns the first attempt of a request, as a proxy sends it before it knows the incarnation of the receiving
+// proxy.
 func newForward(w *World, sender, receiver *Proxy) *meshpb.Message {
 	const id = "twice"
 	w.Checker.requestSent(sender, id, "/pay/x", "k")
-	return &meshpb.Message{Id: 1, Life: 1, Forward: &meshpb.Forward{Station: receiver.instance.id, Method: "POST", Target: "/pay/x",
-		Host: "shop.example", Key: "k", Token: 77, LeftUs: 2e6, AimUs: 1e6,
+	return &meshpb.Message{Id: 1, Life: 1, Forward: &meshpb.Forward{Station: receiver.instance.id, Method: "POST",
+		Target: "/pay/x",
+		Host:   "shop.example", Key: "k", Token: 77, LeftUs: 2e6, AimUs: 1e6,
 		Fields: []*meshpb.Field{{Name: sidecar.HeaderID, Value: id}, {Name: sidecar.HeaderIdempotencyKey, Value: "k"}}}}
 }
 
-// One attempt reaches two gates that both take the host it names for theirs, as where a host has moved. The
-// register grants it to one of them.
+// One attempt reaches two proxies that both have the host instance that it names, as when a host has moved. The control
+// servers grant the claim to only one of them.
 func TestForwardAtTwoGatesRunsOnce(t *testing.T) {
 	twice := 0
 	for seed := range uint64(20) {
@@ -43,8 +45,8 @@
 	t.Logf("%d of 20 ran twice", twice)
 }
 
-// One attempt that names no life of its gate reaches that gate, which dies with it at its host, and the next
-// process there. The register does not grant it to the second.
+// One attempt that names no incarnation of the receiving proxy reaches that proxy, which is killed while the request runs,
+// and then the next process at its address. The control servers do not grant the claim to the second process.
 func TestForwardAtAGatesNextProcessRunsOnce(t *testing.T) {
 	twice := 0
 	for seed := range uint64(20) {
@@ -59,7 +61,7 @@
 		receiver.Kill()
 		w.Run(0.01)
 		receiver.Start()
-		w.Run(1.8) // until the host is known to the next process
+		w.Run(1.8) // until the next process knows the host
 		receiver.receive(sender.addr, m)
 		w.Run(2)
 		runs := w.Checker.RunsAt(receiver)
--- a/internal/mesh/simulation/client_disconnect_test.go
+++ b/internal/mesh/simulation/client_disconnect_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// impatient is a cluster whose hosts take so many seconds more for each run than they would.
+// newSlowCluster returns a cluster whose hosts take extraSeconds longer for each request than usual.
 func newSlowCluster(t *testing.T, seed uint64, extraSeconds float64) *World {
 	t.Helper()
 	w := New(seed, 3, Host{"shop", "a"}, Host{"shop", "b"}, Host{"till", "a"}, Host{"till", "b"})
@@ -16,7 +16,7 @@
 	return w
 }
 
-// mustKeep fails the test for each broken rule.
+// checkNoViolations fails the test for each violation.
 func checkNoViolations(t *testing.T, seed uint64, w *World) {
 	t.Helper()
 	for _, broken := range w.Checker.Violations {
@@ -24,7 +24,8 @@
 	}
 }
 
-// Hosts lose answers half a second after they began, so requests go to a second host: not for a client that has left.
+// Hosts lose responses about 0.55 s after the start of a request, so proxies retry at a second host. They must not retry for
+// a client that has disconnected.
 func TestNothingIsSentForClientsThatLeft(t *testing.T) {
 	for seed := range uint64(8) {
 		w := newSlowCluster(t, seed, 0.55)
@@ -36,14 +37,14 @@
 		}
 		w.Run(9)
 		if w.Checker.Disconnected < 50 {
-			t.Errorf("seed %d: %d clients left, want most of 60", seed, w.Checker.Disconnected)
+			t.Errorf("seed %d: %d of 60 clients disconnected, want at least 50", seed, w.Checker.Disconnected)
 		}
 		checkNoViolations(t, seed, w)
 	}
 }
 
-// More is asked for than the hosts have room for: what waits at their proxies for a client that has left is not begun, what runs is
-// broken off, and those who stay are served in its place.
+// The hosts are overloaded. Requests of disconnected clients that are queued at the proxies are not started, those that run are
+// aborted, and the remaining clients are served instead.
 func TestHostsStopForClientsThatLeft(t *testing.T) {
 	for seed := range uint64(8) {
 		w := newSlowCluster(t, seed, 0.9)
@@ -58,13 +59,13 @@
 		}
 		w.Run(0.5)
 		if n := w.Checker.Served - served; n != len(w.Proxies) {
-			t.Errorf("seed %d: %d of %d who stay are served", seed, n, len(w.Proxies))
+			t.Errorf("seed %d: %d of %d remaining clients are served", seed, n, len(w.Proxies))
 		}
 		checkNoViolations(t, seed, w)
 	}
 }
 
-// An operation goes on when its client leaves: whoever repeats it by its key gets the answer of the one run.
+// An operation continues when its client disconnects. A repeat with the same key gets the response of the single run.
 func TestOperationsOutliveTheirClients(t *testing.T) {
 	for seed := range uint64(8) {
 		w := newSlowCluster(t, seed, 0.3)
@@ -81,7 +82,7 @@
 	}
 }
 
-// The checker finds it on a day of troubles, too, where nobody hears of clients that leave.
+// The checker must report GONE when hosts fail and proxies are not told about disconnected clients.
 func TestCheckerFindsWorkForClientsThatLeft(t *testing.T) {
 	found := 0
 	for seed := range uint64(3) {
@@ -96,12 +97,12 @@
 		found += violationsByRule(w)["GONE"]
 	}
 	if found == 0 {
-		t.Error("nothing is found")
+		t.Error("no violation was found")
 	}
-	t.Logf("%d found", found)
+	t.Logf("%d violations found", found)
 }
 
-// The checker finds it where repeats are told that an operation is at work, which was answered over a second before.
+// The checker must report DENIED when repeats get status 409, in progress, more than a second after the response.
 func TestCheckerFindsRepeatsDenied(t *testing.T) {
 	w := newCluster(t, 1, 3)
 	w.DropSettles = true
@@ -109,7 +110,7 @@
 	w.Run(8)
 	found := violationsByRule(w)["DENIED"]
 	if found == 0 {
-		t.Error("nothing is found")
+		t.Error("no violation was found")
 	}
-	t.Logf("%d found", found)
+	t.Logf("%d violations found", found)
 }
--- a/internal/mesh/simulation/config_faults_test.go
+++ b/internal/mesh/simulation/config_faults_test.go
@@ -12,21 +12,21 @@
 	"beechwing/internal/mesh/routeconfig"
 )
 
-// The end of a day: a fault right after a configuration was acknowledged, or soon after one was sent, and then an operator who asks for the
-// newest again and again, at every server.
+// Tests of reading the configuration back: a fault is injected right after a configuration is acknowledged, or soon after it
+// is sent. Then every server is asked for the newest configuration repeatedly.
 
 const (
-	readIntervalSeconds = 0.1  // seconds between questions at each server
-	readSeconds         = 9.0  // seconds, contactMs and more
-	firstAnswerSeconds  = 6.0  // seconds after the fault until somebody has to answer
-	restartSeconds      = 1.0  // seconds until all machines are started again
-	configFaultRuns     = 6    // of each fault
-	settleSeconds       = 3.0  // seconds before the fault
-	closingHosts        = 3    // hosts and their proxies
-	resendSeconds       = 0.25 // seconds until an order that is not acknowledged is sent again
+	readIntervalSeconds = 0.1  // between reads at each server
+	readSeconds         = 9.0  // time of reading after the fault, longer than contactMs
+	firstAnswerSeconds  = 6.0  // time after the last configuration within which a server has to answer
+	restartSeconds      = 1.0  // time within which all machines are started again
+	configFaultRuns     = 6    // seeds for each fault
+	settleSeconds       = 3.0  // time for the cluster to settle before the fault
+	closingHosts        = 3    // number of hosts with their proxies
+	resendSeconds       = 0.25 // time after which an unacknowledged configuration is sent again
 )
 
-// closingFaults by name: what it does to the machines, of which it starts all again.
+// configFaults has the faults by name. Each one stops machines, and all of them are started again.
 var configFaults = map[string]func(w *World, random *rand.Rand){
 	"all machines lose power": func(w *World, _ *rand.Rand) { powerOffAll(w) },
 	"all processes are killed": func(w *World, _ *rand.Rand) {
@@ -66,7 +66,7 @@
 	h.Wipe()
 }
 
-// startAll starts whatever is down, each machine at its own moment.
+// startAll starts all machines that are down, each at a random time within restartSeconds.
 func startAll(w *World, random *rand.Rand) {
 	for _, h := range w.Servers {
 		if !h.up {
@@ -80,15 +80,16 @@
 	}
 }
 
-// reader asks every server for the configuration, and holds each answer against what was sent and acknowledged.
+// reader reads the configuration from every server, and checks each answer against the configurations that were sent and
+// acknowledged.
 type reader struct {
 	w              *World
 	violations     []string
-	sent           map[uint64][][]byte // by version: the texts that were sent
-	acked          uint64
-	text           []byte // of the newest acknowledged
+	sent           map[uint64][][]byte // texts that were sent, by version
+	acked          uint64              // newest acknowledged version
+	text           []byte              // of the newest acknowledged version
 	answers        int
-	newestAnswered uint64 // newest version that was answered
+	newestAnswered uint64 // newest version that was read
 	firstAt        float64
 }
 
@@ -96,7 +97,7 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// order sends a configuration to any servers until it is acknowledged.
+// sendUntilAcked sends a configuration to random servers until it is acknowledged.
 func (r *reader) sendUntilAcked(version uint64, text []byte, random *rand.Rand, acked func()) {
 	r.sent[version] = append(r.sent[version], text)
 	done := false
@@ -116,7 +117,7 @@
 	resend()
 }
 
-// send sends a configuration to any server, once.
+// send sends a configuration to a random server, once.
 func (r *reader) send(version uint64, text []byte, random *rand.Rand, acked func()) {
 	r.w.SendConfig(r.w.Servers[random.IntN(len(r.w.Servers))], version, text, func(result control.OrderResult) {
 		if result != control.OrderTaken {
@@ -132,7 +133,7 @@
 	})
 }
 
-// readAll asks every server that is up, again and again until a time.
+// readAll reads from every running server, repeatedly until a time.
 func (r *reader) readAll(until float64) {
 	if r.w.Now > until {
 		return
@@ -153,11 +154,11 @@
 	r.w.After(readIntervalSeconds, func() { r.readAll(until) })
 }
 
-// answered judges an answer to a question that was asked when least was the newest that had been acknowledged, or answered.
+// checkAnswer checks an answer. minVersion is the newest version that had been acknowledged or read when the question was sent.
 func (r *reader) checkAnswer(h *ControlServer, text []byte, minVersion uint64) {
 	table, err := routeconfig.Compile(text)
 	if err != nil {
-		r.fail("%s answers something that is no configuration: %v", h.addr, err)
+		r.fail("%s returns an invalid configuration: %v", h.addr, err)
 		return
 	}
 	if r.answers++; r.firstAt == 0 {
@@ -169,17 +170,17 @@
 	}
 	switch {
 	case !knownText:
-		r.fail("%s answers version %d as nobody sent it", h.addr, table.Edition)
+		r.fail("%s returns a text under version %d that no operator sent", h.addr, table.Edition)
 	case table.Edition < minVersion:
-		r.fail("%s answers version %d, %d was acknowledged or told before", h.addr, table.Edition, minVersion)
+		r.fail("%s returns version %d, though %d was acknowledged or read before", h.addr, table.Edition, minVersion)
 	case table.Edition == r.acked && !bytes.Equal(text, r.text):
-		r.fail("%s answers another text under version %d than was acknowledged", h.addr, table.Edition)
+		r.fail("%s returns another text under version %d than the acknowledged one", h.addr, table.Edition)
 	}
 	r.newestAnswered = max(r.newestAnswered, table.Edition)
 }
 
-// After each fault that may close a day, everybody who is asked for the configuration tells the newest that was acknowledged, whole, or that he
-// cannot be sure; and somebody knows it soon.
+// After each fault, every server that is asked for the configuration returns the newest acknowledged one, complete, or
+// reports that it cannot be sure. At least one server returns it soon.
 func TestConfigurationIsReadAfterClosingFaults(t *testing.T) {
 	runs := configFaultRuns
 	if n, err := strconv.Atoi(os.Getenv("SIMULATION_DAYS")); err == nil {
@@ -197,7 +198,7 @@
 	}
 }
 
-// More disks are lost than is borne: that is found.
+// The check must find the violations when all disks are lost, which is more than the cluster tolerates.
 func TestClosingCheckFindsLostDisks(t *testing.T) {
 	found := 0
 	for seed := range uint64(configFaultRuns) {
@@ -208,11 +209,11 @@
 		}))
 	}
 	if found == 0 {
-		t.Error("nothing is found")
+		t.Error("no violation was found")
 	}
 }
 
-// Answers that are old, torn, or nobody's are found.
+// The check must find answers that are outdated, truncated or unknown.
 func TestClosingCheckJudgesAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		text   []byte
@@ -221,11 +222,12 @@
 		"the newest":                    {Config(3), false},
 		"an older one":                  {Config(2), true},
 		"another text under its number": {ConfigVariant(3, 1), true},
-		"a text that nobody sent":       {Config(4), true},
+		"a text that was never sent":    {Config(4), true},
 		"half of one":                   {Config(3)[:40], true},
 		"nothing":                       {nil, true},
 	} {
-		r := &reader{w: New(1, 3), acked: 3, text: Config(3), sent: map[uint64][][]byte{2: {Config(2)}, 3: {Config(3), ConfigVariant(3, 1)}}}
+		r := &reader{w: New(1, 3), acked: 3, text: Config(3), sent: map[uint64][][]byte{2: {Config(2)}, 3: {Config(3),
+			ConfigVariant(3, 1)}}}
 		r.checkAnswer(r.w.Servers[0], c.text, r.acked)
 		if broken := len(r.violations) > 0; broken != c.broken {
 			t.Errorf("%s: %v", name, r.violations)
@@ -233,8 +235,8 @@
 	}
 }
 
-// closeDay plays the last seconds of a day and says what was broken. Of each three days one has its fault right after the acknowledgement, one
-// soon after the sending, and one with another text under the same number on its way.
+// runConfigFault runs a cluster with one fault and returns the violations. Depending on the seed, the fault is injected right
+// after the acknowledgement, soon after the sending, or while two texts are sent under the same version.
 func runConfigFault(seed uint64, fault func(*World, *rand.Rand)) []string {
 	random := rand.New(rand.NewPCG(seed, 23))
 	var hosts []Host
@@ -277,13 +279,13 @@
 	began := w.Now
 	w.Run(readSeconds + 3)
 	if !injected {
-		r.fail("there was no fault")
+		r.fail("the fault was not injected")
 	}
 	if r.answers == 0 || r.firstAt > began+firstAnswerSeconds {
-		r.fail("%d answers, the first %.1f s after the last order", r.answers, r.firstAt-began)
+		r.fail("%d answers, the first %.1f s after the last configuration was sent", r.answers, r.firstAt-began)
 	}
 	if r.newestAnswered < r.acked {
-		r.fail("%d is read at the end, %d was acknowledged", r.newestAnswered, r.acked)
+		r.fail("version %d is read at the end, but %d was acknowledged", r.newestAnswered, r.acked)
 	}
 	return append(r.violations, w.Checker.Violations...)
 }
--- a/internal/mesh/simulation/control_faults_test.go
+++ b/internal/mesh/simulation/control_faults_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// disturbControl has the network befall messages, also between control servers.
+// enableControlFaults enables random network faults, also between control servers.
 func enableControlFaults(w *World) {
 	w.Faults.ControlPlane = true
 	w.Faults.Duplicate = maxFaultShare * w.Rand.Float64()
@@ -17,9 +17,9 @@
 	w.Faults.MaxDelaySeconds = maxDelaySeconds * w.Rand.Float64()
 }
 
-// ordersUnderFaults has operators send three texts under each number to servers by lot, and once more, to any
-// server, when one was confirmed. An order of a number that was passed over is answered as taken, whatever its
-// text, as a newer one is in force: the next number is sent only when orders of the one before were given up.
+// startConflictingConfigs lets operators send three texts under each version to random servers, and again, once a text was
+// confirmed. A version older than the one in force is reported as taken whatever its text is, so the next version is sent
+// only after all attempts for the one before have ended.
 func startConflictingConfigs(w *World, x *confirmedConfigs, seconds float64) {
 	const every, within = 1.3, 0.3
 	for i := range int(seconds / every) {
@@ -36,8 +36,8 @@
 	}
 }
 
-// controlTrouble has something befall a control server: a member is replaced, by a newcomer or with an empty
-// disk, or one is killed or cut off. None is frozen: what it took before would be answered after later numbers.
+// injectControlFault injects a random fault of a member: the member is replaced by a new server, loses its disk, is killed or
+// is partitioned. Members are not frozen: a frozen server would report results of old versions after later versions.
 func injectControlFault(w *World) {
 	members := w.Members()
 	if len(members) == 0 {
@@ -65,14 +65,15 @@
 	}
 }
 
-// Days in which messages between control servers come twice, late, changed or not at all, as those of proxies
-// do, while operators send different texts under one number, members are replaced and clients ask. Of two texts
-// one is confirmed and in force, nothing confirmed is lost, nothing runs twice, and all is served afterwards.
+// Messages between control servers, and those of proxies, are duplicated, delayed, corrupted and dropped, while operators
+// send different texts under one version, members are replaced and clients send requests. Only one text per version is
+// confirmed and in force, no confirmed configuration is lost, no operation runs twice, and all requests are served
+// afterwards.
 func TestControlServersUnderFaults(t *testing.T) {
 	t.Parallel()
 	const faults, intervalSeconds = 3, 6.0
 	runs := 4
-	if n, err := strconv.Atoi(os.Getenv("SIMULATION_CONTROL_DAYS")); err == nil { // more, by hand
+	if n, err := strconv.Atoi(os.Getenv("SIMULATION_CONTROL_DAYS")); err == nil { // more seeds
 		runs = n
 	}
 	counts, confirmed := map[string]int{}, 0
@@ -104,11 +105,11 @@
 	}
 	t.Log(counts, confirmed, "versions confirmed")
 	if confirmed < 8*runs {
-		t.Errorf("%d versions confirmed in %d days: this shows little", confirmed, runs)
+		t.Errorf("%d versions confirmed in %d runs, want at least 8 per run for a meaningful test", confirmed, runs)
 	}
 	for name, n := range counts {
 		if n < 100*runs {
-			t.Errorf("%s: only %d times", name, n)
+			t.Errorf("fault %s was injected only %d times", name, n)
 		}
 	}
 }
--- a/internal/mesh/simulation/control_test.go
+++ b/internal/mesh/simulation/control_test.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	configSeconds  = 2.0 // seconds within which proxies act by what was acknowledged
-	catchUpSeconds = 4.0 // seconds within which a replacement is complete
+	configSeconds  = 2.0 // time within which proxies use an acknowledged configuration
+	catchUpSeconds = 4.0 // time within which a replaced control server is caught up
 )
 
-// cutWays are the ways in which a server is cut off from others.
+// partitionDirections are the directions in which a server is partitioned from the others.
 var partitionDirections = []string{"both", "out", "in"}
 
+// partition blocks the traffic between a server and all other servers: from the server (out), to the server (in) or both.
 func partition(w *World, server *ControlServer, direction string) {
 	for _, o := range w.Servers {
 		if o == server {
@@ -30,9 +31,10 @@
 	}
 }
 
-// A server is cut off from the others for 20 s, both ways or one. It confirms no order, refuses within 20 ms once it knows, and within
-// a second of the cut in any case. No proxy goes on by its old configuration, also one that starts and knows only that server. Back
-// in contact it takes orders within a second.
+// A control server is partitioned from the others for 20 s, in one or both directions. The server confirms no configuration
+// and refuses each, within 20 ms once it has detected the partition and within a second in any case. No proxy keeps an old
+// configuration, not even one that starts with this server as its only seed. Within a second after the partition the server
+// accepts configurations again.
 func TestServerCutOffFor20Seconds(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(9) {
@@ -52,7 +54,8 @@
 					if sentAt > cutAt+1 {
 						slowest = max(slowest, w.Now-sentAt)
 					} else if w.Now > sentAt+1 {
-						t.Errorf("%s: an order at the cut is answered after %.2f s", name, w.Now-sentAt)
+						t.Errorf("%s: a configuration sent at the time of the partition got its result after %.2f s",
+							name, w.Now-sentAt)
 					}
 				})
 			})
@@ -78,10 +81,10 @@
 		}
 		w.Run(2)
 		if confirmed > 0 {
-			t.Errorf("%s: it confirmed %d orders", name, confirmed)
+			t.Errorf("%s: the partitioned server confirmed %d configurations", name, confirmed)
 		}
 		if slowest > 0.02 {
-			t.Errorf("%s: it took %.3f s to refuse an order", name, slowest)
+			t.Errorf("%s: the partitioned server took %.3f s to refuse a configuration", name, slowest)
 		}
 		w.HealNetwork()
 		w.Run(1)
@@ -89,13 +92,14 @@
 		w.SendConfig(isolated, 3000, Config(3000), func(result control.OrderResult) { taken = result == control.OrderTaken })
 		w.Run(0.5)
 		if !taken {
-			t.Errorf("%s: a second after it is back it takes no orders", name)
+			t.Errorf("%s: the server accepts no configuration 1 s after the partition", name)
 		}
 		checkOutcome(t, w, name, 0)
 	}
 }
 
-// Contact that comes and goes every second confirms nothing that is lost, and what was acknowledged is in force.
+// A server whose contact with the others is lost and restored every second confirms no configuration that is lost later. All
+// acknowledged configurations come into force.
 func TestContactComesAndGoes(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -120,7 +124,7 @@
 	}
 }
 
-// texts keeps what was confirmed under each number.
+// confirmedConfigs records the text that was confirmed under each version, and checks the results of configurations against it.
 type confirmedConfigs struct {
 	t         *testing.T
 	name      string
@@ -132,7 +136,8 @@
 	return &confirmedConfigs{t: t, name: name, confirmed: map[uint64][]byte{}}
 }
 
-// order sends a text to a server and notes the end: of two texts under a number one is confirmed, and that one is never refused.
+// send sends a configuration to a server and checks the result: at most one text is confirmed under a version, and that text
+// is never refused afterwards.
 func (x *confirmedConfigs) send(w *World, to *ControlServer, version uint64, text []byte) {
 	if !to.up {
 		return
@@ -141,30 +146,31 @@
 		held, known := x.confirmed[version]
 		switch {
 		case result == control.OrderTaken && known && !bytes.Equal(held, text):
-			x.t.Errorf("%s: two texts are confirmed under %d", x.name, version)
+			x.t.Errorf("%s: two texts are confirmed under version %d", x.name, version)
 		case result == control.OrderTaken:
 			x.confirmed[version] = text
 			w.Checker.configAcked(version)
 		case result == control.OrderConflict && known && bytes.Equal(held, text):
-			x.t.Errorf("%s: %d is refused though it was confirmed", x.name, version)
+			x.t.Errorf("%s: version %d is refused though this text was confirmed", x.name, version)
 		case result == control.OrderConflict:
 			x.conflicts++
 		}
 	})
 }
 
-// check compares what proxies act by with what was confirmed.
+// check compares the configurations that proxies use with the confirmed ones.
 func (x *confirmedConfigs) check(w *World) {
 	for _, p := range w.Proxies {
 		text, version := p.sidecar.Configuration()
 		if held := x.confirmed[version]; p.up && held != nil && !bytes.Equal(held, text) {
-			x.t.Errorf("%s: %s acts by another text under %d than the one confirmed", x.name, p.addr, version)
+			x.t.Errorf("%s: %s uses another text under version %d than the confirmed one", x.name, p.addr, version)
 		}
 	}
 }
 
-// Two operators send different texts under one number to two servers at one moment, a third one later, also to a server that is cut
-// off. One of them is confirmed, in force and read back.
+// Two operators send different configurations with the same version to two servers at the same time, and a third one sends
+// another shortly after, in half of the runs to a partitioned server. Exactly one is confirmed and in force, and all servers
+// agree on it.
 func TestOneNumberOneConfiguration(t *testing.T) {
 	t.Parallel()
 	conflicts := 0
@@ -188,7 +194,7 @@
 		w.Run(2)
 		x.check(w)
 		w.Checker.CheckConfigInForce(w.Proxies...)
-		for _, h := range w.Servers { // whatever is sent again is answered alike everywhere
+		for _, h := range w.Servers { // each server has the same result when the texts are sent again
 			for version := range x.confirmed {
 				for variant := range 3 {
 					x.send(w, h, version, ConfigVariant(version, variant+1))
@@ -201,12 +207,12 @@
 		checkOutcome(t, w, x.name, 0)
 	}
 	if conflicts < 600 {
-		t.Errorf("%d conflicts: this shows little", conflicts)
+		t.Errorf("%d conflicts, want at least 600 for a meaningful test", conflicts)
 	}
 }
 
-// An order is sent again after hundreds of later changes, restarts, a wipe and a replacement: it is confirmed again, at any server.
-// Eight orders are under way at once.
+// A configuration that was confirmed is sent again after hundreds of later ones, a restart, a lost disk and a replaced
+// server. Every server confirms it again. Eight configurations are in progress at a time.
 func TestOrderSentAgainLater(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -239,12 +245,12 @@
 			w.SendConfig(h, first, Config(first), func(result control.OrderResult) {
 				answered = true
 				if result != control.OrderTaken {
-					t.Errorf("%s: %s answers %v to what was confirmed before", x.name, h.addr, result)
+					t.Errorf("%s: %s returns %v for a configuration that was confirmed before", x.name, h.addr, result)
 				}
 			})
 			w.Run(0.1)
 			if !answered {
-				t.Errorf("%s: %s does not answer", x.name, h.addr)
+				t.Errorf("%s: %s returns no result", x.name, h.addr)
 			}
 		}
 		w.Checker.CheckConfigInForce(w.Proxies...)
@@ -255,8 +261,8 @@
 	}
 }
 
-// survives loses as many members as are to be borne, with their disks, and all others their power; then everything that was confirmed
-// has to be there, and operations have to be served.
+// checkSurvivesLoss powers all members off and erases the disks of as many as the cluster tolerates. After the restart all
+// confirmed configurations must be there, and operations must be served.
 func checkSurvivesLoss(t *testing.T, w *World, name string) {
 	t.Helper()
 	members := w.Members()
@@ -276,7 +282,7 @@
 	w.ReadConfig(0, func(version uint64) { read = version })
 	w.Run(2)
 	if read < w.Checker.NewestAcked {
-		t.Errorf("%s: read back %d, %d was confirmed", name, read, w.Checker.NewestAcked)
+		t.Errorf("%s: read version %d, but %d was confirmed", name, read, w.Checker.NewestAcked)
 	}
 	w.Checker.CheckConfigInForce(w.Proxies...)
 	served := w.Checker.Served
@@ -287,12 +293,13 @@
 	}
 	w.Run(3)
 	if got := w.Checker.Served - served; got < 36 {
-		t.Errorf("%s: %d of 40 operations served after the loss; answers %v", name, got, w.Checker.Statuses)
+		t.Errorf("%s: %d of 40 operations served after the loss; statuses %v", name, got, w.Checker.Statuses)
 	}
 }
 
-// A member is replaced, abruptly or as planned, under traffic; right after the replacement is complete as many members as are to be
-// borne lose their disks and the rest their power. Nothing that was confirmed is lost, no operation runs twice.
+// A member is replaced under traffic, after a failure or as planned. Right after the replacement is complete, as many members
+// as the cluster tolerates lose their disks, and the others their power. No confirmed configuration is lost, and no operation
+// runs twice.
 func TestSecondLossAfterReplacement(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(24) {
@@ -315,14 +322,14 @@
 		w.Configure(int(seed)%n, 7, nil)
 		w.Run(0.5)
 		if members := w.Members(); len(members) != n || old.up {
-			t.Errorf("%s: %d members, the old one is up: %v", name, len(members), old.up)
+			t.Errorf("%s: %d members, the replaced one is running: %v", name, len(members), old.up)
 		}
 		checkSurvivesLoss(t, w, name)
 		checkOutcome(t, w, name, 0.3)
 	}
 }
 
-// A replacement, of a disk or of a machine, takes one change of the view and no more: two epochs.
+// The replacement of a disk or of a machine takes a single view change, which is two epochs.
 func TestReplacementIsOneChange(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -341,7 +348,8 @@
 	}
 }
 
-// Every member is replaced in turn, under traffic and changes; at the end nothing is left of the first ones.
+// All members are replaced one after the other, under traffic and configuration changes, until none of the first members is
+// left.
 func TestWholeCoreReplaced(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
@@ -370,7 +378,7 @@
 		}
 		for i := range n {
 			if w.Servers[i].up {
-				t.Errorf("%s: %s is still up", name, w.Servers[i].addr)
+				t.Errorf("%s: %s is still running", name, w.Servers[i].addr)
 			}
 		}
 		if got := len(w.Members()); got != n {
@@ -385,8 +393,9 @@
 	}
 }
 
-// Replacements go wrong: the newcomer is lost or loses its disk while it joins, two come at once, everybody loses power in the middle,
-// a replaced member comes back. In the end there are as many members as before, and they bear a loss.
+// A replacement is disturbed: the new server is lost or loses its disk while it joins, two new servers join at once, all
+// servers lose power or are killed, or the replaced member comes back. In the end there are as many members as before, and
+// they tolerate a loss.
 func TestReplacementGoesWrong(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
@@ -443,8 +452,9 @@
 	}
 }
 
-// Hundreds of changes, then one server loses its disk and another its power at once after it. Who comes back takes no part before it has
-// caught up, catches up within the time, and nobody ever acts by something older.
+// After hundreds of configurations one server loses its disk, and soon after it recovers the cluster suffers a tolerated
+// loss. The recovering server does not vote before it has caught up, catches up in time, and no proxy returns to an older
+// configuration.
 func TestRestartAfterHundredsOfChanges(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -460,16 +470,16 @@
 		h := w.Servers[seed%3]
 		w.LoseDisk(h, 0.4)
 		if h.Voting() {
-			t.Errorf("%s: it votes at once", name)
+			t.Errorf("%s: the recovering server votes immediately", name)
 		}
 		w.Run(1.5)
 		if !h.Voting() {
-			t.Errorf("%s: it does not vote 1.5 s after its start", name)
+			t.Errorf("%s: the recovering server does not vote 1.5 s after its start", name)
 		}
 		w.Configure(int(seed), 1000, nil)
 		w.Run(0.5)
 		if got := h.server.State(w.Now).InForceVersion; got != 1000 {
-			t.Errorf("%s: it has %d, 1000 was confirmed", name, got)
+			t.Errorf("%s: the recovered server has version %d in force, but 1000 was confirmed", name, got)
 		}
 		checkSurvivesLoss(t, w, name)
 		checkOutcome(t, w, name, 0)
--- a/internal/mesh/simulation/ejection_test.go
+++ b/internal/mesh/simulation/ejection_test.go
@@ -9,10 +9,12 @@
 	"beechwing/internal/mesh/ejection"
 )
 
-// tills is a cluster whose four tills take operations, with proxies that leave a host out by agreement only.
+// newEjectionCluster returns a cluster with four hosts of the service till, which runs tracked operations, and with proxies
+// that eject hosts for operations by agreement only.
 func newEjectionCluster(t *testing.T, seed uint64) *World {
 	t.Helper()
-	w := New(seed, 3, Host{"till", "a"}, Host{"till", "b"}, Host{"till", "a"}, Host{"till", "b"}, Host{"shop", "a"}, Host{"shop", "b"},
+	w := New(seed, 3, Host{"till", "a"}, Host{"till", "b"}, Host{"till", "a"}, Host{"till", "b"}, Host{"shop", "a"},
+		Host{"shop", "b"},
 		Host{"shop", "a"}, Host{"shop", "b"})
 	w.Configure(int(seed), 1, nil)
 	w.Run(4)
@@ -20,6 +22,7 @@
 	return w
 }
 
+// startOperations schedules 200 tracked operations per second at random proxies, without client retries.
 func startOperations(w *World, seconds float64) {
 	const interval = 0.005
 	for i := range int(seconds / interval) {
@@ -29,7 +32,7 @@
 	}
 }
 
-// condemners counts the proxies for which a host is out.
+// countEjecting returns the number of running proxies that have ejected a host.
 func countEjecting(w *World, hostID string) (n int) {
 	for _, s := range w.Proxies {
 		if s.up && slices.Contains(s.State().Ejected, hostID) {
@@ -39,8 +42,8 @@
 	return n
 }
 
-// A host that loses most of its answers is out for operations at all proxies within two seconds, gets none while it is, and its part again
-// once it is well.
+// A host that loses most of its responses is ejected for operations by all proxies within 2 s. The host gets no operations
+// while it is ejected, and its share again after it has recovered.
 func TestFailingHostGoesOutForAll(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -54,29 +57,30 @@
 			w.Run(0.05)
 		}
 		if waitedSeconds > 2 {
-			t.Errorf("seed %d: after %.2f s %d of %d proxies agree", seed, waitedSeconds, countEjecting(w, failing.instance.id), len(w.Proxies))
+			t.Errorf("seed %d: after %.2f s the host is ejected at %d of %d proxies, want all within 2 s", seed,
+				waitedSeconds, countEjecting(w, failing.instance.id), len(w.Proxies))
 		}
 		runs := w.Checker.RunsAt(failing)
 		w.Run(1)
-		if n := w.Checker.RunsAt(failing) - runs; n > 2 { // what was on its way
-			t.Errorf("seed %d: %d operations reached it in the second after", seed, n)
+		if n := w.Checker.RunsAt(failing) - runs; n > 2 { // two may have been in flight
+			t.Errorf("seed %d: %d operations reached the host in the second after its ejection", seed, n)
 		}
 		failing.LoseAnswers(0)
 		w.Run(7)
 		if countEjecting(w, failing.instance.id) > 0 {
-			t.Errorf("seed %d: it is out still, well for 7 s", seed)
+			t.Errorf("seed %d: the host is still ejected 7 s after its recovery", seed)
 		}
 		runs = w.Checker.RunsAt(failing)
 		w.Run(1.5)
 		if w.Checker.RunsAt(failing) < runs+5 {
-			t.Errorf("seed %d: %d operations in 1.5 s after its return", seed, w.Checker.RunsAt(failing)-runs)
+			t.Errorf("seed %d: only %d operations in 1.5 s after the end of the ejection", seed, w.Checker.RunsAt(failing)-runs)
 		}
 		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0.7)
 	}
 }
 
-// One proxy's bad moment empties no host: cut off from one host, from all others, or one way only, it cannot take a host out, and
-// operations of the others go on everywhere.
+// A single proxy with network problems cannot get a host ejected, whether it is cut off from one host, from all, or in one
+// direction. The operations of the other proxies go on at all hosts.
 func TestOneProxyTakesNobodyOut(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"one host", "all", "one way"} {
@@ -102,13 +106,13 @@
 			w.Run(0.1)
 			for _, s := range w.Proxies[:4] {
 				if n := countEjecting(w, s.instance.id); n > 0 {
-					t.Fatalf("%s: %s is out for %d proxies", fault, s.addr, n)
+					t.Fatalf("%s: the host of %s is ejected at %d proxies", fault, s.addr, n)
 				}
 			}
 		}
 		for _, s := range w.Proxies[:4] {
 			if n := w.Checker.RunsAt(s) - runs[s]; n < 60 {
-				t.Errorf("%s: %s got %d operations in 4 s", fault, s.addr, n)
+				t.Errorf("%s: the host of %s got only %d operations in 4 s", fault, s.addr, n)
 			}
 		}
 		w.HealNetwork()
@@ -117,8 +121,8 @@
 	}
 }
 
-// By hand a host is out for all proxies until it is called back, over restarts of everything; less than half of the service left needs
-// a second word.
+// A host that an operator ejects stays ejected at all proxies until the operator reinstates it, also across restarts of
+// control servers and proxies. An ejection that leaves less than half of the service must be forced.
 func TestOutByHand(t *testing.T) {
 	t.Parallel()
 	w := newEjectionCluster(t, 2)
@@ -138,7 +142,7 @@
 		}
 	}
 	if err := order(2, third, true, false); !errors.Is(err, ejection.ErrForceRequired) {
-		t.Errorf("one of four left: %v", err)
+		t.Errorf("ejection that leaves one of four hosts: %v, want ErrForceRequired", err)
 	}
 	wantNoRequests := func(what string) {
 		t.Helper()
@@ -146,10 +150,10 @@
 		a, b := w.Checker.RunsAt(first), w.Checker.RunsAt(second)
 		w.Run(2)
 		if n := w.Checker.RunsAt(first) - a + w.Checker.RunsAt(second) - b; n > 0 {
-			t.Errorf("%s: %d operations reached hosts that are out", what, n)
+			t.Errorf("%s: %d operations reached ejected hosts", what, n)
 		}
 	}
-	wantNoRequests("taken out")
+	wantNoRequests("after ejection")
 	for _, h := range w.Servers {
 		h.Kill()
 	}
@@ -171,7 +175,7 @@
 	runs := w.Checker.RunsAt(first)
 	w.Run(3)
 	if w.Checker.RunsAt(first) < runs+5 {
-		t.Errorf("called back: %d operations in 3 s", w.Checker.RunsAt(first)-runs)
+		t.Errorf("after reinstatement: only %d operations in 3 s", w.Checker.RunsAt(first)-runs)
 	}
 	checkOutcome(t, w, "by hand", 0.5)
 }
--- a/internal/mesh/simulation/faults_test.go
+++ b/internal/mesh/simulation/faults_test.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	roundSeconds     = 0.5  // seconds of one round of faults
-	requestsPerRound = 14   // requests in it
-	maxFaultShare    = 0.05 // of all messages, at most, that each fault of the network befalls
-	maxDelaySeconds  = 1.5  // seconds within which they come
+	roundSeconds     = 0.5  // duration of a round of faults
+	requestsPerRound = 14   // client requests in a round
+	maxFaultShare    = 0.05 // upper bound of the share of messages for each network fault
+	maxDelaySeconds  = 1.5  // upper bound of Faults.MaxDelaySeconds
 )
 
-// configured gives a cluster its first configuration.
+// applyFirstConfig sends a cluster its first configuration, and fails the test if it is not acknowledged.
 func applyFirstConfig(t *testing.T, seed uint64, w *World) {
 	t.Helper()
 	w.Configure(int(seed), 1, nil)
@@ -26,7 +26,7 @@
 	}
 }
 
-// stall is a cluster in which every proxy asks, and two tills and a shop are asked.
+// newTillCluster returns a cluster with one host of the service shop and two of the service till.
 func newTillCluster(t *testing.T, seed uint64) *World {
 	t.Helper()
 	w := New(seed, 3, Host{"shop", "a"}, Host{"till", "a"}, Host{"till", "b"})
@@ -34,8 +34,7 @@
 	return w
 }
 
-// round plays one round of faults: the seed draws what the network does, what befalls processes, and what
-// clients ask.
+// playFaultRound runs one round of faults. The seed determines the network faults, the process faults and the client requests.
 func playFaultRound(w *World, seed uint64) {
 	w.Rand = rand.New(rand.NewPCG(seed, 11))
 	w.Faults.Duplicate = maxFaultShare * w.Rand.Float64()
@@ -51,8 +50,8 @@
 	w.Run(roundSeconds)
 }
 
-// client asks something at a proxy: to read; to pay by a key, and perhaps by the same at another; or to pay
-// without one.
+// sendRandomRequest sends a read, an operation with a key, which may be repeated at another proxy, or an operation without a
+// key. Some clients disconnect early.
 func sendRandomRequest(w *World) {
 	s := w.Proxies[w.Rand.IntN(len(w.Proxies))]
 	switch w.Rand.IntN(4) {
@@ -73,7 +72,7 @@
 	}
 }
 
-// mishap has something befall a process or a connection.
+// injectProcessFault injects a random fault of a process or a connection.
 func injectProcessFault(w *World) {
 	s := w.Proxies[w.Rand.IntN(len(w.Proxies))]
 	other := w.Proxies[w.Rand.IntN(len(w.Proxies))]
@@ -102,7 +101,7 @@
 	}
 }
 
-// restart kills a proxy and starts it again.
+// restart kills a proxy, and starts it again after some seconds.
 func restart(w *World, s *Proxy, after float64) {
 	if !s.up {
 		return
@@ -115,7 +114,7 @@
 	})
 }
 
-// heal has all that was befallen go on.
+// stopFaults ends the network faults, thaws all processes, and lets the cluster recover.
 func stopFaults(w *World) {
 	w.Faults.Duplicate, w.Faults.Delay, w.Faults.Corrupt = 0, 0, 0
 	for _, s := range w.Proxies {
@@ -127,7 +126,7 @@
 	w.Run(6)
 }
 
-// broken counts what the checker found, by rule.
+// violationsByRule returns the number of violations of each rule.
 func violationsByRule(w *World) map[string]int {
 	rules := map[string]int{}
 	for _, text := range w.Checker.Violations {
@@ -137,13 +136,13 @@
 	return rules
 }
 
-// Thousands of rounds of faults by lot: messages doubled, late beyond a restart and changed on the way;
-// processes killed, without power, frozen and told to end; connections reset. No answer is another request's,
-// and nothing that may not be repeated runs twice.
+// Random faults in thousands of rounds: messages are duplicated, corrupted, and delayed beyond a restart; processes are
+// killed, powered off, frozen and terminated; connections are reset. No client gets the response to another request, and no
+// request runs twice unless it is repeatable.
 func TestCallsUnderFaults(t *testing.T) {
 	const rounds = 50
 	worlds := 50
-	if n, err := strconv.Atoi(os.Getenv("SIMULATION_CALLS")); err == nil { // more, by hand
+	if n, err := strconv.Atoi(os.Getenv("SIMULATION_CALLS")); err == nil { // more seeds
 		worlds = n
 	}
 	counts := map[string]int{}
@@ -155,7 +154,7 @@
 		stopFaults(w)
 		checkOutcome(t, w, fmt.Sprintf("world %d", seed), 0.2)
 		for rule, n := range violationsByRule(w) {
-			t.Errorf("world %d: %s %d times", seed, rule, n)
+			t.Errorf("world %d: rule %s violated %d times", seed, rule, n)
 		}
 		for _, name := range []string{"duplicate", "delay", "corrupt"} {
 			counts[name] += w.Faults.Count(name)
@@ -166,13 +165,13 @@
 	t.Log(counts)
 	for name, n := range counts {
 		if n < 10*worlds {
-			t.Errorf("%s: only %d times", name, n)
+			t.Errorf("%s: count is only %d", name, n)
 		}
 	}
 }
 
-// The checker finds it where each process of a proxy has the ids and the life of the one before, so that
-// answers are in effect matched by an id alone.
+// The checker must report MIXED when each process of a proxy reuses the message IDs and the incarnation of the process
+// before, so that responses are effectively matched by message ID alone.
 func TestCheckerFindsAnswersMatchedByIdAlone(t *testing.T) {
 	mixedUp := 0
 	for seed := range uint64(20) {
@@ -184,12 +183,12 @@
 		mixedUp += violationsByRule(w)["MIXED"]
 	}
 	if mixedUp == 0 {
-		t.Error("no answer of another request is found")
+		t.Error("no response to another request was found")
 	}
-	t.Logf("%d answers of other requests", mixedUp)
+	t.Logf("%d responses to other requests", mixedUp)
 }
 
-// The checker finds it where the gate does not know what comes again for what has come.
+// The checker must report TWICE when the receiving proxy cannot recognize duplicates.
 func TestCheckerFindsRepeatsThatRun(t *testing.T) {
 	const worlds, rounds = 4, 50
 	found := map[string]int{}
@@ -205,7 +204,7 @@
 		}
 	}
 	if found["TWICE"] == 0 {
-		t.Errorf("found %v, and requests came twice under ids of their own", found)
+		t.Errorf("violations %v: no request ran twice, though duplicates had new message IDs", found)
 	}
 	t.Log(found)
 }
--- a/internal/mesh/simulation/forgotten_test.go
+++ b/internal/mesh/simulation/forgotten_test.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	silentSeconds        = 8.5  // seconds after a machine's end until no proxy lists it
-	forgetSeconds        = 34.0 // and until every server and every proxy has forgotten it
-	relistSeconds        = 2.5  // seconds after a proxy speaks again until all list it
+	silentSeconds        = 8.5  // time after a machine's end within which all proxies stop listing it
+	forgetSeconds        = 34.0 // time within which all servers and proxies have removed its record
+	relistSeconds        = 2.5  // time within which all proxies list a proxy that has returned
 	checkIntervalSeconds = 0.1
 )
 
-// lists says whether a proxy would send calls to the host beside another.
+// isListed reports whether a proxy would send requests to the host of another.
 func isListed(s, other *Proxy) bool {
 	state := s.State()
 	for _, silent := range state.Silent {
@@ -30,7 +30,7 @@
 	return false
 }
 
-// remembers says whether a proxy has a record of another.
+// hasRecord reports whether a proxy has the record of another.
 func hasRecord(s, other *Proxy) bool {
 	for _, r := range s.State().Records {
 		if r.Source == other.addr {
@@ -40,7 +40,7 @@
 	return false
 }
 
-// staysOut runs the world and counts the looks at which a proxy listed another that is not to be listed.
+// countListed runs the world and counts the checks at which a proxy listed a removed one.
 func countListed(w *World, seconds float64, proxies []*Proxy, removed *Proxy) (checks, listed int) {
 	for until := w.Now + seconds; w.Now < until; checks++ {
 		w.Run(checkIntervalSeconds)
@@ -54,24 +54,24 @@
 	return checks, listed
 }
 
-// wantForgotten checks that no server and no proxy knows a source any more.
+// wantForgotten checks that no server and none of the given proxies has the record of a removed proxy.
 func wantForgotten(t *testing.T, name string, w *World, proxies []*Proxy, removed *Proxy) {
 	t.Helper()
 	for _, h := range w.Servers {
 		for _, r := range h.server.State(w.Now).Records {
 			if r.Source == removed.addr {
-				t.Errorf("%s: server %s knows it", name, h.addr)
+				t.Errorf("%s: server %s has the record of the removed proxy", name, h.addr)
 			}
 		}
 	}
 	for _, s := range proxies {
 		if hasRecord(s, removed) {
-			t.Errorf("%s: proxy %s knows it", name, s.addr)
+			t.Errorf("%s: proxy %s has the record of the removed proxy", name, s.addr)
 		}
 	}
 }
 
-// wantListed checks that all others list a proxy again.
+// wantListed checks that all other proxies list a proxy.
 func wantListed(t *testing.T, name string, w *World, one *Proxy) {
 	t.Helper()
 	for _, s := range w.Proxies {
@@ -81,7 +81,7 @@
 	}
 }
 
-// isolate cuts a proxy off from all other machines.
+// isolate blocks the traffic between a proxy and all other machines.
 func isolate(w *World, one *Proxy) {
 	for _, h := range w.Servers {
 		w.Isolate(one.addr, h.addr)
@@ -91,7 +91,7 @@
 	}
 }
 
-// restartServers has all control servers restart at once: what they know is only in memory.
+// restartServers restarts all control servers at once. They lose the records of proxies, which are kept only in memory.
 func restartServers(w *World) {
 	for _, h := range w.Servers {
 		h.Kill()
@@ -99,7 +99,7 @@
 	}
 }
 
-// restartInTurn has the control servers restart one after the other, after so many seconds.
+// rollingRestart restarts the control servers one after the other, starting after some seconds.
 func rollingRestart(w *World, after float64) {
 	const interval, downSeconds = 2.0, 0.5
 	for i, h := range w.Servers {
@@ -108,9 +108,9 @@
 	}
 }
 
-// A machine goes without a word and for good while another proxy is cut off from everybody. The others list it
-// no more from then on, and have forgotten it in the end, though the servers restart in turn; the one that was
-// cut off does as soon as it is back.
+// A machine fails permanently while another proxy is isolated. The other proxies stop listing the failed machine and finally
+// remove its record, although the control servers restart one after the other. The isolated proxy does the same as soon as it
+// is back.
 func TestForgottenSourceStaysAway(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -121,26 +121,27 @@
 		gone.PowerOff()
 		w.Run(silentSeconds)
 		rollingRestart(w, 2)
-		rollingRestart(w, 18) // as it is forgotten, or shortly before
+		rollingRestart(w, 18) // while the record is removed, or shortly before
 		checks, listed := countListed(w, 2*forgetSeconds, others, gone)
 		if listed > 0 {
-			t.Errorf("%s: listed at %d of %d looks", name, listed, checks)
+			t.Errorf("%s: listed at %d of %d checks", name, listed, checks)
 		}
 		wantForgotten(t, name, w, others, gone)
 		w.HealNetwork()
 		w.Run(relistSeconds)
-		wantForgotten(t, name+", back from a cut", w, w.Proxies[1:], gone)
+		wantForgotten(t, name+", after the isolation", w, w.Proxies[1:], gone)
 		checks, listed = countListed(w, forgetSeconds, w.Proxies[1:], gone)
 		if listed > 0 {
-			t.Errorf("%s: after the cut listed at %d of %d looks", name, listed, checks)
+			t.Errorf("%s: after the isolation listed at %d of %d checks", name, listed, checks)
 		}
 		wantListed(t, name, w, others[0])
 		checkOutcome(t, w, name, 0)
 	}
 }
 
-// All control servers restart while a proxy is cut off that knows a machine that is gone for good: nobody else
-// does, so only what that proxy names tells of it. It is silent and forgotten in time.
+// All control servers and the other proxies restart while a proxy is isolated that has the record of a failed machine. When
+// that proxy is back, only its reports mention the machine. The machine is still marked silent and its record removed in
+// time.
 func TestForgottenSourceIsNamedByOneProxy(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -150,7 +151,7 @@
 		isolate(w, isolated)
 		gone.PowerOff()
 		w.Run(forgetSeconds + silentSeconds)
-		for _, s := range w.Proxies[2:] { // with their tombstones
+		for _, s := range w.Proxies[2:] { // which also loses their tombstones
 			s.Kill()
 			s.Start()
 		}
@@ -160,15 +161,15 @@
 		w.Run(silentSeconds)
 		checks, listed := countListed(w, forgetSeconds, w.Proxies[1:], gone)
 		if listed > 0 {
-			t.Errorf("%s: listed at %d of %d looks", name, listed, checks)
+			t.Errorf("%s: listed at %d of %d checks", name, listed, checks)
 		}
 		wantForgotten(t, name, w, w.Proxies[1:], gone)
 		checkOutcome(t, w, name, 0)
 	}
 }
 
-// A proxy that was forgotten speaks again: after a cut the same process, or a new one at the same address
-// whose versions begin below those of the former. All list it again.
+// A proxy whose record was removed returns: the same process after an isolation, or a new process at the same address whose
+// record versions are lower than those of the former. All proxies list it again.
 func TestForgottenSourceSpeaksAgain(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -197,8 +198,8 @@
 	}
 }
 
-// A control server is cut off from the others, with the proxies or without, for longer than silent sources are
-// remembered. It forgets nobody for all: what it did not hear is no sign.
+// A control server is partitioned from the others, and in half of the runs from the proxies, for longer than records of
+// silent proxies are kept. The server must not cause the removal of records: the heartbeats that it missed prove nothing.
 func TestServerThatWasCutOffForgetsNobody(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -216,7 +217,7 @@
 		for until := w.Now + 3; w.Now < until; w.Run(checkIntervalSeconds) {
 			for _, s := range w.Proxies[1:] {
 				if !hasRecord(s, w.Proxies[0]) {
-					t.Fatalf("%s: %s has forgotten a proxy that lives", name, s.addr)
+					t.Fatalf("%s: %s has removed the record of a running proxy", name, s.addr)
 				}
 			}
 		}
--- a/internal/mesh/simulation/freeze_test.go
+++ b/internal/mesh/simulation/freeze_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The only gate of a service is frozen for some seconds and thaws. Its host was there all the time: requests
-// that come afterwards are served.
+// The only receiving proxy of a service is frozen for some seconds. Its host runs all the time, so requests that arrive after
+// the thaw are served.
 func TestThawedGateServes(t *testing.T) {
 	const requests = 10
 	for _, frozen := range []float64{2, 4, 6, 8} {
@@ -24,7 +24,7 @@
 			}
 			w.Run(3)
 			if w.Checker.Served != requests {
-				t.Errorf("seed %d, %v s frozen: %d of %d served 12 s after the thaw; answers %v", seed, frozen,
+				t.Errorf("seed %d, %v s frozen: %d of %d served 12 s after the thaw; statuses %v", seed, frozen,
 					w.Checker.Served, requests, w.Checker.Statuses)
 			}
 			checkOutcome(t, w, fmt.Sprintf("seed %d, %v s", seed, frozen), 0)
@@ -32,7 +32,8 @@
 	}
 }
 
-// A host that ends while its gate is frozen is gone once the gate has run for long enough without a beat.
+// A host crashes while its proxy is frozen. The proxy marks the host as gone only after it has run long enough without a
+// heartbeat.
 func TestHostLostDuringAFreezeIsGone(t *testing.T) {
 	w := New(1, 3, Host{"shop", "a"}, Host{"till", "a"})
 	w.Configure(1, 1, nil)
@@ -44,10 +45,10 @@
 	receiver.Thaw()
 	w.Run(1)
 	if got := receiver.State().Host.Condition; got != 1 {
-		t.Errorf("1 s after the thaw its condition is %d", got)
+		t.Errorf("1 s after the thaw the condition of the host is %d, want 1", got)
 	}
 	w.Run(5)
 	if got := receiver.State().Host.Condition; got != 3 {
-		t.Errorf("6 s after the thaw its condition is %d", got)
+		t.Errorf("6 s after the thaw the condition of the host is %d, want 3", got)
 	}
 }
--- a/internal/mesh/simulation/fuzz_test.go
+++ b/internal/mesh/simulation/fuzz_test.go
@@ -16,15 +16,15 @@
 	"beechwing/internal/mesh/transport"
 )
 
-// drawn makes random messages: each field is there or missing by lot, and has a value that means something to
-// the processes, or any.
+// messageGenerator generates random messages. Each field is randomly present or absent, and has either a value that is
+// meaningful to the processes or an arbitrary one.
 type messageGenerator struct {
 	rng   *rand.Rand
-	ids   []uint64 // of questions that are open
-	dense bool     // most fields are there, else few
+	ids   []uint64 // of open requests
+	dense bool     // most fields are present, else few
 }
 
-// message is a random message as it comes off the wire.
+// message returns a random message, encoded and decoded as on the wire.
 func (d *messageGenerator) message(t *testing.T) *meshpb.Message {
 	t.Helper()
 	d.dense = d.rng.IntN(2) == 0
@@ -45,8 +45,8 @@
 	return read
 }
 
-// fill draws the fields of a message. One of them, by number, is there in any case. Of the kinds of content at
-// the top there is seldom more than one.
+// fill sets random fields of a message. The field with the index wanted is always set. At the top level there is seldom more
+// than one kind of content.
 func (d *messageGenerator) fill(m protoreflect.Message, wanted, depth int) {
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
@@ -69,7 +69,7 @@
 	}
 }
 
-// value draws one value of a field.
+// value returns a random value for a field.
 func (d *messageGenerator) value(empty protoreflect.Value, f protoreflect.FieldDescriptor, depth int) protoreflect.Value {
 	small := d.rng.IntN(5) > 0
 	number := d.rng.Uint64()
@@ -94,14 +94,14 @@
 	panic("messages have no fields of kind " + f.Kind().String())
 }
 
-// text draws an address, a key, a host or a service.
+// text returns a random address, key, host or service.
 func (d *messageGenerator) text() string {
 	all := []string{"", "a:1", "b:1", "c:1", "p:1", "q:1", "k", "\x00configuration", "\x00view", "\x00ejections\x00shop",
 		"i-1", "shop", "till"}
 	return all[d.rng.IntN(len(all))]
 }
 
-// bytes draws a configuration, a value of a register, or garbage.
+// bytes returns a configuration, a register value or garbage.
 func (d *messageGenerator) bytes() []byte {
 	switch d.rng.IntN(3) {
 	case 0:
@@ -116,7 +116,7 @@
 	return []byte{8, byte(d.rng.Uint32()), 255}
 }
 
-// survive gives a process an input, and tells what it was where that panics.
+// mustNotPanic passes an input to a process, and reports the message if the process panics.
 func mustNotPanic(t *testing.T, name string, m *meshpb.Message, input func()) {
 	t.Helper()
 	defer func() {
@@ -127,7 +127,7 @@
 	input()
 }
 
-// note keeps the ids of questions that a process asks.
+// recordIDs keeps the IDs of the latest requests that a process sends.
 func (d *messageGenerator) recordIDs(sends []transport.Send) {
 	const most = 32
 	for _, s := range sends {
@@ -138,7 +138,7 @@
 	d.ids = d.ids[max(0, len(d.ids)-most):]
 }
 
-// fuzzRounds is how many processes of each kind get random messages; SIMULATION_FUZZ has more, by hand.
+// fuzzRounds returns the number of processes of each kind that get random messages, which SIMULATION_FUZZ overrides.
 func fuzzRounds() uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("SIMULATION_FUZZ"), 10, 64); err == nil {
 		return n
@@ -148,12 +148,13 @@
 
 const messagesPerProcess = 200
 
-// A control server gets random messages of any sender, its own included, with parts missing: it does not panic.
+// A control server must not panic on random, incomplete messages of any sender, itself included.
 func TestControlServerSurvivesAnyMessage(t *testing.T) {
 	for seed := range fuzzRounds() {
 		d := &messageGenerator{rng: rand.New(rand.NewPCG(seed, 3))}
 		seeds := []string{"a:1", "b:1", "c:1"}
-		s, err := control.New(1, control.Options{Self: "a:1", Seeds: seeds, Bootstrap: true, Tolerance: 1, RetentionSeconds: dedupWindowSeconds, Life: 1}, nil)
+		s, err := control.New(1, control.Options{Self: "a:1", Seeds: seeds, Bootstrap: true, Tolerance: 1,
+			RetentionSeconds: dedupWindowSeconds, Life: 1}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -165,12 +166,15 @@
 				d.recordIDs(out.After)
 				for _, send := range append(out.Sends, out.After...) {
 					if send.To == "a:1" {
-						mustNotPanic(t, fmt.Sprintf("seed %d, its own", seed), send.Message, func() { s.HandleMessage(now, "a:1", send.Message) })
+						mustNotPanic(t, fmt.Sprintf("seed %d, its own", seed), send.Message, func() {
+							s.HandleMessage(now, "a:1",
+								send.Message)
+						})
 					}
 				}
 			}
 		}
-		if seed%3 > 0 { // else it is alone, and knows no view
+		if seed%3 > 0 { // else the server is alone and has no view
 			for _, other := range seeds[1:] {
 				s.HandleMessage(now, other, &meshpb.Message{Incarnation: 1, Join: &meshpb.Join{}})
 			}
@@ -181,12 +185,12 @@
 			take()
 		}
 		if seed%3 > 0 && !s.Voting() {
-			t.Fatalf("seed %d: it does not vote: this shows little", seed)
+			t.Fatalf("seed %d: the server does not vote, so the test is not meaningful", seed)
 		}
 		for i := range messagesPerProcess {
 			m := d.message(t)
 			from := []string{"a:1", "b:1", "c:1", "p:1"}[d.rng.IntN(4)]
-			if d.rng.IntN(4) > 0 { // as of this epoch, by a member
+			if d.rng.IntN(4) > 0 { // of the current epoch and of a member
 				m.Epoch, m.Incarnation = s.State(now).Epoch, 1
 				if from == "a:1" {
 					m.Incarnation = s.State(now).Incarnation
@@ -200,12 +204,13 @@
 	}
 }
 
-// A proxy gets random messages of any sender with parts missing, while it asks: it does not panic.
+// A proxy with requests in progress must not panic on random, incomplete messages of any sender.
 func TestProxySurvivesAnyMessage(t *testing.T) {
 	for seed := range fuzzRounds() {
 		d := &messageGenerator{rng: rand.New(rand.NewPCG(seed, 5))}
-		p := sidecar.New(1, sidecar.Options{Self: "p:1", Zone: "a", Service: "shop", Seeds: []string{"a:1", "b:1", "c:1"}, HeartbeatInterval: heartbeatSeconds,
-			RetryRatio: 0.2, RetrySlack: 60, RecordVersion: 1, Seed: seed, MaxBodyBytes: 1 << 24, AgreedEjection: seed%2 == 0})
+		p := sidecar.New(1, sidecar.Options{Self: "p:1", Zone: "a", Service: "shop", Seeds: []string{"a:1", "b:1", "c:1"},
+			HeartbeatInterval: heartbeatSeconds,
+			RetryRatio:        0.2, RetrySlack: 60, RecordVersion: 1, Seed: seed, MaxBodyBytes: 1 << 24, AgreedEjection: seed%2 == 0})
 		now, life := 1.0, uint64(0)
 		take := func() {
 			out := p.TakeOutput()
--- a/internal/mesh/simulation/keys_test.go
+++ b/internal/mesh/simulation/keys_test.go
@@ -9,7 +9,7 @@
 	"beechwing/internal/mesh/sharding"
 )
 
-// stocked is a cluster with so many hosts that hold keys.
+// newShardedCluster returns a cluster with the given number of hosts of the sharded service.
 func newShardedCluster(t *testing.T, seed uint64, hosts int) *World {
 	t.Helper()
 	var all []Host
@@ -21,7 +21,7 @@
 	return w
 }
 
-// askStock has clients ask for keys at all proxies for so many seconds.
+// startShardedTraffic schedules 50 requests per second for random keys at random proxies.
 func startShardedTraffic(w *World, seconds float64) {
 	const interval = 0.02
 	for i := range int(seconds / interval) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// On a quiet day hosts are granted the keys of a sharded service, and requests go to the one that holds theirs.
+// Without faults, the hosts of a sharded service are granted the keys, and each request reaches the host that holds its key.
 func TestShardedServiceIsServed(t *testing.T) {
 	for seed := range uint64(4) {
 		w := newShardedCluster(t, seed, 4)
@@ -39,8 +39,8 @@
 	}
 }
 
-// keyTrouble has something befall hosts that hold keys, the proxies beside them, or a control server. Losses of the control servers stay
-// within what is to be borne.
+// injectKeyFault injects a random fault of a host, a proxy or a control server. lostUntil keeps the loss of control servers
+// within the tolerance.
 func injectKeyFault(w *World, lostUntil *float64) {
 	s := w.Proxies[w.Rand.IntN(len(w.Proxies))]
 	h := w.Servers[w.Rand.IntN(len(w.Servers))]
@@ -88,7 +88,8 @@
 	}
 }
 
-// playKeys plays a day on which hosts that hold keys come and go.
+// playKeyFaults runs a cluster under traffic in which hosts that hold keys fail, drain and join. prepare is called before the
+// traffic.
 func playKeyFaults(t *testing.T, seed uint64, prepare func(*World)) *World {
 	t.Helper()
 	w := newShardedCluster(t, seed, 4)
@@ -106,33 +107,35 @@
 	return w
 }
 
+// daysFromEnv returns the number of seeds in SIMULATION_DAYS, or the fallback.
 func daysFromEnv(fallback int) int {
-	if n, err := strconv.Atoi(os.Getenv("SIMULATION_DAYS")); err == nil { // more, by hand
+	if n, err := strconv.Atoi(os.Getenv("SIMULATION_DAYS")); err == nil { // more seeds
 		return n
 	}
 	return fallback
 }
 
-// However hosts, their proxies and control servers come and go, no key has two holders, and once all is over each has one.
+// Under random faults of hosts, proxies and control servers no key has two holders at a time. After the faults each key has
+// one.
 func TestKeysUnderTroubles(t *testing.T) {
 	t.Parallel()
-	for seed := range uint64(daysFromEnv(36) / 3) { // each takes as long as three others
+	for seed := range uint64(daysFromEnv(36) / 3) { // each run takes as long as three of other tests
 		w := playKeyFaults(t, seed, func(*World) {})
 		w.Run(sharding.LeaseSeconds(maxHoldSeconds) + silenceSeconds)
 		served := w.Checker.Served
 		startShardedTraffic(w, 4)
 		w.Run(6)
 		if got := w.Checker.Served - served; got < 190 {
-			t.Errorf("seed %d: %d of 200 served once all is over; answers %v", seed, got, w.Checker.Statuses)
+			t.Errorf("seed %d: %d of 200 served after the faults; statuses %v", seed, got, w.Checker.Statuses)
 		}
 		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0.3)
 	}
 }
 
-// silentSoon is within how many seconds the control servers find that a machine is gone.
+// silenceSeconds is the time within which the control servers detect that a machine is gone.
 const silenceSeconds = 9.0
 
-// The checker finds it where a former holder's lease is taken for over too soon.
+// The checker must report OWNER when the control servers assume too early that a former holder's lease has expired.
 func TestCheckerFindsTwoHolders(t *testing.T) {
 	found := 0
 	for seed := range uint64(12) {
@@ -147,12 +150,12 @@
 		found += violationsByRule(w)["OWNER"]
 	}
 	if found == 0 {
-		t.Error("nothing is found")
+		t.Error("no violation was found")
 	}
-	t.Logf("%d found", found)
+	t.Logf("%d violations found", found)
 }
 
-// A host that drains gives its keys away before it goes: nobody waits for its lease to run out.
+// A host that drains releases its keys before it ends, so no request waits for its lease to expire.
 func TestDrainedKeysMoveAtOnce(t *testing.T) {
 	for seed := range uint64(4) {
 		w := newShardedCluster(t, seed, 4)
@@ -162,13 +165,13 @@
 		startShardedTraffic(w, 3)
 		w.Run(4)
 		if got, of := w.Checker.Served-served, w.Checker.Requested-asked; float64(got) < 0.99*float64(of) {
-			t.Errorf("seed %d: %d of %d served from a second after the word on", seed, got, of)
+			t.Errorf("seed %d: %d of %d served from 1 s after the start of the drain", seed, got, of)
 		}
 		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0.98)
 	}
 }
 
-// Hosts that are added get their part of the keys, and nothing is lost by that.
+// An added host gets its share of the keys, and no request is lost while keys move.
 func TestAddedHostsGetKeys(t *testing.T) {
 	w := newShardedCluster(t, 1, 4)
 	startShardedTraffic(w, 8)
@@ -176,13 +179,13 @@
 	added := w.AddHost(Host{shardedService, "a"})
 	w.Run(8)
 	if n := w.Checker.RunsAt(added); n < 20 {
-		t.Errorf("the host that was added ran %d requests", n)
+		t.Errorf("the added host ran only %d requests", n)
 	}
 	checkOutcome(t, w, "added", 0.98)
 }
 
-// A host whose proxy is cut off from the control servers serves on for what is left of its leases, and no longer; the others get its
-// keys then.
+// A host whose proxy is cut off from the control servers serves until its leases expire, and not longer. Then the other hosts
+// get its keys.
 func TestCutOffHolderStops(t *testing.T) {
 	w := newShardedCluster(t, 2, 4)
 	isolated := w.Proxies[0]
@@ -194,15 +197,15 @@
 	startShardedTraffic(w, 4)
 	w.Run(5)
 	if n := w.Checker.RunsAt(isolated) - runs; n > 0 {
-		t.Errorf("it runs %d requests without a lease", n)
+		t.Errorf("the isolated host ran %d requests without a lease", n)
 	}
-	if got := w.Checker.Served - served; got < 150 { // it asks for a part itself, and cannot know the new holders
-		t.Errorf("%d of 200 served by the others; answers %v", got, w.Checker.Statuses)
+	if got := w.Checker.Served - served; got < 150 { // the isolated proxy sends a part of the requests, and cannot know the new holders
+		t.Errorf("%d of 200 served by the other hosts; statuses %v", got, w.Checker.Statuses)
 	}
 	checkOutcome(t, w, "cut off", 0.5)
 }
 
-// A host that crashes takes no keys with it: the proxy beside it finds that nobody listens there any more, and others get them at once.
+// When a host crashes, its proxy detects that the host no longer accepts connections, and other hosts get the keys immediately.
 func TestCrashedHostsKeysMoveAtOnce(t *testing.T) {
 	for seed := range uint64(4) {
 		w := newShardedCluster(t, seed, 4)
@@ -213,7 +216,7 @@
 		served, asked := w.Checker.Served, w.Checker.Requested
 		w.Run(6)
 		if got, of := w.Checker.Served-served, w.Checker.Requested-asked; float64(got) < 0.98*float64(of) {
-			t.Errorf("seed %d: %d of %d served from 2 s after the crash on", seed, got, of)
+			t.Errorf("seed %d: %d of %d served from 2 s after the crash", seed, got, of)
 		}
 		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0.8)
 	}
--- a/internal/mesh/simulation/large_config_test.go
+++ b/internal/mesh/simulation/large_config_test.go
@@ -9,7 +9,7 @@
 	"beechwing/internal/mesh/routeconfig"
 )
 
-// largeConfig is a configuration with so many routes beside the usual ones.
+// largeConfig returns a configuration with the given number of routes in addition to the usual ones.
 func largeConfig(t *testing.T, version uint64, routes int) []byte {
 	t.Helper()
 	var c routeconfig.Config
@@ -18,7 +18,8 @@
 	}
 	for i := range routes {
 		c.Itineraries = append(c.Itineraries, routeconfig.Route{Name: fmt.Sprintf("more-%d", i), Depot: "shop.example",
-			LanePrefix: fmt.Sprintf("/more%d/", i), RouteKind: routeconfig.Safe, TimeoutMs: 1000, TargetMs: 200, Carrier: "shop", Tries: 2})
+			LanePrefix: fmt.Sprintf("/more%d/", i), RouteKind: routeconfig.Safe, TimeoutMs: 1000, TargetMs: 200,
+			Carrier: "shop", Tries: 2})
 	}
 	text, err := json.Marshal(c)
 	if err != nil {
@@ -27,8 +28,8 @@
 	return text
 }
 
-// A configuration of 1,400 routes goes between control servers, to their disks and to proxies in a fraction of its bytes, all act by it,
-// and it is read back as it was sent.
+// A configuration of 1,400 routes is compressed between control servers and on their disks. All proxies use the
+// configuration, and it is read back unchanged.
 func TestLargeConfigurationIsPacked(t *testing.T) {
 	w := newCluster(t, 1, 3)
 	text := largeConfig(t, 2, 1400)
@@ -37,21 +38,21 @@
 	w.SendConfig(w.Servers[0], 2, text, func(r control.OrderResult) { taken = r == control.OrderTaken })
 	w.Run(2)
 	if !taken {
-		t.Fatal("the order is not taken")
+		t.Fatal("the configuration is not accepted")
 	}
 	if sent := w.Bytes - before; sent > len(text)/2 {
-		t.Errorf("%d bytes between control servers for a text of %d", sent, len(text))
+		t.Errorf("%d bytes between control servers for a text of %d, want at most half of it", sent, len(text))
 	}
 	for _, s := range w.Proxies {
 		if got := s.State().Edition; got != 2 {
-			t.Errorf("%s acts by version %d", s.addr, got)
+			t.Errorf("%s uses version %d, want 2", s.addr, got)
 		}
 	}
 	for _, h := range w.Servers {
 		h.input(func() {
 			h.server.Configuration(w.Now, func(read []byte, result control.OrderResult) {
 				if result != control.OrderTaken || string(read) != string(text) {
-					t.Errorf("%s reads back %d bytes, %v", h.addr, len(read), result)
+					t.Errorf("%s returns %d bytes that differ from the text sent, or result %v", h.addr, len(read), result)
 				}
 			})
 		})
@@ -59,7 +60,7 @@
 	w.Run(1)
 	for _, h := range w.Servers {
 		if size := len(h.disk.values["k."+"\x00configuration"]); size == 0 || size > len(text)/5 {
-			t.Errorf("%s keeps %d bytes", h.addr, size)
+			t.Errorf("%s stores %d bytes of configuration, want more than 0 and at most a fifth of the text", h.addr, size)
 		}
 	}
 	checkOutcome(t, w, "large", 0)
--- a/internal/mesh/simulation/overload_test.go
+++ b/internal/mesh/simulation/overload_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-// loadedProcessor is a fifth of the processor that a control server has in the deployment of incident sahil-muscat-grown-1, for a fifth
-// of the operations, so that the tests play fewer.
+// loadedProcessor is five times slower than the processor of a control server in the deployment of incident
+// sahil-muscat-grown-1. The load is a fifth of that deployment's load, so the tests simulate fewer operations.
 var loadedProcessor = Processor{Message: 165e-6, Sync: 2e-3, Value: 250e-6}
 
 const (
-	loadPerSecond   = 113.0 // operations a second
-	loadSeconds     = 25.0  // seconds of them before the fault
-	powerOffSeconds = 1.2   // seconds without power
-	serveSeconds    = 5.0   // seconds after the start until operations are to be served again
+	loadPerSecond   = 113.0 // operations per second
+	loadSeconds     = 25.0  // duration of the load before the fault
+	powerOffSeconds = 1.2   // time without power
+	serveSeconds    = 5.0   // time after the start within which operations are served again
 )
 
-// operate has clients send so many operations a second for some seconds, each once more if it is not served.
+// startRetriedOperations schedules tracked operations at a rate per second. Each is sent once more if it fails.
 func startRetriedOperations(w *World, rate, seconds float64) {
 	for i := range int(rate * seconds) {
 		w.After(float64(i)/rate, func() {
@@ -27,7 +27,8 @@
 	}
 }
 
-// loaded is a cluster of four control servers, as many as make the loss of one leave the smallest quorum, under load.
+// newLoadedCluster returns a cluster of four control servers with slow processors. With four, the loss of one leaves just a
+// quorum.
 func newLoadedCluster(t *testing.T, seed uint64) *World {
 	t.Helper()
 	var hosts []Host
@@ -45,7 +46,7 @@
 	return w
 }
 
-// seedsOr is how many seeds a test plays: more by hand, with SIMULATION_LOADED.
+// seedsFromEnv returns the number of seeds in SIMULATION_LOADED, or the fallback.
 func seedsFromEnv(fallback uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("SIMULATION_LOADED"), 10, 64); err == nil {
 		return n
@@ -53,20 +54,21 @@
 	return fallback
 }
 
-// recovery is what became of a cluster after a fault under load.
+// recovery is the outcome of a fault under load.
 type recovery struct {
-	servedBefore int // operations served before
+	servedBefore int // operations served before the fault
 	acknowledged bool
-	served       int  // operations in the six seconds from soon after the start on
-	rejoined     bool // the server that lost its disk votes
+	served       int  // operations served in judgedSeconds, from serveSeconds after the start
+	rejoined     bool // the server that lost its disk votes again
 }
 
 const (
-	judgedSeconds = 6.0 // seconds, from soon after the start on
-	voteSeconds   = 6.0 // seconds after the start until the server that lost its disk votes, as the deployment allows
+	judgedSeconds = 6.0 // counted from serveSeconds after the start
+	voteSeconds   = 6.0 // time after the start within which the server that lost its disk votes, as the deployment requires
 )
 
-// losePower has all control servers of a loaded cluster lose power as a change is sent, and one of them its disk.
+// runPowerLoss powers all control servers of a loaded cluster off while a configuration is being sent, and erases the disk of
+// one.
 func runPowerLoss(w *World, seed uint64, first float64) (r recovery) {
 	startRetriedOperations(w, loadPerSecond, first+powerOffSeconds+serveSeconds+8)
 	w.Run(first)
@@ -94,8 +96,8 @@
 	return r
 }
 
-// All control servers lose power as a change is sent, and one is back with an empty disk: the change is acknowledged, operations are
-// served again within seconds, and the server that lost its disk is replaced by itself, within catchUpS.
+// All control servers lose power while a configuration is being sent, and one returns with an empty disk. The configuration is
+// acknowledged, operations are served again within seconds, and the server with the empty disk rejoins within catchUpS.
 func TestPowerLossWithAnEmptyDiskUnderLoad(t *testing.T) {
 	t.Parallel()
 	for seed := range seedsFromEnv(3) {
@@ -104,7 +106,8 @@
 	}
 }
 
-// The same with as many registers as the window of keys ever leaves: what a start and catching up cost grows with them, and no faster.
+// The same with the largest number of registers, which a full deduplication window of load leaves. The costs of the start and
+// of catching up must grow at most linearly with the registers.
 func TestPowerLossWithAllRegistersOfAWindow(t *testing.T) {
 	t.Parallel()
 	for seed := range seedsFromEnv(1) {
@@ -117,23 +120,25 @@
 func checkRecovery(t *testing.T, w *World, name string, r recovery, first float64) {
 	t.Helper()
 	if float64(r.servedBefore) < 0.9*loadPerSecond*first {
-		t.Errorf("%s: %d served before the fault: this is not the load that it is for", name, r.servedBefore)
+		t.Errorf("%s: only %d served before the fault: the load is lower than the test needs", name, r.servedBefore)
 	}
 	if !r.acknowledged {
-		t.Errorf("%s: the change has no acknowledgement 4 s after the start", name)
+		t.Errorf("%s: the configuration is not acknowledged 4 s after the start", name)
 	}
 	if float64(r.served) < 0.9*judgedSeconds*loadPerSecond {
-		t.Errorf("%s: from %v s after the start on %d of %.0f operations are served in 6 s; answers %v", name, serveSeconds, r.served,
+		t.Errorf("%s: from %v s after the start only %d of %.0f operations are served in 6 s; statuses %v", name,
+			serveSeconds, r.served,
 			judgedSeconds*loadPerSecond, w.Checker.Statuses)
 	}
 	if !r.rejoined {
 		t.Errorf("%s: %v s after the start the server that lost its disk does not vote", name, voteSeconds)
 	}
 	checkOutcome(t, w, name, 0)
-	t.Logf("%s: %d of %.0f served; answers %v", name, r.served, judgedSeconds*loadPerSecond, w.Checker.Statuses)
+	t.Logf("%s: %d of %.0f served; statuses %v", name, r.served, judgedSeconds*loadPerSecond, w.Checker.Statuses)
 }
 
-// A disk is lost under load while the others go on: operations are served all the time, but for the time until gates have gone elsewhere.
+// A control server loses its disk under load while the others run on. Operations are served all the time, except until the
+// receiving proxies have switched to other control servers.
 func TestDiskLostUnderLoad(t *testing.T) {
 	t.Parallel()
 	for seed := range seedsFromEnv(2) {
@@ -147,7 +152,8 @@
 		served := w.Checker.Served - before
 		w.Run(4)
 		if float64(served) < 0.95*10*loadPerSecond {
-			t.Errorf("seed %d: %d of %.0f operations served in 10 s around the loss; answers %v", seed, served, 10*loadPerSecond, w.Checker.Statuses)
+			t.Errorf("seed %d: %d of %.0f operations served in 10 s after the loss; statuses %v", seed, served,
+				10*loadPerSecond, w.Checker.Statuses)
 		}
 		if !lost.Voting() {
 			t.Errorf("seed %d: the server that lost its disk does not vote", seed)
@@ -156,7 +162,8 @@
 	}
 }
 
-// contactsLost is how often contact is lost in 20 s in which more operations are asked for than the control servers' processors can do.
+// countContactLosses returns how many times a control server lost contact with a quorum in 18 s of an overload of the
+// processors.
 func countContactLosses(t *testing.T, seed uint64, heartbeatsWait bool) int {
 	t.Helper()
 	const loadFactor, slowdown, totalSeconds = 4, 12, 20.0
@@ -164,13 +171,14 @@
 	w.QueueHeartbeats = heartbeatsWait
 	w.Processor.Message *= slowdown
 	startRetriedOperations(w, loadFactor*loadPerSecond, totalSeconds)
-	w.Run(2) // until the processors are full
+	w.Run(2) // until the processors are saturated
 	before := w.QuorumContactLosses
 	w.Run(totalSeconds - 2)
 	return w.QuorumContactLosses - before
 }
 
-// On full processors no contact is lost for 18 s: heartbeats are worked on before all else that waits. Where they wait their turn, it is.
+// With saturated processors no server loses contact with a quorum for 18 s, as heartbeats are handled before all other queued
+// inputs. If heartbeats are queued like other inputs, contact is lost.
 func TestContactHoldsOnFullProcessors(t *testing.T) {
 	t.Parallel()
 	lostWhenQueued := 0
@@ -180,8 +188,8 @@
 		}
 		lostWhenQueued += countContactLosses(t, seed, true)
 	}
-	t.Logf("%d times where heartbeats wait", lostWhenQueued)
+	t.Logf("contact lost %d times with queued heartbeats", lostWhenQueued)
 	if lostWhenQueued == 0 {
-		t.Error("the processors are not full enough: contact holds where heartbeats wait")
+		t.Error("no contact is lost with queued heartbeats: the processors are not saturated")
 	}
 }
--- a/internal/mesh/simulation/regions_test.go
+++ b/internal/mesh/simulation/regions_test.go
@@ -5,15 +5,17 @@
 	"testing"
 )
 
-// regionAway is one way between regions, in seconds.
+// regionLatencySeconds is the one-way latency between regions.
 const regionLatencySeconds = 0.055
 
-// Three control servers in three regions, and proxies in each: every change of a register takes a way to another region and back, or
-// two. That is not overload: operations are claimed and served, also by homes that are far.
+// Three control servers and their proxies are spread over three regions, so each register change takes one or two round trips
+// between regions. The control servers must not mistake this latency for overload: operations are served, also if their
+// register's home server is in another region.
 func TestControlServersInThreeRegions(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		w := New(seed, 3, Host{"till", "a"}, Host{"till", "b"}, Host{"till", "c"}, Host{"till", "a"}, Host{"till", "b"}, Host{"till", "c"})
+		w := New(seed, 3, Host{"till", "a"}, Host{"till", "b"}, Host{"till", "c"}, Host{"till", "a"}, Host{"till", "b"},
+			Host{"till", "c"})
 		region := map[string]int{}
 		for i, h := range w.Servers {
 			region[h.addr] = i
@@ -34,9 +36,10 @@
 		startRetriedOperations(w, rate, seconds)
 		w.Run(seconds + 3)
 		if float64(w.Checker.Served) < 0.97*rate*seconds {
-			t.Errorf("seed %d: %d of %.0f operations served; answers %v", seed, w.Checker.Served, rate*seconds, w.Checker.Statuses)
+			t.Errorf("seed %d: %d of %.0f operations served; statuses %v", seed, w.Checker.Served, rate*seconds,
+				w.Checker.Statuses)
 		}
-		t.Logf("seed %d: %d served, %d asked, answers %v", seed, w.Checker.Served, w.Checker.Requested, w.Checker.Statuses)
+		t.Logf("seed %d: %d served, %d requested, statuses %v", seed, w.Checker.Served, w.Checker.Requested, w.Checker.Statuses)
 		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0)
 	}
 }
--- a/internal/mesh/simulation/simulation_test.go
+++ b/internal/mesh/simulation/simulation_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// cluster is a small cluster: two services in two zones, with a configuration in force.
+// newCluster returns a cluster with two services in two zones and a configuration in force.
 func newCluster(t *testing.T, seed uint64, servers int) *World {
 	t.Helper()
 	w := New(seed, servers, Host{"shop", "a"}, Host{"shop", "b"}, Host{"shop", "a"}, Host{"till", "a"}, Host{"till", "b"},
@@ -21,7 +21,7 @@
 	return w
 }
 
-// agree has the proxies of a cluster leave hosts out for operations by agreement only, from a start anew.
+// enableAgreedEjection restarts the proxies with the setting that hosts are ejected for tracked operations by agreement only.
 func enableAgreedEjection(w *World) {
 	w.AgreedEjection = true
 	for _, s := range w.Proxies {
@@ -31,8 +31,9 @@
 	w.Run(1.5)
 }
 
-// traffic has clients ask all the time: reads, and operations of which some are sent again from another proxy. Some leave before
-// they have an answer, of whom some come again with the same key.
+// startTraffic schedules client requests at a constant rate: half are reads, half are tracked operations. Some operations are
+// repeated with the same key at another proxy. Some clients disconnect before they have a response, and some of those repeat
+// their operation.
 func startTraffic(w *World, seconds float64) {
 	const interval = 0.01
 	for i := range int(seconds / interval) {
@@ -54,7 +55,7 @@
 			} else {
 				w.Request(s, "/pay/x", key, 3)
 			}
-			if w.Rand.IntN(4) == 0 { // once more after its answer
+			if w.Rand.IntN(4) == 0 { // a repeat after the response
 				other := w.Proxies[w.Rand.IntN(len(w.Proxies))]
 				w.After(1+3*w.Rand.Float64(), func() { w.Request(other, "/pay/x", key, 2) })
 			}
@@ -66,9 +67,10 @@
 	}
 }
 
-// leavesOf is that one client of so many leaves early.
+// disconnectOneIn is the number of clients of which one disconnects early.
 const disconnectOneIn = 12
 
+// checkOutcome fails the test for each violation, and if the share of requests served is below minServed.
 func checkOutcome(t *testing.T, w *World, name string, minServed float64) {
 	t.Helper()
 	for i, b := range w.Checker.Violations {
@@ -76,10 +78,10 @@
 			t.Errorf("%s: %s", name, b)
 		}
 	}
-	// A key that is at work has its answer: the client comes again.
+	// Status 409 counts as served: the operation is in progress, and the client repeats it.
 	stayed := w.Checker.Requested - w.Checker.Disconnected
 	if got := float64(w.Checker.Served+w.Checker.Statuses[409]) / float64(max(1, stayed)); got < minServed {
-		t.Errorf("%s: %.3f of %d requests served, want %.3f; answers %v", name, got, stayed, minServed, w.Checker.Statuses)
+		t.Errorf("%s: %.3f of %d requests served, want %.3f; statuses %v", name, got, stayed, minServed, w.Checker.Statuses)
 	}
 }
 
@@ -93,8 +95,8 @@
 	}
 }
 
-// The newest configuration is read back whatever happens to the machines just as it is acknowledged: all lose power, all are
-// killed, or one loses its disk while the others are dark.
+// An acknowledged configuration must survive faults at the moment of the acknowledgement: all machines lose power, all
+// processes are killed, or all machines lose power and one control server also its disk.
 func TestAcknowledgedConfigurationSurvives(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
@@ -119,7 +121,7 @@
 		})
 		w.Run(1)
 		if !injected {
-			t.Fatalf("seed %d: not acknowledged within a second", seed)
+			t.Fatalf("seed %d: configuration not acknowledged within 1 s", seed)
 		}
 		for _, h := range w.Servers {
 			w.After(0.3*w.Rand.Float64(), h.Start)
@@ -133,13 +135,14 @@
 		w.Run(3)
 		w.Checker.CheckConfigInForce(w.Proxies...)
 		if read != 9 {
-			t.Errorf("seed %d, %s: read back %d, acknowledged 9", seed, fault, read)
+			t.Errorf("seed %d, %s: read version %d, but 9 was acknowledged", seed, fault, read)
 		}
 		checkOutcome(t, w, fmt.Sprintf("seed %d, %s", seed, fault), 0)
 	}
 }
 
-// A control process whose disk came back empty takes no part until it has read back what the others hold, and then does.
+// A control server that restarts with an empty disk does not know its promises. It must not vote until it has recovered the
+// state from the other servers, and must vote afterwards.
 func TestWipedDiskDoesNotVote(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
@@ -152,21 +155,21 @@
 		w.Run(0.5)
 		h.Start()
 		other := w.Servers[(seed+1)%3]
-		other.PowerOff() // and one of those that it would ask is dark
+		other.PowerOff() // one of the servers needed for the recovery has no power
 		w.Run(2.5)
 		if h.Voting() {
-			t.Errorf("seed %d: it votes though it cannot know what it promised", seed)
+			t.Errorf("seed %d: the server votes though its promises are lost", seed)
 		}
 		other.Start()
 		w.Run(2)
 		if !h.Voting() {
-			t.Errorf("seed %d: it does not vote though all are there again", seed)
+			t.Errorf("seed %d: the server does not vote though all servers are up again", seed)
 		}
 		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0.3)
 	}
 }
 
-// A host that says it leaves gets nothing later than the rule allows, and nobody loses a request by it.
+// A draining host gets no requests after the time that the rule DRAIN allows, and no request is lost.
 func TestDrainUnderTraffic(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
@@ -181,8 +184,8 @@
 	}
 }
 
-// Proxies are ended and started in turn, as for a new version, while clients go on: nothing is lost, and until shortly before its
-// end a proxy's host is of use to the others.
+// A rolling restart of the proxies under traffic, as for a new version, loses no request. The host of a proxy that shuts down
+// goes on serving requests of others until shortly before the end.
 func TestProxiesEndInTurn(t *testing.T) {
 	t.Parallel()
 	w := newCluster(t, 8, 3)
@@ -195,7 +198,7 @@
 			runs := w.Checker.RunsAt(s)
 			w.After(1.5, func() {
 				if w.Checker.RunsAt(s) < runs+3 {
-					t.Errorf("%s got %d requests in the 1.5 s after its SIGTERM", s.addr, w.Checker.RunsAt(s)-runs)
+					t.Errorf("%s got only %d requests in the 1.5 s after SIGTERM", s.addr, w.Checker.RunsAt(s)-runs)
 				}
 			})
 		})
@@ -204,7 +207,7 @@
 	checkOutcome(t, w, "ended in turn", 0.95)
 }
 
-// A proxy that hears no news goes on sending to a host that leaves. The proxy beside that host lets nothing through.
+// A proxy that is cut off from all updates keeps sending requests to a host that drains. The receiving proxy rejects them.
 func TestGateHoldsAgainstOldNews(t *testing.T) {
 	t.Parallel()
 	w := newCluster(t, 5, 3)
@@ -225,11 +228,11 @@
 	w.Run(6)
 	checkOutcome(t, w, "old news", 0)
 	if w.Checker.Statuses[503] < 80 {
-		t.Errorf("answers %v: it was to be turned away", w.Checker.Statuses)
+		t.Errorf("statuses %v: want at least 80 rejections", w.Checker.Statuses)
 	}
 }
 
-// A proxy cut off from the control plane learns of what is new from those that it watches.
+// A proxy that is cut off from the control servers receives configurations from the other proxies that it monitors.
 func TestCutOffProxyHearsFromNeighbours(t *testing.T) {
 	t.Parallel()
 	w := newCluster(t, 3, 3)
@@ -243,13 +246,13 @@
 	checkOutcome(t, w, "cut off", 0)
 }
 
-// Days of troubles by lot: processes killed, power lost, disks lost within what is to be borne, machines and control processes
-// cut off, both ways or one, hosts that drain, crash and lose answers, configurations from two operators. No rule may break, and
-// afterwards all is served again.
+// Random faults under traffic: killed processes, power failures, lost disks within the tolerance, partitions in one or both
+// directions, hosts that drain, crash and lose responses, and configurations of two operators. No rule is violated, and
+// afterwards all requests are served again.
 func TestDaysOfTroubles(t *testing.T) {
 	t.Parallel()
 	runs := 12
-	if n, err := strconv.Atoi(os.Getenv("SIMULATION_DAYS")); err == nil { // more, by hand
+	if n, err := strconv.Atoi(os.Getenv("SIMULATION_DAYS")); err == nil { // more seeds
 		runs = n
 	}
 	for seed := range uint64(runs) {
@@ -259,7 +262,7 @@
 		}
 		startTraffic(w, 14)
 		version := uint64(1)
-		lostUntil := 0.0 // until then a control process is counted as lost: only one is at a time
+		lostUntil := 0.0 // until then a control server counts as lost; only one may be lost at a time
 		for at := 0.5; at < 9; at += 0.3 + 0.7*w.Rand.Float64() {
 			w.After(at, func() { injectFault(w, &version, &lostUntil) })
 		}
@@ -278,18 +281,20 @@
 		}
 		w.Run(4)
 		if got := w.Checker.Served - served; got < 36 {
-			t.Errorf("seed %d: %d of 40 operations served once all is over; answers %v", seed, got, w.Checker.Statuses)
+			t.Errorf("seed %d: %d of 40 operations served after the faults; statuses %v", seed, got, w.Checker.Statuses)
 		}
 		var read uint64
 		w.ReadConfig(0, func(v uint64) { read = v })
 		w.Run(2)
 		if read < w.Checker.NewestAcked {
-			t.Errorf("seed %d: read back %d, acknowledged %d", seed, read, w.Checker.NewestAcked)
+			t.Errorf("seed %d: read version %d, but %d was acknowledged", seed, read, w.Checker.NewestAcked)
 		}
 		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0.3)
 	}
 }
 
+// injectFault injects a random fault, or sends a configuration. lostUntil keeps the loss of control servers within the
+// tolerance.
 func injectFault(w *World, version *uint64, lostUntil *float64) {
 	h := w.Servers[w.Rand.IntN(len(w.Servers))]
 	s := w.Proxies[w.Rand.IntN(len(w.Proxies))]
@@ -308,7 +313,7 @@
 		*lostUntil = w.Now + downSeconds + 4
 		h.Kill()
 		w.After(downSeconds, h.Start)
-	case k == 2: // all at once, and their disks are kept
+	case k == 2: // all at once; the disks are kept
 		*lostUntil = w.Now + 5
 		for _, h := range w.Servers {
 			h.Kill()
@@ -342,7 +347,7 @@
 	case k == 8 && s.instance != nil:
 		s.CrashHost()
 		w.After(downSeconds, s.StartHost)
-	case k == 10: // full links: what is given up arrives later
+	case k == 10: // congested links: messages of abandoned requests arrive late
 		for _, o := range w.Proxies {
 			if w.Rand.IntN(3) == 0 {
 				w.AddLatency(s.addr, o.addr, 0.3+1.2*w.Rand.Float64())
@@ -360,8 +365,8 @@
 	}
 }
 
-// After a loss of power on all machines one control process stays dark, within what is to be borne. No proxy waits for it: those that
-// asked it first have the configuration as soon as the others.
+// After a power failure of all machines one control server stays off, which is within the tolerance. Proxies that contact
+// this server first must not wait for it: they have the configuration as soon as the others.
 func TestStartBesideAServerWithoutPower(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
@@ -389,8 +394,8 @@
 	}
 }
 
-// Answers differ as requests do, and that sends nobody out of the zone: gates know what there is room for. Bytes between zones are
-// what it would cost.
+// Differences in response times alone must not send requests to another zone, as traffic between zones costs money. The
+// receiving proxies know the free capacity of their hosts.
 func TestNearHostsStayNear(t *testing.T) {
 	t.Parallel()
 	w := newCluster(t, 4, 3)
@@ -400,12 +405,13 @@
 	w.Run(62)
 	checkOutcome(t, w, "near", 0.98)
 	if share := float64(w.Checker.CrossZone) / float64(w.Checker.SameZone+w.Checker.CrossZone); share > 0.2 {
-		t.Errorf("%.2f of all reads left their zone", share)
+		t.Errorf("%.2f of all reads ran in another zone, want at most 0.2", share)
 	}
 }
 
-// What an operation costs the control plane is its majority and nothing else: with three control processes one copy and its answer for
-// the claim and for the end of the run, with nine four. What they say to each other at rest does not depend on the operations.
+// An operation costs the control plane messages to a majority only: for the claim and for the end of the run each, one copy
+// and its response with three control servers, and four with nine. The background traffic does not depend on the number of
+// operations.
 func TestOperationsCostTheMajority(t *testing.T) {
 	t.Parallel()
 	for _, servers := range []int{3, 5, 7, 9} {
@@ -423,17 +429,17 @@
 		loadMessages, _ := measure()
 		others := servers / 2
 		if perOperation := float64(loadMessages-idleMessages) / n; perOperation > float64(4*others)*1.15+0.5 {
-			t.Errorf("%d control processes: %.1f words an operation, %d are needed", servers, perOperation, 4*others)
+			t.Errorf("%d control servers: %.1f messages per operation, %d are needed", servers, perOperation, 4*others)
 		}
 		if maxIdleBytes := 5 * 1024 * servers * servers; idleBytes > maxIdleBytes {
-			t.Errorf("%d control processes: %d bytes in 5 s at rest, at most %d", servers, idleBytes, maxIdleBytes)
+			t.Errorf("%d control servers: %d bytes in 5 s without operations, want at most %d", servers, idleBytes, maxIdleBytes)
 		}
 		checkOutcome(t, w, fmt.Sprintf("%d servers", servers), 0.95)
 	}
 }
 
-// Hosts that run requests and lose the answers make every read worth sending again. All proxies together stay inside the budget of further
-// tries, though none asks another.
+// Hosts run requests but lose most responses, so every read is worth a retry. All proxies together stay within the retry
+// budget, without coordination between them.
 func TestLostAnswersStayInTheBudget(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -447,13 +453,14 @@
 		w.Run(22)
 		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0)
 		if n := len(w.Checker.retryTimes["shop"]); n < 100 {
-			t.Errorf("seed %d: %d further tries in 20 s: the budget is hardly used", seed, n)
+			t.Errorf("seed %d: %d retries in 20 s, too few to test the budget", seed, n)
 		}
 	}
 }
 
-// A control process that lost its disk and cannot recover yet hears the others, and knows nothing of what was acknowledged meanwhile. Proxies
-// that ask it go on to another: they act by the newest as soon as all.
+// A control server that lost its disk and cannot recover yet is in contact with others, but does not know the newest
+// acknowledged configuration. Proxies that ask it must go on to another server, and use the newest configuration as soon as
+// all others.
 func TestNobodyWaitsForAServerThatRecovers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -462,12 +469,12 @@
 		h.PowerOff()
 		h.Wipe()
 		w.Run(0.5)
-		for i := range 2 { // with two others silent to it, it can read back too little
+		for i := range 2 { // without these two it cannot recover
 			w.Isolate(h.addr, w.Servers[3+i].addr)
 		}
 		h.Start()
 		w.Run(1)
-		for _, s := range w.Proxies { // some ask it first
+		for _, s := range w.Proxies { // some contact the recovering server first
 			s.Kill()
 			s.Start()
 		}
@@ -475,7 +482,8 @@
 		w.Configure(int(seed)+3, 7, nil)
 		w.Run(2)
 		if h.Voting() || w.Checker.NewestAcked != 7 {
-			t.Fatalf("seed %d: voting %v, acknowledged %d: this is not the case that it is for", seed, h.Voting(), w.Checker.NewestAcked)
+			t.Fatalf("seed %d: voting %v, acknowledged %d: the setup of the test failed, want false and 7", seed,
+				h.Voting(), w.Checker.NewestAcked)
 		}
 		w.Checker.CheckConfigInForce(w.Proxies...)
 		checkOutcome(t, w, fmt.Sprintf("seed %d", seed), 0)
