--- a/internal/mesh/simulation/actors.go
+++ b/internal/mesh/simulation/actors.go
@@ -15,6 +15,7 @@
 	"beechwing/internal/mesh/sidecar"
 )
 
+// heartbeatSeconds is the interval between heartbeats of a host to its proxy.
 const heartbeatSeconds = 1.5
 
 // hostInstance is one run of a host process.
@@ -32,42 +33,43 @@
 // StartHost starts a new instance of the host.
 func (s *Proxy) StartHost() {
 	s.instanceCount++
-	st := &hostInstance{id: fmt.Sprintf("i-%s-%d", s.addr, s.instanceCount)}
-	s.instance = st
+	instance := &hostInstance{id: fmt.Sprintf("i-%s-%d", s.addr, s.instanceCount)}
+	s.instance = instance
 	var heartbeatLoop func()
 	heartbeatLoop = func() {
-		if s.instance != st || st.ended {
+		if s.instance != instance || instance.ended {
 			return
 		}
-		s.sendHeartbeat(st)
+		s.sendHeartbeat(instance)
 		s.w.After(heartbeatSeconds, heartbeatLoop)
 	}
 	s.w.After(0.05+0.1*s.w.Rand.Float64(), heartbeatLoop)
 }
 
-func (s *Proxy) sendHeartbeat(st *hostInstance) {
-	st.sequence++
+func (s *Proxy) sendHeartbeat(instance *hostInstance) {
+	instance.sequence++
 	if !s.up {
 		return
 	}
-	heartbeat := sidecar.Heartbeat{ID: st.id, Service: s.host.Service, Zone: s.host.Zone, Slots: 4, Draining: st.draining,
-		Sequence: st.sequence}
+	heartbeat := sidecar.Heartbeat{ID: instance.id, Service: s.host.Service, Zone: s.host.Zone, Slots: 4,
+		Draining: instance.draining,
+		Sequence: instance.sequence}
 	s.input(func() {
 		s.sidecar.Heartbeat(s.w.Now, heartbeat)
-		if st.draining && heartbeat.Draining && st.drainAckedAt == 0 {
-			st.drainAckedAt = s.w.Now
+		if instance.draining && heartbeat.Draining && instance.drainAckedAt == 0 {
+			instance.drainAckedAt = s.w.Now
 		}
 	})
 }
 
 // Drain makes the host announce that it drains, and end 3 s later.
 func (s *Proxy) Drain() {
-	st := s.instance
-	st.draining = true
-	s.sendHeartbeat(st)
+	instance := s.instance
+	instance.draining = true
+	s.sendHeartbeat(instance)
 	s.w.After(3, func() {
-		st.ended = true
-		s.input(func() { s.sidecar.HostSignedOff(s.w.Now, st.id) })
+		instance.ended = true
+		s.input(func() { s.sidecar.HostSignedOff(s.w.Now, instance.id) })
 	})
 }
 
@@ -75,7 +77,7 @@
 func (s *Proxy) CrashHost() { s.instance.ended = true }
 
 // LoseAnswers makes the host lose a share of its responses after the requests ran.
-func (s *Proxy) LoseAnswers(share float64) { s.instance.lostShare = share }
+func (s *Proxy) LoseResponses(share float64) { s.instance.lostShare = share }
 
 // hostRequest is a request that is running at a host.
 type hostRequest struct{ aborted bool }
@@ -93,11 +95,11 @@
 	forward := proto.Clone(do.Forward).(*meshpb.Forward)
 	running := &hostRequest{}
 	s.running[do.Job] = running
-	respond := func(after float64, answer *meshpb.Forwarded) {
+	respond := func(after float64, response *meshpb.Forwarded) {
 		s.w.After(after, func() {
 			if s.up && s.starts == incarnation {
 				delete(s.running, do.Job)
-				s.input(func() { s.sidecar.ExchangeDone(s.w.Now, do.Job, answer) })
+				s.input(func() { s.sidecar.ExchangeDone(s.w.Now, do.Job, response) })
 			}
 		})
 	}
@@ -132,11 +134,11 @@
 
 // probe reports the ID of the running host instance to the proxy.
 func (s *Proxy) probe() {
-	if st := s.instance; st != nil && !st.ended {
+	if instance := s.instance; instance != nil && !instance.ended {
 		incarnation := s.starts
 		s.w.After(0.002, func() {
 			if s.up && s.starts == incarnation {
-				s.input(func() { s.sidecar.ProbeDone(s.w.Now, st.id, !st.draining) })
+				s.input(func() { s.sidecar.ProbeDone(s.w.Now, instance.id, !instance.draining) })
 			}
 		})
 	}
@@ -292,15 +294,15 @@
 	})
 }
 
-// SendConfig sends a configuration to one control server, once. answer is called with the result unless the process ends
+// SendConfig sends a configuration to one control server, once. onResult is called with the result unless the process ends
 // before.
-func (w *World) SendConfig(to *ControlServer, version uint64, text []byte, answer func(control.OrderResult)) {
+func (w *World) SendConfig(to *ControlServer, version uint64, text []byte, onResult func(control.OrderResult)) {
 	w.Checker.configSent(version)
 	incarnation := to.starts
 	to.input(func() {
 		to.server.Order(w.Now, version, text, func(result control.OrderResult) {
-			if to.up && to.starts == incarnation && answer != nil {
-				answer(result)
+			if to.up && to.starts == incarnation && onResult != nil {
+				onResult(result)
 			}
 		})
 	})
--- a/internal/mesh/simulation/checker.go
+++ b/internal/mesh/simulation/checker.go
@@ -59,10 +59,9 @@
 func newChecker(w *World) *Checker {
 	return &Checker{w: w, runsByKey: map[string][]run{}, runsByRequest: map[string][]run{}, requests: map[string]clientRequest{},
 		promisedNotRun: map[string]bool{}, runsByPostmark: map[string]run{}, sentVersions: map[uint64]bool{},
-		ackedAt:    map[uint64]float64{},
-		configSeen: map[string]uint64{}, runCounts: map[*Proxy]int{}, Statuses: map[int]int{},
-		requestTimes: map[string][]float64{},
-		retryTimes:   map[string][]float64{}, disconnectedAt: map[string]float64{}, firstSuccess: map[string]success{}}
+		ackedAt: map[uint64]float64{}, configSeen: map[string]uint64{}, runCounts: map[*Proxy]int{}, Statuses: map[int]int{},
+		requestTimes: map[string][]float64{}, retryTimes: map[string][]float64{}, disconnectedAt: map[string]float64{},
+		firstSuccess: map[string]success{}}
 }
 
 // fail records a violation of a rule.
--- a/internal/mesh/simulation/client_disconnect_test.go
+++ b/internal/mesh/simulation/client_disconnect_test.go
@@ -30,7 +30,7 @@
 	for seed := range uint64(8) {
 		w := newSlowCluster(t, seed, 0.55)
 		for _, s := range w.Proxies[:2] {
-			s.LoseAnswers(0.5)
+			s.LoseResponses(0.5)
 		}
 		for i := range 60 {
 			w.After(0.1*float64(i), func() { w.RequestAndDisconnect(w.Proxies[i%4], "/read/x", "", 0.02+0.01*float64(i%7)) })
@@ -89,7 +89,7 @@
 		w := newCluster(t, seed, 3)
 		w.IgnoreDisconnects = true
 		for _, s := range w.Proxies {
-			s.LoseAnswers(0.3)
+			s.LoseResponses(0.3)
 			s.instance.extraSeconds = 0.7
 		}
 		startTraffic(w, 6)
--- a/internal/mesh/simulation/config_faults_test.go
+++ b/internal/mesh/simulation/config_faults_test.go
@@ -22,7 +22,7 @@
 	restartSeconds      = 1.0  // time within which all machines are started again
 	configFaultRuns     = 6    // seeds for each fault
 	settleSeconds       = 3.0  // time for the cluster to settle before the fault
-	closingHosts        = 3    // number of hosts with their proxies
+	configFaultHosts    = 3    // number of hosts with their proxies
 	resendSeconds       = 0.25 // time after which an unacknowledged configuration is sent again
 )
 
@@ -43,7 +43,7 @@
 		powerOffAll(w)
 		lost.Wipe()
 	},
-	"a disk is lost and all that count lose power": func(w *World, random *rand.Rand) {
+	"a disk is lost and all control servers lose power": func(w *World, random *rand.Rand) {
 		lost := w.Servers[random.IntN(len(w.Servers))]
 		for _, h := range w.Servers {
 			h.PowerOff()
@@ -89,8 +89,8 @@
 	acked          uint64              // newest acknowledged version
 	text           []byte              // of the newest acknowledged version
 	answers        int
-	newestAnswered uint64 // newest version that was read
-	firstAt        float64
+	newestAnswered uint64  // newest version that was read
+	firstAt        float64 // time of the first answer
 }
 
 func (r *reader) fail(format string, args ...any) {
@@ -98,7 +98,7 @@
 }
 
 // sendUntilAcked sends a configuration to random servers until it is acknowledged.
-func (r *reader) sendUntilAcked(version uint64, text []byte, random *rand.Rand, acked func()) {
+func (r *reader) sendUntilAcked(version uint64, text []byte, random *rand.Rand, onAck func()) {
 	r.sent[version] = append(r.sent[version], text)
 	done := false
 	var resend func()
@@ -109,7 +109,7 @@
 		r.send(version, text, random, func() {
 			if !done {
 				done = true
-				acked()
+				onAck()
 			}
 		})
 		r.w.After(resendSeconds, resend)
@@ -118,7 +118,7 @@
 }
 
 // send sends a configuration to a random server, once.
-func (r *reader) send(version uint64, text []byte, random *rand.Rand, acked func()) {
+func (r *reader) send(version uint64, text []byte, random *rand.Rand, onAck func()) {
 	r.w.SendConfig(r.w.Servers[random.IntN(len(r.w.Servers))], version, text, func(result control.OrderResult) {
 		if result != control.OrderTaken {
 			return
@@ -129,7 +129,7 @@
 		case version == r.acked && !bytes.Equal(text, r.text):
 			r.fail("two texts are acknowledged under version %d", version)
 		}
-		acked()
+		onAck()
 	})
 }
 
@@ -240,7 +240,7 @@
 func runConfigFault(seed uint64, fault func(*World, *rand.Rand)) []string {
 	random := rand.New(rand.NewPCG(seed, 23))
 	var hosts []Host
-	for i := range closingHosts {
+	for i := range configFaultHosts {
 		hosts = append(hosts, Host{[]string{"shop", "till"}[i%2], []string{"a", "b"}[i%2]})
 	}
 	w := New(seed, 3+2*int(seed%2), hosts...)
@@ -254,7 +254,7 @@
 		w.Run(0.3)
 	}
 	injected := false
-	injectFault := func() {
+	inject := func() {
 		if injected {
 			return
 		}
@@ -265,15 +265,15 @@
 	}
 	switch seed % 3 {
 	case 0:
-		r.sendUntilAcked(last, Config(last), random, injectFault)
+		r.sendUntilAcked(last, Config(last), random, inject)
 	case 1:
 		r.sendUntilAcked(last, Config(last), random, func() {})
-		w.After(0.02*random.Float64(), injectFault)
+		w.After(0.02*random.Float64(), inject)
 	default:
 		for variant := range 2 {
 			text := ConfigVariant(last, 1-variant)
 			r.sent[last] = append(r.sent[last], text)
-			r.send(last, text, random, injectFault)
+			r.send(last, text, random, inject)
 		}
 	}
 	began := w.Now
--- a/internal/mesh/simulation/control_faults_test.go
+++ b/internal/mesh/simulation/control_faults_test.go
@@ -20,16 +20,16 @@
 // startConflictingConfigs lets operators send three texts under each version to random servers, and again, once a text was
 // confirmed. A version older than the one in force is reported as taken whatever its text is, so the next version is sent
 // only after all attempts for the one before have ended.
-func startConflictingConfigs(w *World, x *confirmedConfigs, seconds float64) {
+func startConflictingConfigs(w *World, configs *confirmedConfigs, seconds float64) {
 	const every, within = 1.3, 0.3
 	for i := range int(seconds / every) {
 		version, at := uint64(10+i), every*float64(i)
 		for variant := range 3 {
 			text := ConfigVariant(version, variant+1)
-			w.After(at+within*w.Rand.Float64(), func() { x.send(w, w.Servers[w.Rand.IntN(len(w.Servers))], version, text) })
+			w.After(at+within*w.Rand.Float64(), func() { configs.send(w, w.Servers[w.Rand.IntN(len(w.Servers))], version, text) })
 			w.After(at+every+4*w.Rand.Float64(), func() {
-				if x.confirmed[version] != nil {
-					x.send(w, w.Servers[w.Rand.IntN(len(w.Servers))], version, text)
+				if configs.confirmed[version] != nil {
+					configs.send(w, w.Servers[w.Rand.IntN(len(w.Servers))], version, text)
 				}
 			})
 		}
@@ -80,10 +80,10 @@
 	for seed := range uint64(runs) {
 		n := 3 + int(seed%3)
 		w := newCluster(t, seed, n)
-		x := newConfirmedConfigs(t, fmt.Sprintf("day %d", seed))
+		configs := newConfirmedConfigs(t, fmt.Sprintf("day %d", seed))
 		enableControlFaults(w)
 		startTraffic(w, faults*intervalSeconds)
-		startConflictingConfigs(w, x, faults*intervalSeconds)
+		startConflictingConfigs(w, configs, faults*intervalSeconds)
 		for i := range faults {
 			w.After(intervalSeconds*float64(i)+1+w.Rand.Float64(), func() { injectControlFault(w) })
 		}
@@ -91,14 +91,14 @@
 		w.HealNetwork()
 		w.Faults = Faults{counts: w.Faults.counts}
 		w.Run(catchUpSeconds + 2)
-		x.check(w)
+		configs.check(w)
 		w.Checker.CheckConfigInForce(w.Proxies...)
 		if got := len(w.Members()); got != n {
-			t.Errorf("%s: %d members of %d", x.name, got, n)
+			t.Errorf("%s: %d members of %d", configs.name, got, n)
 		}
-		checkSurvivesLoss(t, w, x.name)
-		checkOutcome(t, w, x.name, 0.3)
-		confirmed += len(x.confirmed)
+		checkSurvivesLoss(t, w, configs.name)
+		checkOutcome(t, w, configs.name, 0.3)
+		confirmed += len(configs.confirmed)
 		for _, name := range []string{"duplicate", "delay", "corrupt", "drop"} {
 			counts[name] += w.Faults.Count(name)
 		}
--- a/internal/mesh/simulation/control_test.go
+++ b/internal/mesh/simulation/control_test.go
@@ -41,7 +41,7 @@
 		w := newCluster(t, seed, 3+int(seed%3))
 		isolated, direction := w.Servers[seed%3], partitionDirections[seed/3%3]
 		name := fmt.Sprintf("seed %d, %s", seed, direction)
-		cutAt := w.Now
+		partitionedAt := w.Now
 		partition(w, isolated, direction)
 		slowest, confirmed := 0.0, 0
 		for i := range 190 {
@@ -51,7 +51,7 @@
 					if result == control.OrderTaken {
 						confirmed++
 					}
-					if sentAt > cutAt+1 {
+					if sentAt > partitionedAt+1 {
 						slowest = max(slowest, w.Now-sentAt)
 					} else if w.Now > sentAt+1 {
 						t.Errorf("%s: a configuration sent at the time of the partition got its result after %.2f s",
@@ -176,14 +176,14 @@
 	conflicts := 0
 	for seed := range uint64(60) {
 		w := newCluster(t, seed, 3+int(seed%3))
-		x := newConfirmedConfigs(t, fmt.Sprintf("seed %d", seed))
+		configs := newConfirmedConfigs(t, fmt.Sprintf("seed %d", seed))
 		a, b, c := w.Servers[seed%3], w.Servers[(seed+1)%3], w.Servers[(seed+2)%3]
 		for i := range 6 {
 			version := uint64(10 + i)
 			w.After(0.7*float64(i), func() {
-				x.send(w, a, version, ConfigVariant(version, 1))
-				w.After(0.01*w.Rand.Float64(), func() { x.send(w, b, version, ConfigVariant(version, 2)) })
-				w.After(0.6*w.Rand.Float64(), func() { x.send(w, c, version, ConfigVariant(version, 3)) })
+				configs.send(w, a, version, ConfigVariant(version, 1))
+				w.After(0.01*w.Rand.Float64(), func() { configs.send(w, b, version, ConfigVariant(version, 2)) })
+				w.After(0.6*w.Rand.Float64(), func() { configs.send(w, c, version, ConfigVariant(version, 3)) })
 			})
 		}
 		if seed%2 == 0 {
@@ -192,19 +192,19 @@
 		w.Run(8)
 		w.HealNetwork()
 		w.Run(2)
-		x.check(w)
+		configs.check(w)
 		w.Checker.CheckConfigInForce(w.Proxies...)
 		for _, h := range w.Servers { // each server has the same result when the texts are sent again
-			for version := range x.confirmed {
+			for version := range configs.confirmed {
 				for variant := range 3 {
-					x.send(w, h, version, ConfigVariant(version, variant+1))
+					configs.send(w, h, version, ConfigVariant(version, variant+1))
 				}
 			}
 		}
 		w.Run(1)
-		x.check(w)
-		conflicts += x.conflicts
-		checkOutcome(t, w, x.name, 0)
+		configs.check(w)
+		conflicts += configs.conflicts
+		checkOutcome(t, w, configs.name, 0)
 	}
 	if conflicts < 600 {
 		t.Errorf("%d conflicts, want at least 600 for a meaningful test", conflicts)
@@ -217,17 +217,17 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		w := newCluster(t, seed, 3)
-		x := newConfirmedConfigs(t, fmt.Sprintf("seed %d", seed))
+		configs := newConfirmedConfigs(t, fmt.Sprintf("seed %d", seed))
 		first := uint64(5)
-		x.send(w, w.Servers[0], first, Config(first))
+		configs.send(w, w.Servers[0], first, Config(first))
 		w.Run(0.2)
-		if x.confirmed[first] == nil {
+		if configs.confirmed[first] == nil {
 			t.Fatalf("seed %d: not confirmed", seed)
 		}
 		const changes = 320
 		for i := range changes {
 			version := uint64(100 + i)
-			w.After(0.25*float64(i/8), func() { x.send(w, w.Servers[w.Rand.IntN(3)], version, Config(version)) })
+			w.After(0.25*float64(i/8), func() { configs.send(w, w.Servers[w.Rand.IntN(3)], version, Config(version)) })
 		}
 		w.After(4, w.Servers[0].PowerOff)
 		w.After(5, w.Servers[0].Start)
@@ -238,26 +238,26 @@
 		w.Replace(w.Servers[2])
 		w.Run(catchUpSeconds)
 		if n := len(w.Members()); n != 3 {
-			t.Errorf("%s: %d members", x.name, n)
+			t.Errorf("%s: %d members", configs.name, n)
 		}
 		for _, h := range w.Members() {
 			answered := false
 			w.SendConfig(h, first, Config(first), func(result control.OrderResult) {
 				answered = true
 				if result != control.OrderTaken {
-					t.Errorf("%s: %s returns %v for a configuration that was confirmed before", x.name, h.addr, result)
+					t.Errorf("%s: %s returns %v for a configuration that was confirmed before", configs.name, h.addr, result)
 				}
 			})
 			w.Run(0.1)
 			if !answered {
-				t.Errorf("%s: %s returns no result", x.name, h.addr)
+				t.Errorf("%s: %s returns no result", configs.name, h.addr)
 			}
 		}
 		w.Checker.CheckConfigInForce(w.Proxies...)
-		if len(x.confirmed) < changes*9/10 {
-			t.Errorf("%s: %d of %d changes confirmed", x.name, len(x.confirmed), changes)
+		if len(configs.confirmed) < changes*9/10 {
+			t.Errorf("%s: %d of %d changes confirmed", configs.name, len(configs.confirmed), changes)
 		}
-		checkOutcome(t, w, x.name, 0)
+		checkOutcome(t, w, configs.name, 0)
 	}
 }
 
@@ -395,7 +395,8 @@
 
 // A replacement is disturbed: the new server is lost or loses its disk while it joins, two new servers join at once, all
 // servers lose power or are killed, or the replaced member comes back. In the end there are as many members as before, and
-// they tolerate a loss.
+// they tolerate a loss. The names of the faults are parts of the idempotency keys; in them, newcomer is the new server and core
+// all control servers.
 func TestReplacementGoesWrong(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
@@ -410,21 +411,21 @@
 		}
 		w.Run(0.5)
 		old := w.Servers[w.Rand.IntN(n)]
-		back := fault == "old one back"
-		if back {
+		memberReturns := fault == "old one back"
+		if memberReturns {
 			partition(w, old, "both")
 		} else {
 			w.Remove(old)
 		}
 		w.Run(1)
-		newcomer := w.AddServer()
+		added := w.AddServer()
 		joinSeconds := 2 * w.Rand.Float64()
 		w.Run(joinSeconds)
 		switch fault {
 		case "newcomer lost":
-			w.Replace(newcomer)
+			w.Replace(added)
 		case "newcomer wiped":
-			w.LoseDisk(newcomer, 0.3)
+			w.LoseDisk(added, 0.3)
 		case "two at once":
 			w.AddServer()
 		case "power", "core killed":
--- a/internal/mesh/simulation/ejection_test.go
+++ b/internal/mesh/simulation/ejection_test.go
@@ -13,9 +13,8 @@
 // that eject hosts for operations by agreement only.
 func newEjectionCluster(t *testing.T, seed uint64) *World {
 	t.Helper()
-	w := New(seed, 3, Host{"till", "a"}, Host{"till", "b"}, Host{"till", "a"}, Host{"till", "b"}, Host{"shop", "a"},
-		Host{"shop", "b"},
-		Host{"shop", "a"}, Host{"shop", "b"})
+	w := New(seed, 3, Host{"till", "a"}, Host{"till", "b"}, Host{"till", "a"}, Host{"till", "b"},
+		Host{"shop", "a"}, Host{"shop", "b"}, Host{"shop", "a"}, Host{"shop", "b"})
 	w.Configure(int(seed), 1, nil)
 	w.Run(4)
 	enableAgreedEjection(w)
@@ -51,7 +50,7 @@
 		startOperations(w, 14)
 		w.Run(2)
 		failing := w.Proxies[1]
-		failing.LoseAnswers(0.9)
+		failing.LoseResponses(0.9)
 		waitedSeconds := 0.0
 		for ; waitedSeconds < 4 && countEjecting(w, failing.instance.id) < len(w.Proxies); waitedSeconds += 0.05 {
 			w.Run(0.05)
@@ -65,7 +64,7 @@
 		if n := w.Checker.RunsAt(failing) - runs; n > 2 { // two may have been in flight
 			t.Errorf("seed %d: %d operations reached the host in the second after its ejection", seed, n)
 		}
-		failing.LoseAnswers(0)
+		failing.LoseResponses(0)
 		w.Run(7)
 		if countEjecting(w, failing.instance.id) > 0 {
 			t.Errorf("seed %d: the host is still ejected 7 s after its recovery", seed)
@@ -127,7 +126,7 @@
 	t.Parallel()
 	w := newEjectionCluster(t, 2)
 	startOperations(w, 30)
-	order := func(h int, s *Proxy, out, force bool) (err error) {
+	eject := func(h int, s *Proxy, out, force bool) (err error) {
 		err = errors.New("no answer")
 		w.Servers[h].input(func() {
 			w.Servers[h].server.OrderEjection(w.Now, s.instance.id, out, force, "ann", "test", func(e error) { err = e })
@@ -137,11 +136,11 @@
 	}
 	first, second, third := w.Proxies[0], w.Proxies[1], w.Proxies[2]
 	for h, s := range []*Proxy{first, second} {
-		if err := order(h, s, true, false); err != nil {
+		if err := eject(h, s, true, false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := order(2, third, true, false); !errors.Is(err, ejection.ErrForceRequired) {
+	if err := eject(2, third, true, false); !errors.Is(err, ejection.ErrForceRequired) {
 		t.Errorf("ejection that leaves one of four hosts: %v, want ErrForceRequired", err)
 	}
 	wantNoRequests := func(what string) {
@@ -168,7 +167,7 @@
 	w.Run(2)
 	wantNoRequests("after restarts")
 	for h, s := range []*Proxy{first, second} {
-		if err := order(h, s, false, false); err != nil {
+		if err := eject(h, s, false, false); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/mesh/simulation/faults_test.go
+++ b/internal/mesh/simulation/faults_test.go
@@ -93,7 +93,7 @@
 		h.Freeze()
 		w.After(after, h.Thaw)
 	case k == 5 && s.instance != nil:
-		s.LoseAnswers(0.3 * w.Rand.Float64())
+		s.LoseResponses(0.3 * w.Rand.Float64())
 	case k == 6:
 		w.Reset(s.addr, h.addr)
 	default:
--- a/internal/mesh/simulation/forgotten_test.go
+++ b/internal/mesh/simulation/forgotten_test.go
@@ -72,22 +72,22 @@
 }
 
 // wantListed checks that all other proxies list a proxy.
-func wantListed(t *testing.T, name string, w *World, one *Proxy) {
+func wantListed(t *testing.T, name string, w *World, proxy *Proxy) {
 	t.Helper()
 	for _, s := range w.Proxies {
-		if s != one && !isListed(s, one) {
-			t.Errorf("%s: %s does not list %s", name, s.addr, one.addr)
+		if s != proxy && !isListed(s, proxy) {
+			t.Errorf("%s: %s does not list %s", name, s.addr, proxy.addr)
 		}
 	}
 }
 
 // isolate blocks the traffic between a proxy and all other machines.
-func isolate(w *World, one *Proxy) {
+func isolate(w *World, proxy *Proxy) {
 	for _, h := range w.Servers {
-		w.Isolate(one.addr, h.addr)
+		w.Isolate(proxy.addr, h.addr)
 	}
 	for _, s := range w.Proxies {
-		w.Isolate(one.addr, s.addr)
+		w.Isolate(proxy.addr, s.addr)
 	}
 }
 
@@ -175,25 +175,25 @@
 	for seed := range uint64(6) {
 		name := fmt.Sprintf("seed %d", seed)
 		w := newCluster(t, seed, 3)
-		one := w.Proxies[0]
+		proxy := w.Proxies[0]
 		if seed%2 == 0 {
-			isolate(w, one)
+			isolate(w, proxy)
 		} else {
-			one.PowerOff()
+			proxy.PowerOff()
 		}
 		w.Run(silentSeconds + forgetSeconds)
-		wantForgotten(t, name, w, w.Proxies[1:], one)
+		wantForgotten(t, name, w, w.Proxies[1:], proxy)
 		if seed%2 == 0 {
 			w.HealNetwork()
 		} else {
-			one.version = 0
-			one.Start()
-			one.StartHost()
+			proxy.version = 0
+			proxy.Start()
+			proxy.StartHost()
 		}
 		w.Run(relistSeconds)
-		wantListed(t, name, w, one)
+		wantListed(t, name, w, proxy)
 		w.Run(forgetSeconds)
-		wantListed(t, name+", later", w, one)
+		wantListed(t, name+", later", w, proxy)
 		checkOutcome(t, w, name, 0)
 	}
 }
--- a/internal/mesh/simulation/fuzz_test.go
+++ b/internal/mesh/simulation/fuzz_test.go
@@ -210,7 +210,8 @@
 		d := &messageGenerator{rng: rand.New(rand.NewPCG(seed, 5))}
 		p := sidecar.New(1, sidecar.Options{Self: "p:1", Zone: "a", Service: "shop", Seeds: []string{"a:1", "b:1", "c:1"},
 			HeartbeatInterval: heartbeatSeconds,
-			RetryRatio:        0.2, RetrySlack: 60, RecordVersion: 1, Seed: seed, MaxBodyBytes: 1 << 24, AgreedEjection: seed%2 == 0})
+			RetryRatio:        0.2, RetrySlack: 60, RecordVersion: 1, Seed: seed, MaxBodyBytes: 1 << 24,
+			AgreedEjection: seed%2 == 0})
 		now, life := 1.0, uint64(0)
 		take := func() {
 			out := p.TakeOutput()
--- a/internal/mesh/simulation/keys.go
+++ b/internal/mesh/simulation/keys.go
@@ -19,13 +19,14 @@
 // keyHolds is the set of key ranges that were granted to a host.
 type keyHolds struct{ list []keyHold }
 
-// keyHold is a granted range of keys with its fence. The keys are held until a time; 0: they are released.
+// keyHold is a range of keys that was granted to a host.
 type keyHold struct {
 	first, last int
 	fence       uint64
-	until       float64
+	until       float64 // time at which the hold ends; 0: the keys were released
 }
 
+// covers reports whether a key is in the range.
 func (h keyHold) covers(key int) bool { return h.first <= key && key <= h.last }
 
 // holdsKey reports whether the host holds a key.
--- a/internal/mesh/simulation/keys_test.go
+++ b/internal/mesh/simulation/keys_test.go
@@ -199,7 +199,7 @@
 	if n := w.Checker.RunsAt(isolated) - runs; n > 0 {
 		t.Errorf("the isolated host ran %d requests without a lease", n)
 	}
-	if got := w.Checker.Served - served; got < 150 { // the isolated proxy sends a part of the requests, and cannot know the new holders
+	if got := w.Checker.Served - served; got < 150 { // requests at the isolated proxy fail, as it does not know the new holders
 		t.Errorf("%d of 200 served by the other hosts; statuses %v", got, w.Checker.Statuses)
 	}
 	checkOutcome(t, w, "cut off", 0.5)
--- a/internal/mesh/simulation/overload_test.go
+++ b/internal/mesh/simulation/overload_test.go
@@ -63,7 +63,7 @@
 }
 
 const (
-	judgedSeconds = 6.0 // counted from serveSeconds after the start
+	judgedSeconds = 6.0 // period in which served operations are counted, from serveSeconds after the start
 	voteSeconds   = 6.0 // time after the start within which the server that lost its disk votes, as the deployment requires
 )
 
@@ -106,8 +106,8 @@
 	}
 }
 
-// The same with the largest number of registers, which a full deduplication window of load leaves. The costs of the start and
-// of catching up must grow at most linearly with the registers.
+// This is the power loss of the test above with the largest number of registers, which a full deduplication window of load
+// leaves. The costs of the start and of catching up must grow at most linearly with the registers.
 func TestPowerLossWithAllRegistersOfAWindow(t *testing.T) {
 	t.Parallel()
 	for seed := range seedsFromEnv(1) {
--- a/internal/mesh/simulation/servers.go
+++ b/internal/mesh/simulation/servers.go
@@ -19,6 +19,7 @@
 	writing []store.Put
 }
 
+// apply writes puts to the disk. An empty value deletes its name.
 func (d *disk) apply(puts []store.Put) {
 	for _, p := range puts {
 		if len(p.Value) == 0 {
--- a/internal/mesh/simulation/simulation_test.go
+++ b/internal/mesh/simulation/simulation_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// disconnectOneIn is the number of clients of which one disconnects early.
+// disconnectOneIn is the reciprocal of the share of clients that disconnect early.
 const disconnectOneIn = 12
 
 // checkOutcome fails the test for each violation, and if the share of requests served is below minServed.
@@ -85,6 +85,7 @@
 	}
 }
 
+// Without faults almost all requests are served.
 func TestCalmDay(t *testing.T) {
 	t.Parallel()
 	for _, servers := range []int{3, 4, 5} {
@@ -270,7 +271,7 @@
 		w.HealNetwork()
 		for _, s := range w.Proxies {
 			if s.instance != nil {
-				s.LoseAnswers(0)
+				s.LoseResponses(0)
 			}
 		}
 		w.Run(4)
@@ -355,7 +356,7 @@
 		}
 		w.After(1+downSeconds, w.ClearLatency)
 	case k == 9 && s.instance != nil:
-		s.LoseAnswers(0.2)
+		s.LoseResponses(0.2)
 	default:
 		*version += 1 + uint64(w.Rand.IntN(3))
 		w.Configure(w.Rand.IntN(9), *version, nil)
@@ -445,7 +446,7 @@
 	for seed := range uint64(4) {
 		w := newCluster(t, seed, 3)
 		for _, s := range w.Proxies {
-			s.LoseAnswers(0.9)
+			s.LoseResponses(0.9)
 		}
 		for i := range 4000 {
 			w.After(float64(i)*0.005, func() { w.Request(w.Proxies[w.Rand.IntN(len(w.Proxies))], "/read/x", "", 1) })
--- a/internal/mesh/simulation/world.go
+++ b/internal/mesh/simulation/world.go
@@ -26,10 +26,10 @@
 )
 
 const (
-	tickSeconds        = 0.02
-	syncSeconds        = 0.001
-	unreachableSeconds = 1.5 // time until the connection to an unreachable machine fails
-	dedupWindowSeconds = 60.0
+	tickSeconds        = 0.02  // interval between ticks of a process
+	syncSeconds        = 0.001 // duration of a disk sync
+	unreachableSeconds = 1.5   // time until the connection to an unreachable machine fails
+	dedupWindowSeconds = 60.0  // time for which idempotency keys prevent a second run
 )
 
 // trace receives the log events of the control servers. Set it to a printing function to debug a failed seed.
@@ -45,7 +45,7 @@
 	Proxies        []*Proxy
 
 	events       events
-	seq          uint64
+	seq          uint64                // of events, links and client requests
 	links        map[[2]string]*link   // by addresses of sender and receiver
 	blocked      map[[2]string]bool    // by addresses of sender and receiver
 	addedLatency map[[2]string]float64 // seconds, by addresses of sender and receiver
