--- a/internal/mesh/simulation/actors.go
+++ b/internal/mesh/simulation/actors.go
@@ -46,6 +46,7 @@
 	s.w.After(0.05+0.1*s.w.Rand.Float64(), heartbeatLoop)
 }
 
+// sendHeartbeat sends a heartbeat of a host instance to the proxy, if the proxy is running.
 func (s *Proxy) sendHeartbeat(instance *hostInstance) {
 	instance.sequence++
 	if !s.up {
@@ -144,6 +145,7 @@
 	}
 }
 
+// fieldValue returns the value of the first field with a name, or an empty string.
 func fieldValue(fields []*meshpb.Field, name string) string {
 	for _, f := range fields {
 		if f.Name == name {
--- a/internal/mesh/simulation/checker.go
+++ b/internal/mesh/simulation/checker.go
@@ -56,6 +56,7 @@
 	at              float64
 }
 
+// newChecker returns a Checker that has observed nothing.
 func newChecker(w *World) *Checker {
 	return &Checker{w: w, runsByKey: map[string][]run{}, runsByRequest: map[string][]run{}, requests: map[string]clientRequest{},
 		promisedNotRun: map[string]bool{}, runsByPostmark: map[string]run{}, sentVersions: map[uint64]bool{},
@@ -136,12 +137,12 @@
 
 // disconnectedLongAgo reports whether the client of a request disconnected more than disconnectGraceSeconds ago.
 func (c *Checker) disconnectedLongAgo(id string) bool {
-	at, left := c.disconnectedAt[id]
-	return left && c.w.Now > at+disconnectGraceSeconds
+	at, disconnected := c.disconnectedAt[id]
+	return disconnected && c.w.Now > at+disconnectGraceSeconds
 }
 
-// runFinished checks that a run which a host completes was not to be aborted: a repeatable request is aborted when its client
-// disconnects.
+// runFinished checks, when a host completes a run, that the run should not have been aborted: a repeatable request is aborted
+// when its client disconnects.
 func (c *Checker) runFinished(s *Proxy, id string, forward *meshpb.Forward) {
 	if forward.Repeatable && c.disconnectedLongAgo(id) && c.w.undisturbed(s.addr, c.requests[id].proxy) {
 		c.fail("GONE", "a host completed %s, whose client disconnected at %.3f", id, c.disconnectedAt[id])
@@ -243,8 +244,10 @@
 	}
 }
 
+// configSent records that an operator sends a configuration.
 func (c *Checker) configSent(version uint64) { c.sentVersions[version] = true }
 
+// configAcked records that a configuration is acknowledged.
 func (c *Checker) configAcked(version uint64) {
 	if c.ackedAt[version] == 0 {
 		c.ackedAt[version] = c.w.Now
--- a/internal/mesh/simulation/claims_test.go
+++ b/internal/mesh/simulation/claims_test.go
@@ -14,8 +14,7 @@
 	const id = "twice"
 	w.Checker.requestSent(sender, id, "/pay/x", "k")
 	return &meshpb.Message{Id: 1, Life: 1, Forward: &meshpb.Forward{Station: receiver.instance.id, Method: "POST",
-		Target: "/pay/x",
-		Host:   "shop.example", Key: "k", Token: 77, LeftUs: 2e6, AimUs: 1e6,
+		Target: "/pay/x", Host: "shop.example", Key: "k", Token: 77, LeftUs: 2e6, AimUs: 1e6,
 		Fields: []*meshpb.Field{{Name: sidecar.HeaderID, Value: id}, {Name: sidecar.HeaderIdempotencyKey, Value: "k"}}}}
 }
 
--- a/internal/mesh/simulation/client_disconnect_test.go
+++ b/internal/mesh/simulation/client_disconnect_test.go
@@ -19,8 +19,8 @@
 // checkNoViolations fails the test for each violation.
 func checkNoViolations(t *testing.T, seed uint64, w *World) {
 	t.Helper()
-	for _, broken := range w.Checker.Violations {
-		t.Errorf("seed %d: %s", seed, broken)
+	for _, violation := range w.Checker.Violations {
+		t.Errorf("seed %d: %s", seed, violation)
 	}
 }
 
--- a/internal/mesh/simulation/config_faults_test.go
+++ b/internal/mesh/simulation/config_faults_test.go
@@ -190,8 +190,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(runs) {
-				for _, broken := range runConfigFault(seed, fault) {
-					t.Errorf("seed %d: %s", seed, broken)
+				for _, violation := range runConfigFault(seed, fault) {
+					t.Errorf("seed %d: %s", seed, violation)
 				}
 			}
 		})
@@ -216,8 +216,8 @@
 // The check must find answers that are outdated, truncated or unknown.
 func TestClosingCheckJudgesAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
-		text   []byte
-		broken bool
+		text     []byte
+		violated bool
 	}{
 		"the newest":                    {Config(3), false},
 		"an older one":                  {Config(2), true},
@@ -229,7 +229,7 @@
 		r := &reader{w: New(1, 3), acked: 3, text: Config(3), sent: map[uint64][][]byte{2: {Config(2)}, 3: {Config(3),
 			ConfigVariant(3, 1)}}}
 		r.checkAnswer(r.w.Servers[0], c.text, r.acked)
-		if broken := len(r.violations) > 0; broken != c.broken {
+		if violated := len(r.violations) > 0; violated != c.violated {
 			t.Errorf("%s: %v", name, r.violations)
 		}
 	}
--- a/internal/mesh/simulation/control_test.go
+++ b/internal/mesh/simulation/control_test.go
@@ -143,14 +143,14 @@
 		return
 	}
 	w.SendConfig(to, version, text, func(result control.OrderResult) {
-		held, known := x.confirmed[version]
+		confirmed, known := x.confirmed[version]
 		switch {
-		case result == control.OrderTaken && known && !bytes.Equal(held, text):
+		case result == control.OrderTaken && known && !bytes.Equal(confirmed, text):
 			x.t.Errorf("%s: two texts are confirmed under version %d", x.name, version)
 		case result == control.OrderTaken:
 			x.confirmed[version] = text
 			w.Checker.configAcked(version)
-		case result == control.OrderConflict && known && bytes.Equal(held, text):
+		case result == control.OrderConflict && known && bytes.Equal(confirmed, text):
 			x.t.Errorf("%s: version %d is refused though this text was confirmed", x.name, version)
 		case result == control.OrderConflict:
 			x.conflicts++
@@ -162,7 +162,7 @@
 func (x *confirmedConfigs) check(w *World) {
 	for _, p := range w.Proxies {
 		text, version := p.sidecar.Configuration()
-		if held := x.confirmed[version]; p.up && held != nil && !bytes.Equal(held, text) {
+		if confirmed := x.confirmed[version]; p.up && confirmed != nil && !bytes.Equal(confirmed, text) {
 			x.t.Errorf("%s: %s uses another text under version %d than the confirmed one", x.name, p.addr, version)
 		}
 	}
--- a/internal/mesh/simulation/faults.go
+++ b/internal/mesh/simulation/faults.go
@@ -80,6 +80,7 @@
 	})
 }
 
+// drawCorruption decides at random whether a message is corrupted.
 func (w *World) drawCorruption(from, to string) bool {
 	return w.faultsApply(from, to) && w.drawFault("corrupt", w.Faults.Corrupt, from, to)
 }
@@ -109,6 +110,7 @@
 	w.closeBoth(l, from, to)
 }
 
+// drawDrop decides at random whether a message is dropped.
 func (w *World) drawDrop(from, to string) bool {
 	return w.faultsApply(from, to) && w.drawFault("drop", w.Faults.Drop, from, to)
 }
--- a/internal/mesh/simulation/fuzz_test.go
+++ b/internal/mesh/simulation/fuzz_test.go
@@ -51,11 +51,11 @@
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
 		f := fields.Get(i)
-		there := d.rng.IntN(4) == 0 || d.dense && d.rng.IntN(4) > 0
+		present := d.rng.IntN(4) == 0 || d.dense && d.rng.IntN(4) > 0
 		if depth == 0 && f.Message() != nil {
-			there = d.rng.IntN(40) == 0
+			present = d.rng.IntN(40) == 0
 		}
-		if !there && i != wanted {
+		if !present && i != wanted {
 			continue
 		}
 		if !f.IsList() {
--- a/internal/mesh/simulation/overload_test.go
+++ b/internal/mesh/simulation/overload_test.go
@@ -69,9 +69,9 @@
 
 // runPowerLoss powers all control servers of a loaded cluster off while a configuration is being sent, and erases the disk of
 // one.
-func runPowerLoss(w *World, seed uint64, first float64) (r recovery) {
-	startRetriedOperations(w, loadPerSecond, first+powerOffSeconds+serveSeconds+8)
-	w.Run(first)
+func runPowerLoss(w *World, seed uint64, beforeSeconds float64) (r recovery) {
+	startRetriedOperations(w, loadPerSecond, beforeSeconds+powerOffSeconds+serveSeconds+8)
+	w.Run(beforeSeconds)
 	r.servedBefore = w.Checker.Served
 	w.Configure(int(seed), 2, nil)
 	w.Run(0.162)
@@ -112,14 +112,15 @@
 	t.Parallel()
 	for seed := range seedsFromEnv(1) {
 		w := newLoadedCluster(t, seed)
-		const first = dedupWindowSeconds + 10
-		checkRecovery(t, w, fmt.Sprintf("seed %d", seed), runPowerLoss(w, seed, first), first)
+		const beforeSeconds = dedupWindowSeconds + 10
+		checkRecovery(t, w, fmt.Sprintf("seed %d", seed), runPowerLoss(w, seed, beforeSeconds), beforeSeconds)
 	}
 }
 
-func checkRecovery(t *testing.T, w *World, name string, r recovery, first float64) {
+// checkRecovery checks the outcome of runPowerLoss.
+func checkRecovery(t *testing.T, w *World, name string, r recovery, beforeSeconds float64) {
 	t.Helper()
-	if float64(r.servedBefore) < 0.9*loadPerSecond*first {
+	if float64(r.servedBefore) < 0.9*loadPerSecond*beforeSeconds {
 		t.Errorf("%s: only %d served before the fault: the load is lower than the test needs", name, r.servedBefore)
 	}
 	if !r.acknowledged {
@@ -127,8 +128,7 @@
 	}
 	if float64(r.served) < 0.9*judgedSeconds*loadPerSecond {
 		t.Errorf("%s: from %v s after the start only %d of %.0f operations are served in 6 s; statuses %v", name,
-			serveSeconds, r.served,
-			judgedSeconds*loadPerSecond, w.Checker.Statuses)
+			serveSeconds, r.served, judgedSeconds*loadPerSecond, w.Checker.Statuses)
 	}
 	if !r.rejoined {
 		t.Errorf("%s: %v s after the start the server that lost its disk does not vote", name, voteSeconds)
@@ -164,11 +164,11 @@
 
 // countContactLosses returns how many times a control server lost contact with a quorum in 18 s of an overload of the
 // processors.
-func countContactLosses(t *testing.T, seed uint64, heartbeatsWait bool) int {
+func countContactLosses(t *testing.T, seed uint64, queueHeartbeats bool) int {
 	t.Helper()
 	const loadFactor, slowdown, totalSeconds = 4, 12, 20.0
 	w := newLoadedCluster(t, seed)
-	w.QueueHeartbeats = heartbeatsWait
+	w.QueueHeartbeats = queueHeartbeats
 	w.Processor.Message *= slowdown
 	startRetriedOperations(w, loadFactor*loadPerSecond, totalSeconds)
 	w.Run(2) // until the processors are saturated
--- a/internal/mesh/simulation/proxies.go
+++ b/internal/mesh/simulation/proxies.go
@@ -40,9 +40,9 @@
 	s.running = map[uint64]*hostRequest{}
 	s.version += uint64(1000 * s.w.Rand.Float64()) // the version derives from the wall clock, which may have been set back
 	s.sidecar = sidecar.New(s.w.Now, sidecar.Options{Self: s.addr, Zone: s.host.Zone, Service: s.host.Service,
-		Seeds: s.seeds, HeartbeatInterval: heartbeatSeconds,
-		RetryRatio: 0.2, RetrySlack: 60, RecordVersion: s.version, Seed: cmp.Or(s.seed, s.w.Rand.Uint64()),
-		MaxBodyBytes: 1 << 24, AgreedEjection: s.w.AgreedEjection, MaxKeyHold: maxHoldSeconds})
+		Seeds: s.seeds, HeartbeatInterval: heartbeatSeconds, RetryRatio: 0.2, RetrySlack: 60,
+		RecordVersion: s.version, Seed: cmp.Or(s.seed, s.w.Rand.Uint64()), MaxBodyBytes: 1 << 24,
+		AgreedEjection: s.w.AgreedEjection, MaxKeyHold: maxHoldSeconds})
 	incarnation := s.starts
 	var tick func()
 	tick = func() {
@@ -99,6 +99,7 @@
 	s.input(func() { s.sidecar.ConnectionLost(s.w.Now, b) })
 }
 
+// input passes an input to the process, unless it is frozen, and carries out the output.
 func (s *Proxy) input(f func()) {
 	if !s.up || s.deferWhileFrozen(f, s.input) {
 		return
--- a/internal/mesh/simulation/servers.go
+++ b/internal/mesh/simulation/servers.go
@@ -151,6 +151,7 @@
 // Voting reports whether the process is running and votes.
 func (h *ControlServer) Voting() bool { return h.up && h.server.Voting() }
 
+// receive passes a message to the process.
 func (h *ControlServer) receive(from string, p *meshpb.Message) {
 	f := func() { h.server.HandleMessage(h.w.Now, from, p) }
 	if meshpb.IsHeartbeat(p) {
@@ -171,6 +172,7 @@
 	h.scheduleNext()
 }
 
+// connectionLost does nothing: control servers are not told about lost connections.
 func (h *ControlServer) connectionLost(transport.Disconnected) {}
 
 // input passes an input to the process and carries out its output, once the process is not frozen and its processor is free.
@@ -196,8 +198,9 @@
 	}
 }
 
-func (h *ControlServer) send(all []transport.Send) {
-	for _, s := range all {
+// send sends messages. Those to the server itself are handled without the network.
+func (h *ControlServer) send(sends []transport.Send) {
+	for _, s := range sends {
 		if s.To == h.addr {
 			h.server.HandleMessage(h.w.Now, h.addr, s.Message)
 			continue
@@ -207,13 +210,14 @@
 	}
 }
 
+// sync writes the pending batch to the disk, and sends the messages that wait for this batch once it is synced.
 func (h *ControlServer) sync() {
 	if h.syncing || len(h.pendingPuts)+len(h.pendingSends) == 0 {
 		return
 	}
 	h.syncing = true
 	h.disk.writing = h.pendingPuts
-	after, incarnation := h.pendingSends, h.starts
+	sends, incarnation := h.pendingSends, h.starts
 	h.pendingPuts, h.pendingSends = nil, nil
 	values := len(h.disk.writing) + h.loadedValues // the first write of a process also rewrites all values that it loaded
 	h.loadedValues = 0
@@ -231,6 +235,6 @@
 				return
 			}
 		}
-		h.input(func() { h.send(after) })
+		h.input(func() { h.send(sends) })
 	})
 }
