--- a/internal/lab/link/conn.go
+++ b/internal/lab/link/conn.go
@@ -8,47 +8,49 @@
 	"time"
 )
 
-// ErrCut is the end of a connection that its link has broken.
+// ErrCut is returned by reads and writes on a connection that the link has broken or that is already closed.
 var ErrCut = errors.New("link: connection cut")
 
-// Conn is a proxy's connection as its target has it, behind the pair's link.
+// Conn is the target's end of a connection from a proxy. Reads and writes are delayed, blocked or cut as the State of
+// the proxy-target pair says.
 type Conn struct {
 	*net.TCPConn
 	Proxy  int
 	target *Target
-	sent   int64 // towards the proxy
+	sent   int64 // bytes written towards the proxy
 	once   sync.Once
-	gone   chan struct{} // closed with it
+	closed chan struct{} // closed by Close
 
-	chunks chan chunk // what the proxy has sent and the link still has
-	at     chunk      // the one being read
-	left   time.Time  // when the last bytes read had left the proxy
+	chunks  chan chunk // received from the proxy and not delivered to Read yet
+	current chunk      // the chunk that Read is delivering
+	sentAt  time.Time  // when the bytes that Read returned last were received from the proxy
 }
 
-// chunk is bytes on their way to the target, or the end of what comes.
+// chunk is data on its way to the target, or the error that ends the stream, with the time at which it was received.
 type chunk struct {
-	data []byte
-	err  error
-	left time.Time
+	data   []byte
+	err    error
+	sentAt time.Time
 }
 
 const (
 	chunkSize = 4 << 10
-	chunkMost = 64 // under way on a connection; then its sender is held up
+	maxChunks = 64 // chunks in flight on a connection; further data stays in the socket, which blocks the sender
 )
 
-func newConn(c *net.TCPConn, g *Target, proxy int) *Conn {
-	return &Conn{TCPConn: c, Proxy: proxy, target: g, gone: make(chan struct{}), chunks: make(chan chunk, chunkMost)}
+func newConn(c *net.TCPConn, target *Target, proxy int) *Conn {
+	return &Conn{TCPConn: c, Proxy: proxy, target: target, closed: make(chan struct{}), chunks: make(chan chunk, maxChunks)}
 }
 
-// pump takes what the proxy sends at the moment that it does, however long the link will hold it.
-func (c *Conn) pump() {
+// receive reads from the socket without delay and timestamps each chunk, so that the delay of the link counts from the
+// moment of sending, however long the link holds the data.
+func (c *Conn) receive() {
 	buf := make([]byte, chunkSize)
 	for {
 		n, err := c.TCPConn.Read(buf)
 		select {
-		case c.chunks <- chunk{data: bytes.Clone(buf[:n]), err: err, left: time.Now()}:
-		case <-c.gone:
+		case c.chunks <- chunk{data: bytes.Clone(buf[:n]), err: err, sentAt: time.Now()}:
+		case <-c.closed:
 			return
 		}
 		if err != nil {
@@ -57,24 +59,25 @@
 	}
 }
 
-// await waits until the link carries data in a direction, and says what it is like.
-func (c *Conn) await(silent func(State) bool) (State, error) {
+// awaitOpen blocks while silent holds for the state of the link, and returns the state in which it no longer does. It returns
+// ErrCut if the connection is closed meanwhile.
+func (c *Conn) awaitOpen(silent func(State) bool) (State, error) {
 	for {
-		s, changed := c.target.table.state(pair{c.Proxy, c.target.number})
+		s, changed := c.target.network.state(pair{c.Proxy, c.target.number})
 		if !silent(s) {
 			return s, nil
 		}
 		select {
 		case <-changed:
-		case <-c.gone:
+		case <-c.closed:
 			return s, ErrCut
 		}
 	}
 }
 
-// travel waits until so many bytes that left at a moment have arrived.
-func (c *Conn) travel(s State, n int, left time.Time) error {
-	d := c.target.table.delay(s, n) - time.Since(left)
+// awaitArrival waits until n bytes that were sent at the given time have crossed the link.
+func (c *Conn) awaitArrival(s State, n int, sentAt time.Time) error {
+	d := c.target.network.delay(s, n) - time.Since(sentAt)
 	if d <= 0 {
 		return nil
 	}
@@ -83,47 +86,48 @@
 	select {
 	case <-t.C:
 		return nil
-	case <-c.gone:
+	case <-c.closed:
 		return ErrCut
 	}
 }
 
-// Read gives what the proxy has sent, once the link lets it through; so with the connection's end, which a silent link
-// hides too.
+// Read returns data that the proxy has sent, once the link delivers it. The end of the connection is delivered in the same
+// way: a silent link hides it too.
 func (c *Conn) Read(b []byte) (int, error) {
-	if len(c.at.data) == 0 && c.at.err == nil {
+	if len(c.current.data) == 0 && c.current.err == nil {
 		select {
-		case c.at = <-c.chunks:
-		case <-c.gone:
+		case c.current = <-c.chunks:
+		case <-c.closed:
 			return 0, ErrCut
 		}
-		s, err := c.await(func(s State) bool { return s.SilentTo })
+		s, err := c.awaitOpen(func(s State) bool { return s.SilentTo })
 		if err == nil {
-			err = c.travel(s, len(c.at.data), c.at.left)
+			err = c.awaitArrival(s, len(c.current.data), c.current.sentAt)
 		}
 		if err != nil {
 			return 0, err
 		}
 	}
-	n := copy(b, c.at.data)
-	if c.at.data = c.at.data[n:]; n == 0 {
-		return 0, c.at.err
+	n := copy(b, c.current.data)
+	if c.current.data = c.current.data[n:]; n == 0 {
+		return 0, c.current.err
 	}
-	c.left = c.at.left
+	c.sentAt = c.current.sentAt
 	return n, nil
 }
 
-// Left is when the last of what Read gave had left the proxy, however long the link held it. It is for who reads.
-func (c *Conn) Left() time.Time { return c.left }
+// SentAt returns when the data that Read returned last was sent by the proxy, however long the link held it. Only the
+// goroutine that calls Read may call SentAt.
+func (c *Conn) SentAt() time.Time { return c.sentAt }
 
-// Write sends towards the proxy, once the link lets it through.
+// Write sends b towards the proxy after the delay of the link, and blocks while the link is silent in that direction.
 func (c *Conn) Write(b []byte) (int, error) {
-	s, cut := c.await(func(s State) bool { return s.SilentBack })
-	if cut == nil {
-		cut = c.travel(s, len(b), time.Now())
+	s, waitErr := c.awaitOpen(func(s State) bool { return s.SilentBack })
+	if waitErr == nil {
+		waitErr = c.awaitArrival(s, len(b), time.Now())
 	}
-	if cut != nil {
-		return 0, cut
+	if waitErr != nil {
+		return 0, waitErr
 	}
 	if s.CutAfter > 0 && c.sent+int64(len(b)) >= s.CutAfter {
 		n, _ := c.TCPConn.Write(b[:max(0, s.CutAfter-c.sent)])
@@ -135,17 +139,18 @@
 	return n, err
 }
 
-// Reset ends it as a process that dies does.
+// Reset closes the connection with a TCP reset, as the kernel does for a process that dies.
 func (c *Conn) Reset() {
 	c.SetLinger(0)
 	c.Close()
 }
 
-// Close ends it. While the link is silent its other end does not hear of that.
+// Close closes the connection. While the link is silent the socket stays open, so that the proxy does not see the close
+// before the link heals.
 func (c *Conn) Close() error {
 	c.once.Do(func() {
-		close(c.gone)
-		s, _ := c.target.table.state(pair{c.Proxy, c.target.number})
+		close(c.closed)
+		s, _ := c.target.network.state(pair{c.Proxy, c.target.number})
 		if !s.silent() {
 			c.TCPConn.Close()
 			return
@@ -153,7 +158,7 @@
 		go func() {
 			for s.silent() {
 				var changed chan struct{}
-				if s, changed = c.target.table.state(pair{c.Proxy, c.target.number}); s.silent() {
+				if s, changed = c.target.network.state(pair{c.Proxy, c.target.number}); s.silent() {
 					<-changed
 				}
 			}
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -1,13 +1,15 @@
-// Package link is the network between the parties of a run, all of it on loopback: what reaches a target, by which delays,
-// and what is cut, for each pair of a proxy and a target (a host or the list service).
+// Package link emulates the network of a lab run on the loopback device. For each pair of a proxy and a target (a host or
+// the list service) it adds latency, limits bandwidth, drops traffic or cuts connections, as the pair's State says. Network
+// holds the states; Network.Listen adds a target and Network.Set changes pairs during the run. Peers does the same for
+// traffic between proxies.
 //
-// A target listens once, at any address of the loopback device, and each proxy is told another address of it, which says
-// who calls: the pair is known from the address that a connection came to. So listeners grow with the targets and not with
-// the pairs, and any program can be put under test, whatever address it calls from.
+// A target listens once, on all addresses of the loopback device, and each proxy is given a different address of the
+// target. The address to which a connection was made identifies the proxy. The number of listeners thus grows with the
+// targets rather than with the pairs, and the program under test may connect from any source address.
 //
-// Data of a broken pair is held here, in what stands between the socket and the target; a connection to a silent target must
-// not come up at all, and there the kernel itself is used: a listener at the pair's own address, whose backlog is full,
-// goes before the target's and leaves every handshake unanswered.
+// Conn holds back the data of a disturbed pair between the socket and the target. A new connection to a silent target must
+// not be established at all, and the kernel does that part: a second listener, bound to the pair's own address and with a
+// full backlog, takes precedence over the target's listener and leaves every handshake unanswered.
 package link
 
 import (
@@ -26,89 +28,91 @@
 	"beechwing/internal/lab/port"
 )
 
-// State is what a pair's link does.
+// State is the condition of the link between a proxy and a target.
 type State struct {
-	Latency, Jitter time.Duration // one way, both ways each
-	SilentTo        bool          // nothing reaches the target
-	SilentBack      bool          // nothing comes back from it
+	Latency, Jitter time.Duration // one way, applied in each direction
+	SilentTo        bool          // no data reaches the target
+	SilentBack      bool          // no data comes back from the target
 	Refused         bool          // new connections are reset
-	CutAfter        int64         // bytes towards the proxy on a connection after which it is reset; 0: never
-	Bandwidth       float64       // bytes a second each way; 0: any
+	CutAfter        int64         // a connection is reset after so many bytes towards the proxy; 0: never
+	Bandwidth       float64       // bytes per second in each direction; 0: unlimited
 }
 
 func (s State) silent() bool { return s.SilentTo || s.SilentBack }
 
-// pair is a proxy and a target; its state changes under the table's lock.
+// pair identifies a link: a proxy and a target in Network, the sending and the receiving process in Peers.
 type pair struct{ proxy, target int }
 
-// Table holds the state of all pairs.
-type Table struct {
-	mu      sync.Mutex
-	random  *rand.Rand
-	states  map[pair]State
-	changed chan struct{} // closed with the next change, and replaced
-	targets []*Target
-	holes   map[pair]*hole
-	failure error // of a hole: such a run proves nothing
+// Network holds the targets and the link states of all pairs.
+type Network struct {
+	mu         sync.Mutex
+	random     *rand.Rand
+	states     map[pair]State
+	changed    chan struct{} // closed and replaced at each change of states
+	targets    []*Target
+	blackholes map[pair]*blackhole
+	failure    error // errors of setting up blackholes; the results of such a run are invalid
 }
 
-// New makes a network in which everything is reached at once.
-func New(seed uint64) *Table {
-	return &Table{random: rand.New(rand.NewPCG(seed, 7)), states: map[pair]State{}, changed: make(chan struct{}),
-		holes: map[pair]*hole{}}
+// New returns a network without faults or delays. seed determines jitter and packet loss.
+func New(seed uint64) *Network {
+	return &Network{random: rand.New(rand.NewPCG(seed, 7)), states: map[pair]State{}, changed: make(chan struct{}),
+		blackholes: map[pair]*blackhole{}}
 }
 
-// IP is the address at which a proxy reaches all its targets.
+// IP returns the loopback address at which a proxy reaches all its targets.
 func IP(proxy int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(64 + proxy>>8), byte(proxy), 1})
 }
 
+// proxyOf is the inverse of IP.
 func proxyOf(a net.Addr) int {
 	ip := a.(*net.TCPAddr).AddrPort().Addr().Unmap().As4()
 	return int(ip[1]-64)<<8 + int(ip[2])
 }
 
-// Target is a party that is called.
+// Target is a server that proxies connect to.
 type Target struct {
-	table  *Table
-	number int
-	held   *port.Held // also while it is down: it comes back at the same port
-	serve  func(*Conn)
-	mu     sync.Mutex
-	ln     net.Listener
-	conns  map[*Conn]struct{}
-	wg     sync.WaitGroup
-	closed bool
+	network  *Network
+	number   int
+	reserved *port.Held // kept while the target is down, so that it comes back at the same port
+	serve    func(*Conn)
+	mu       sync.Mutex
+	ln       net.Listener
+	conns    map[*Conn]struct{}
+	wg       sync.WaitGroup
+	closed   bool
 }
 
-// Listen adds a target. serve is called with each connection, in a goroutine of its own, and need not close it.
-func (t *Table) Listen(serve func(*Conn)) (*Target, error) {
+// Listen adds a target and starts its listener. serve is called for each connection in a goroutine of its own; the
+// connection is closed when serve returns.
+func (t *Network) Listen(serve func(*Conn)) (*Target, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	g := &Target{table: t, number: len(t.targets), serve: serve, conns: map[*Conn]struct{}{}}
+	g := &Target{network: t, number: len(t.targets), serve: serve, conns: map[*Conn]struct{}{}}
 	var err error
-	if g.held, err = port.Hold(netip.AddrPortFrom(netip.IPv4Unspecified(), 0)); err != nil {
+	if g.reserved, err = port.Hold(netip.AddrPortFrom(netip.IPv4Unspecified(), 0)); err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
 	if err := g.Up(); err != nil {
-		g.held.Free()
+		g.reserved.Free()
 		return nil, err
 	}
 	t.targets = append(t.targets, g)
 	return g, nil
 }
 
-// Up has it listen, at the first time and again after Down, at the same addresses.
+// Up starts the listener. After Down it listens at the same addresses again.
 func (g *Target) Up() error {
 	lc := net.ListenConfig{Control: func(_, _ string, rc syscall.RawConn) error {
-		var device, share error
+		var bindErr, reuseErr error
 		err := rc.Control(func(fd uintptr) {
-			device = unix.BindToDevice(int(fd), "lo") // nothing but loopback may reach it
-			share = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+			bindErr = unix.BindToDevice(int(fd), "lo") // reachable through the loopback device only
+			reuseErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 		})
-		return errors.Join(err, device, share)
+		return errors.Join(err, bindErr, reuseErr)
 	}}
-	ln, err := lc.Listen(context.Background(), "tcp4", g.held.Addr().String())
+	ln, err := lc.Listen(context.Background(), "tcp4", g.reserved.Addr().String())
 	if err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
@@ -119,12 +123,12 @@
 	return nil
 }
 
-// Number names the target in the table.
+// Number returns the index of the target in the network, as Network.Set takes it.
 func (g *Target) Number() int { return g.number }
 
-// Addr is where a proxy reaches it.
+// Addr returns the address at which a proxy reaches the target.
 func (g *Target) Addr(proxy int) string {
-	return netip.AddrPortFrom(IP(proxy), g.held.Addr().Port()).String()
+	return netip.AddrPortFrom(IP(proxy), g.reserved.Addr().Port()).String()
 }
 
 func (g *Target) accept(ln net.Listener) {
@@ -135,19 +139,19 @@
 		}
 		proxy := proxyOf(c.LocalAddr())
 		lc := newConn(c.(*net.TCPConn), g, proxy)
-		if s, _ := g.table.state(pair{proxy, g.number}); s.Refused || !g.enter(lc) {
+		if s, _ := g.network.state(pair{proxy, g.number}); s.Refused || !g.track(lc) {
 			lc.Reset()
 			continue
 		}
-		g.wg.Go(lc.pump)
+		g.wg.Go(lc.receive)
 		g.wg.Go(func() {
-			defer g.leave(lc)
+			defer g.untrack(lc)
 			g.serve(lc)
 		})
 	}
 }
 
-func (g *Target) enter(c *Conn) bool {
+func (g *Target) track(c *Conn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.closed {
@@ -156,14 +160,14 @@
 	return !g.closed
 }
 
-func (g *Target) leave(c *Conn) {
+func (g *Target) untrack(c *Conn) {
 	c.Close()
 	g.mu.Lock()
 	delete(g.conns, c)
 	g.mu.Unlock()
 }
 
-// Down ends the target as a process that dies does: new connections are refused, and open ones are reset.
+// Down stops the target as a crash of its process does: new connections are refused and open ones are reset.
 func (g *Target) Down() {
 	g.mu.Lock()
 	g.closed = true
@@ -174,9 +178,9 @@
 	g.mu.Unlock()
 }
 
-// Set changes the state of pairs of proxies and targets, all at one moment. Where silence begins, connections in progress
-// are held; where it ends, they go on.
-func (t *Table) Set(proxies, targets []int, change func(*State)) {
+// Set applies change to the state of every pair of the given proxies and targets, atomically. Open connections of a pair
+// that becomes silent stall, and go on once the pair is no longer silent.
+func (t *Network) Set(proxies, targets []int, change func(*State)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range proxies {
@@ -185,41 +189,41 @@
 			s := t.states[k]
 			change(&s)
 			t.states[k] = s
-			t.dig(k, s.silent())
+			t.setBlackhole(k, s.silent())
 		}
 	}
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// dig makes or fills the hole of a pair. mu is held.
-func (t *Table) dig(k pair, wanted bool) {
-	h := t.holes[k]
+// setBlackhole adds or removes the blackhole of a pair. mu is held.
+func (t *Network) setBlackhole(k pair, wanted bool) {
+	h := t.blackholes[k]
 	switch {
 	case wanted && h == nil:
-		made, err := newHole(netip.AddrPortFrom(IP(k.proxy), t.targets[k.target].held.Addr().Port()))
+		added, err := newBlackhole(netip.AddrPortFrom(IP(k.proxy), t.targets[k.target].reserved.Addr().Port()))
 		if err != nil {
 			t.failure = errors.Join(t.failure, err)
 			return
 		}
-		t.holes[k] = made
+		t.blackholes[k] = added
 	case !wanted && h != nil:
 		h.close()
-		delete(t.holes, k)
+		delete(t.blackholes, k)
 	}
 }
 
-// Reset breaks all open connections of pairs.
-func (t *Table) Reset(proxies, targets []int) {
-	of := map[int]bool{}
+// Reset resets all open connections of the given pairs.
+func (t *Network) Reset(proxies, targets []int) {
+	affected := map[int]bool{}
 	for _, p := range proxies {
-		of[p] = true
+		affected[p] = true
 	}
 	for _, n := range targets {
 		g := t.targets[n]
 		g.mu.Lock()
 		for c := range g.conns {
-			if of[c.Proxy] {
+			if affected[c.Proxy] {
 				c.Reset()
 			}
 		}
@@ -227,15 +231,15 @@
 	}
 }
 
-// Err tells whether the network could do all that was asked of it.
-func (t *Table) Err() error {
+// Err returns an error if a blackhole could not be set up, so that a pair was less silent than requested.
+func (t *Network) Err() error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.failure
 }
 
-// Close ends all targets and waits for what they serve. What broken links still hold arrives nowhere.
-func (t *Table) Close() {
+// Close stops all targets and waits for their connections. Data that the links still hold is discarded.
+func (t *Network) Close() {
 	t.mu.Lock()
 	targets := t.targets
 	t.mu.Unlock()
@@ -243,9 +247,9 @@
 		g.Down()
 	}
 	t.mu.Lock()
-	for k, h := range t.holes {
+	for k, h := range t.blackholes {
 		h.close()
-		delete(t.holes, k)
+		delete(t.blackholes, k)
 	}
 	t.states = map[pair]State{}
 	close(t.changed)
@@ -253,18 +257,18 @@
 	t.mu.Unlock()
 	for _, g := range targets {
 		g.wg.Wait()
-		g.held.Free()
+		g.reserved.Free()
 	}
 }
 
-func (t *Table) state(k pair) (State, chan struct{}) {
+func (t *Network) state(k pair) (State, chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.states[k], t.changed
 }
 
-// delay is how long so many bytes are under way.
-func (t *Table) delay(s State, n int) time.Duration {
+// delay returns how long n bytes take to cross a link.
+func (t *Network) delay(s State, n int) time.Duration {
 	d := s.Latency
 	if s.Jitter > 0 {
 		t.mu.Lock()
@@ -277,26 +281,27 @@
 	return d
 }
 
-// hole is a listener that answers no handshake: its backlog holds one connection, made here and never accepted.
-type hole struct{ listener, filler int }
+// blackhole is a listener that answers no handshake: its backlog is full with one connection, which newBlackhole makes and nobody
+// accepts.
+type blackhole struct{ listener, filler int }
 
-func newHole(at netip.AddrPort) (*hole, error) {
+func newBlackhole(at netip.AddrPort) (*blackhole, error) {
 	address := &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}
-	h := &hole{listener: -1, filler: -1}
+	h := &blackhole{listener: -1, filler: -1}
 	var err error
 	step := func(name string, f func() error) {
 		if err != nil {
 			return
 		}
 		if e := f(); e != nil {
-			err = fmt.Errorf("link: silence at %s: %s: %w", at, name, e)
+			err = fmt.Errorf("link: blackhole listener at %s: %s: %w", at, name, e)
 		}
 	}
 	step("socket", func() (e error) {
 		h.listener, e = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 		return e
 	})
-	step("share", func() error { return unix.SetsockoptInt(h.listener, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
+	step("SO_REUSEPORT", func() error { return unix.SetsockoptInt(h.listener, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
 	step("bind", func() error { return unix.Bind(h.listener, address) })
 	step("listen", func() error { return unix.Listen(h.listener, 0) })
 	step("socket", func() (e error) {
@@ -311,7 +316,7 @@
 	return h, nil
 }
 
-func (h *hole) close() {
+func (h *blackhole) close() {
 	for _, fd := range []int{h.filler, h.listener} {
 		if fd >= 0 {
 			unix.Close(fd)
--- a/internal/lab/link/requests.go
+++ b/internal/lab/link/requests.go
@@ -6,12 +6,12 @@
 	"net/http"
 )
 
-// Requests reads one request after another, throws its body away and hands it to handle, until that says that the
-// connection does not go on or nothing more comes. While a request is worked on, the connection is watched: gone closes when
-// its sender has left, for what need not begin any more.
-func (c *Conn) Requests(handle func(r *http.Request, gone chan struct{}) (goesOn bool)) {
+// ServeRequests reads one HTTP request after another, discards its body and passes it to handle. It returns when handle
+// returns false, which also closes the connection, or when no further request can be read. While handle runs, the
+// connection is watcherDone: clientGone is closed when the proxy has disconnected, so that queued work can be abandoned.
+func (c *Conn) ServeRequests(handle func(r *http.Request, clientGone chan struct{}) (keepOpen bool)) {
 	br := bufio.NewReaderSize(c, chunkSize)
-	for goesOn := true; goesOn; {
+	for keepOpen := true; keepOpen; {
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			return
@@ -19,16 +19,16 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		gone, watched := make(chan struct{}), make(chan struct{})
+		clientGone, watcherDone := make(chan struct{}), make(chan struct{})
 		go func() {
-			defer close(watched)
+			defer close(watcherDone)
 			if _, err := br.Peek(1); err != nil {
-				close(gone)
+				close(clientGone)
 			}
 		}()
-		if goesOn = handle(r, gone); !goesOn {
+		if keepOpen = handle(r, clientGone); !keepOpen {
 			c.Close()
 		}
-		<-watched
+		<-watcherDone
 	}
 }
--- a/internal/lab/list/list.go
+++ b/internal/lab/list/list.go
@@ -78,10 +78,10 @@
 }
 
 // New starts the service with a first list.
-func New(t *link.Table, c Config, book *record.Book, entries []Entry) (*Service, error) {
+func New(network *link.Network, c Config, book *record.Book, entries []Entry) (*Service, error) {
 	s := &Service{cfg: c, book: book, version: 1, first: entries, changed: make(chan struct{}), told: map[[2]int]bool{}, heard: map[[2]int]bool{}}
 	var err error
-	s.Target, err = t.Listen(s.serve)
+	s.Target, err = network.Listen(s.serve)
 	return s, err
 }
 
@@ -120,7 +120,7 @@
 }
 
 func (s *Service) serve(c *link.Conn) {
-	c.Requests(func(r *http.Request, gone chan struct{}) bool { return s.call(c, r, gone) })
+	c.ServeRequests(func(r *http.Request, gone chan struct{}) bool { return s.call(c, r, gone) })
 }
 
 // call works on one call and says whether its connection goes on.
--- a/internal/lab/node/node.go
+++ b/internal/lab/node/node.go
@@ -34,10 +34,10 @@
 type waiter struct{ turn chan struct{} }
 
 // New starts a host at a link of its own. onFall is called once for each time that it is pushed over, when it is down.
-func New(t *link.Table, id string, index int, c Config, classes []string, seed uint64, book *record.Book, onFall func()) (*Node, error) {
+func New(network *link.Network, id string, index int, c Config, classes []string, seed uint64, book *record.Book, onFall func()) (*Node, error) {
 	n := &Node{ID: id, Index: index, book: book, classes: classes, onFall: onFall, model: NewModel(c, seed)}
 	var err error
-	n.Target, err = t.Listen(n.serve)
+	n.Target, err = network.Listen(n.serve)
 	return n, err
 }
 
@@ -86,9 +86,9 @@
 		rec.Closed = n.book.Now()
 		n.book.Add(rec)
 	}()
-	c.Requests(func(r *http.Request, gone chan struct{}) bool {
+	c.ServeRequests(func(r *http.Request, gone chan struct{}) bool {
 		rec.Asked++
-		e := record.Execution{ID: r.Header.Get("X-Txn"), Host: n.Index, Proxy: c.Proxy, Arrived: n.book.Now(), Sent: n.book.Since(c.Left())}
+		e := record.Execution{ID: r.Header.Get("X-Txn"), Host: n.Index, Proxy: c.Proxy, Arrived: n.book.Now(), Sent: n.book.Since(c.SentAt())}
 		if rec.TurnedAway {
 			n.turnAway(c, e)
 			return false
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -50,7 +50,7 @@
 	Options
 	s       *plan.Schedule
 	book    *record.Book
-	net     *link.Table
+	net     *link.Network
 	peers   *link.Peers
 	nodes   []*node.Node
 	list    *list.Service
@@ -273,7 +273,7 @@
 func (r *rig) words() []int64 {
 	sent := make([]int64, len(r.members))
 	for p := range sent {
-		sent[p] = r.peers.Sent(p)
+		sent[p] = r.peers.BytesSent(p)
 	}
 	return sent
 }
