--- a/internal/lab/node/node_test.go
+++ b/internal/lab/node/node_test.go
@@ -13,8 +13,8 @@
 	"beechwing/internal/lab/record"
 )
 
-// ask sends a request and does not wait for its answer.
-func ask(t *testing.T, n *Node, proxy int, id string) net.Conn {
+// sendRequest sends a request and returns without waiting for the answer.
+func sendRequest(t *testing.T, n *Node, proxy int, id string) net.Conn {
 	c, err := net.Dial("tcp", n.Addr(proxy))
 	if err != nil {
 		t.Fatal(err)
@@ -34,31 +34,32 @@
 	return r.StatusCode
 }
 
-// TestRecords: a host that runs a request while its link dies has run it; what waits while its sender leaves never runs;
-// what finds the queue full is turned away; the host records each so.
+// TestRecords checks the recorded outcomes: a request whose link goes silent while it runs counts as run, a queued request
+// whose client disconnects never runs, and a request that finds the queue full is turned away.
 func TestRecords(t *testing.T) {
-	table, book := link.New(1), record.NewBook()
+	network, book := link.New(1), record.NewBook()
 	book.Begin()
-	n, err := New(table, "h", 0, Config{Cores: 1, Work: 200 * time.Millisecond, Queue: 1, Conns: 10}, []string{"change"}, 1, book, nil)
+	n, err := New(network, "h", 0, Config{Cores: 1, Work: 200 * time.Millisecond, Queue: 1, Conns: 10}, []string{"change"}, 1,
+		book, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	waiting := func(want int) {
+	awaitOpenRequests := func(want int) {
 		for ok := false; !ok; time.Sleep(time.Millisecond) {
 			n.Change(func(m *Model) { ok = m.running+m.waiting == want })
 		}
 	}
-	ask(t, n, 1, "runs")
-	waiting(1)
-	table.Set([]int{1}, []int{0}, func(s *link.State) { s.SilentBack = true })
-	left := ask(t, n, 0, "leaves")
-	waiting(2)
-	if s := status(t, ask(t, n, 0, "full")); s != http.StatusServiceUnavailable {
+	sendRequest(t, n, 1, "runs")
+	awaitOpenRequests(1)
+	network.Set([]int{1}, []int{0}, func(s *link.State) { s.SilentBack = true })
+	left := sendRequest(t, n, 0, "leaves")
+	awaitOpenRequests(2)
+	if s := status(t, sendRequest(t, n, 0, "full")); s != http.StatusServiceUnavailable {
 		t.Errorf("status %d with a full queue", s)
 	}
 	left.Close()
-	waiting(0)
-	table.Close()
+	awaitOpenRequests(0)
+	network.Close()
 	how := map[string]string{}
 	for _, e := range book.Executions {
 		how[e.ID] = e.How
@@ -71,14 +72,14 @@
 	}
 }
 
-// TestPushedOver: a cold host bears what its present capacity allows, and falls when more comes for long enough; a warm one
-// bears the same.
+// TestPushedOver checks that a cold host survives up to FallMultiple times its current capacity and crashes when more is
+// offered for long enough, while a warm host survives the same load.
 func TestPushedOver(t *testing.T) {
 	c := Config{Cores: 2, Work: 10 * time.Millisecond, Queue: 1000, ColdFrom: 0.25, ColdFor: 10 * time.Second, FallMultiple: 2,
 		FallAfter: time.Second}
-	falls := func(m *Model, from time.Duration, rate float64) (at time.Duration) {
+	crashTime := func(m *Model, from time.Duration, rate float64) (at time.Duration) {
 		for now := from; now < from+4*time.Second; now += time.Duration(float64(time.Second) / rate) {
-			if _, _, fell := m.Arrive(now, 0, 0, false); fell {
+			if _, _, crashed := m.Arrive(now, 0, 0, false); crashed {
 				return now
 			}
 		}
@@ -89,23 +90,23 @@
 		m.Start(time.Second)
 		return m
 	}
-	// A quarter of 2 cores is 50 a second; twice that may come.
-	if at := falls(cold(), time.Second, 80); at != 0 {
-		t.Errorf("fell at %v under what it bears", at)
+	// A quarter of 2 cores serves 50 requests per second; FallMultiple allows twice that.
+	if at := crashTime(cold(), time.Second, 80); at != 0 {
+		t.Errorf("crashed at %v below the overload limit", at)
 	}
-	if at := falls(cold(), time.Second, 400); at < 1100*time.Millisecond || at > 2*time.Second {
-		t.Errorf("fell at %v", at)
+	if at := crashTime(cold(), time.Second, 400); at < 1100*time.Millisecond || at > 2*time.Second {
+		t.Errorf("under overload: crashed at %v, want between 1.1 s and 2 s", at)
 	}
-	if at := falls(NewModel(c, 1), 0, 400); at != 0 {
-		t.Errorf("warm, it fell at %v", at)
+	if at := crashTime(NewModel(c, 1), 0, 400); at != 0 {
+		t.Errorf("warm host crashed at %v", at)
 	}
 	m := NewModel(c, 1)
-	if _, away, _ := m.Arrive(0, 0, 0, false); away {
-		t.Error("turned away by an idle host")
+	if _, turnedAway, _ := m.Arrive(0, 0, 0, false); turnedAway {
+		t.Error("an idle host turned a request away")
 	}
 	if m.Draining = true; true {
-		if _, away, _ := m.Arrive(0, 0, 0, false); !away {
-			t.Error("taken while it drains")
+		if _, turnedAway, _ := m.Arrive(0, 0, 0, false); !turnedAway {
+			t.Error("a draining host accepted a request")
 		}
 	}
 }
