--- a/internal/lab/list/list.go
+++ b/internal/lab/list/list.go
@@ -1,6 +1,6 @@
-// Package list is the stand-in for the platform's list service: one queue in which calls are worked through in turn at a
-// stated rate, watches, versions, and the ways in which such a service fails. Each call is recorded, and with it what each
-// proxy was told and when.
+// Package list implements a test service discovery that speaks the platform's protocol: a versioned list of hosts, which
+// proxies fetch whole or watch for changes. Service serves all calls through one queue at a fixed rate and simulates the
+// failures in Faults. It records each call, and when each proxy was told of a host that is draining or gone.
 package list
 
 import (
@@ -17,118 +17,119 @@
 	"beechwing/internal/lab/record"
 )
 
-// The states of an entry.
+// States of an entry.
 const (
 	Ready    = "ready"
 	Draining = "draining"
 	Gone     = "gone"
 )
 
-// Entry is a host in the list. Addr is where a given proxy reaches it.
+// Entry is a host in the list. Addr returns the address at which a proxy reaches the host.
 type Entry struct {
 	ID      string
 	Addr    func(proxy int) string
 	Zone    string
 	Weight  float64
 	State   string
-	Started int64 // Unix time in milliseconds; 0: long ago
+	Started int64 // Unix time in milliseconds; 0: before the run
 }
 
-// Config is what the service bears.
+// Config holds the capacity of the service.
 type Config struct {
-	Rate  float64       // calls a second, worked through in turn
-	Queue int           // calls that wait; more fail at once
-	Wait  time.Duration // a call that has waited for so long fails
+	Rate  float64       // calls served per second, in order of arrival
+	Queue int           // maximum number of waiting calls; more are rejected at once
+	Wait  time.Duration // calls are rejected after waiting for so long
 }
 
-// Faults are the ways in which the service fails, each for as long as it is set.
+// Faults selects the failures of the service. Each one lasts as long as it is set.
 type Faults struct {
-	Down  bool          // calls are reset, watches end
-	Late  time.Duration // each answer is held for so long
-	Stale bool          // answers tell the list as it was when this was set
-	Back  bool          // every other answer tells the version before
-	Torn  bool          // answers end in the middle
+	Down  bool          // calls are reset and watches end
+	Late  time.Duration // delay of each answer
+	Stale bool          // answers hold the list as of the time at which Stale was set
+	Back  bool          // every other answer holds the previous version
+	Torn  bool          // answers are cut off after two thirds, and the connection is reset
 }
 
-// Service is a running list service.
+// Service is a running list service. It is a target of a link.Network.
 type Service struct {
 	*link.Target
-	cfg     Config
-	book    *record.Book
-	mu      sync.Mutex
-	faults  Faults
-	first   []Entry
-	changes []change
-	version int
-	frozen  int // version told while stale
-	turns   int
-	changed chan struct{}
-	free    time.Time // when the calls now queued will have been worked through
-	waiting int
-	told    map[[2]int]bool // proxy and change
-	heard   map[[2]int]bool // the same
+	cfg          Config
+	book         *record.Book
+	mu           sync.Mutex
+	faults       Faults
+	initial      []Entry
+	changes      []change
+	version      int
+	staleVersion int             // version served while Stale is set
+	answers      int             // calls answered, for Back
+	changed      chan struct{}   // closed and replaced when changes or faults change
+	queueEnd     time.Time       // when the calls in the queue will have been served
+	waiting      int             // calls in the queue
+	told         map[[2]int]bool // recorded as told, by proxy and index in changes
+	heard        map[[2]int]bool // recorded as heard, by the same keys
 }
 
-// change is one step of the list.
+// change is the update of one entry, which creates a version.
 type change struct {
 	version int
-	host    int // index of the entry
+	host    int // index of the entry in the list
 	entry   Entry
 	at      time.Duration
 }
 
-// New starts the service with a first list.
+// New starts the service as a new target of the network, with entries as version 1.
 func New(network *link.Network, c Config, book *record.Book, entries []Entry) (*Service, error) {
-	s := &Service{cfg: c, book: book, version: 1, first: entries, changed: make(chan struct{}), told: map[[2]int]bool{}, heard: map[[2]int]bool{}}
+	s := &Service{cfg: c, book: book, version: 1, initial: entries, changed: make(chan struct{}), told: map[[2]int]bool{},
+		heard: map[[2]int]bool{}}
 	var err error
 	s.Target, err = network.Listen(s.serve)
 	return s, err
 }
 
-// Set changes one entry; a new one has the next index.
+// Set replaces the entry with the index host, or adds an entry if host is the length of the list.
 func (s *Service) Set(host int, e Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
 	s.changes = append(s.changes, change{version: s.version, host: host, entry: e, at: s.book.Now()})
-	s.wake()
+	s.notifyWatches()
 }
 
-// Entry is what the list says of a host now.
+// Entry returns the current entry of a host.
 func (s *Service) Entry(host int) Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.at(s.version)[host]
+	return s.entriesAt(s.version)[host]
 }
 
-// Change alters how the service fails.
+// Change calls f with the faults under the lock, to alter them from now on.
 func (s *Service) Change(f func(*Faults)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.faults
 	f(&s.faults)
 	if s.faults.Stale && !before.Stale {
-		s.frozen = s.version
+		s.staleVersion = s.version
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
-// wake lets watches look again. mu is held.
-func (s *Service) wake() {
+// notifyWatches makes pending watches check for changes and faults again. mu is held.
+func (s *Service) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 func (s *Service) serve(c *link.Conn) {
-	c.ServeRequests(func(r *http.Request, gone chan struct{}) bool { return s.call(c, r, gone) })
+	c.ServeRequests(func(r *http.Request, clientGone chan struct{}) bool { return s.call(c, r, clientGone) })
 }
 
-// call works on one call and says whether its connection goes on.
-func (s *Service) call(c *link.Conn, r *http.Request, gone chan struct{}) bool {
+// call serves one call and reports whether the connection stays open.
+func (s *Service) call(c *link.Conn, r *http.Request, clientGone chan struct{}) bool {
 	rec := record.Call{Proxy: c.Proxy, At: s.book.Now(), Failed: true}
 	defer func() {
 		select {
-		case <-gone:
+		case <-clientGone:
 			rec.Left = rec.Failed
 		default:
 		}
@@ -138,28 +139,28 @@
 	since, err := strconv.Atoi(r.URL.Query().Get("since"))
 	rec.Watch = err == nil
 	if rec.Watch {
-		s.noteHeard(c.Proxy, since)
+		s.recordHeard(c.Proxy, since)
 	}
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
 	if r.URL.Path != "/catalog/members" {
 		io.WriteString(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	if rec.Watch && !s.awaitChange(since, time.Duration(wait)*time.Millisecond, gone) {
+	if rec.Watch && !s.awaitChange(since, time.Duration(wait)*time.Millisecond, clientGone) {
 		return false
 	}
-	if ok, goesOn := s.awaitTurn(c, gone); !ok {
-		return goesOn
+	if ok, keepOpen := s.awaitTurn(c, clientGone); !ok {
+		return keepOpen
 	}
 	s.mu.Lock()
 	f, version := s.faults, s.version
 	if f.Stale {
-		version = s.frozen
+		version = s.staleVersion
 	}
-	if s.turns++; f.Back && s.turns%2 == 0 {
+	if s.answers++; f.Back && s.answers%2 == 0 {
 		version--
 	}
-	text := s.text(c.Proxy, version, since, rec.Watch)
+	text := s.encode(c.Proxy, version, since, rec.Watch)
 	s.mu.Unlock()
 	if f.Down {
 		c.Reset()
@@ -178,12 +179,13 @@
 		return false
 	}
 	rec.Failed, rec.Version = false, version
-	s.note(c.Proxy, version)
+	s.recordTold(c.Proxy, version)
 	return true
 }
 
-// awaitChange holds a watch until there is something newer, or its time is over. false: it has ended.
-func (s *Service) awaitChange(since int, wait time.Duration, gone chan struct{}) bool {
+// awaitChange blocks a watch until there is a version after since, or wait is over. It returns false if the client has
+// disconnected or the service is down.
+func (s *Service) awaitChange(since int, wait time.Duration, clientGone chan struct{}) bool {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	for {
@@ -200,14 +202,15 @@
 		case <-changed:
 		case <-t.C:
 			return true
-		case <-gone:
+		case <-clientGone:
 			return false
 		}
 	}
 }
 
-// awaitTurn waits in the queue. ok: it has had its turn; else goesOn says whether the connection does.
-func (s *Service) awaitTurn(c *link.Conn, gone chan struct{}) (ok, goesOn bool) {
+// awaitTurn waits in the queue until the call is served. If the call fails, ok is false and keepOpen reports whether the
+// connection stays open.
+func (s *Service) awaitTurn(c *link.Conn, clientGone chan struct{}) (ok, keepOpen bool) {
 	refuse := func() (bool, bool) {
 		_, err := io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		return false, err == nil
@@ -224,22 +227,22 @@
 		return refuse()
 	}
 	s.waiting++
-	if s.free.Before(now) {
-		s.free = now
+	if s.queueEnd.Before(now) {
+		s.queueEnd = now
 	}
-	s.free = s.free.Add(time.Duration(float64(time.Second) / s.cfg.Rate))
-	turn := s.free
+	s.queueEnd = s.queueEnd.Add(time.Duration(float64(time.Second) / s.cfg.Rate))
+	turn := s.queueEnd
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
 		s.waiting--
 		s.mu.Unlock()
 	}()
-	// Who has left is still worked on in turn: the service finds out only when it answers.
+	// A call whose client has disconnected keeps its place in the queue: the service notices only when it answers.
 	late := turn.Sub(now) > s.cfg.Wait
 	time.Sleep(min(turn.Sub(now), s.cfg.Wait))
 	select {
-	case <-gone:
+	case <-clientGone:
 		return false, false
 	default:
 	}
@@ -249,7 +252,7 @@
 	return true, true
 }
 
-// wireEntry is an entry in the protocol's form.
+// wireEntry is an entry as the protocol encodes it.
 type wireEntry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -264,8 +267,8 @@
 	return wireEntry{ID: e.ID, Addr: e.Addr(proxy), Zone: e.Zone, State: e.State, Weight: e.Weight, Started: e.Started}
 }
 
-// text is the list at a version, or for a watch what has changed since one. mu is held.
-func (s *Service) text(proxy, version, since int, watch bool) []byte {
+// encode encodes the list at a version, or for a watch the changes after since. mu is held.
+func (s *Service) encode(proxy, version, since int, watch bool) []byte {
 	servers := []wireEntry{}
 	if watch && since <= version {
 		for _, c := range s.changes {
@@ -275,7 +278,7 @@
 		}
 	} else {
 		watch = false
-		for _, e := range s.at(version) {
+		for _, e := range s.entriesAt(version) {
 			if e.State != Gone {
 				servers = append(servers, e.wire(proxy))
 			}
@@ -283,14 +286,14 @@
 	}
 	text, err := json.Marshal(map[string]any{"version": version, "full": !watch, "servers": servers})
 	if err != nil {
-		panic(err) // entries hold nothing that JSON could not
+		panic(err) // cannot happen: all values can be encoded as JSON
 	}
 	return text
 }
 
-// at is the list as it was at a version. mu is held.
-func (s *Service) at(version int) []Entry {
-	list := slices.Clone(s.first)
+// entriesAt returns the list as of a version. mu is held.
+func (s *Service) entriesAt(version int) []Entry {
+	list := slices.Clone(s.initial)
 	for _, c := range s.changes {
 		if c.version > version {
 			break
@@ -304,22 +307,23 @@
 	return list
 }
 
-// note records what a proxy has been told up to a version, once for each change that sends must stop for.
-func (s *Service) note(proxy, version int) {
-	s.eachOnce(s.told, proxy, version, func(c change) {
+// recordTold records that a proxy was told of the changes up to a version, once for each change after which requests to the host
+// must stop.
+func (s *Service) recordTold(proxy, version int) {
+	s.forEachNewStop(s.told, proxy, version, func(c change) {
 		s.book.Add(record.Told{Proxy: proxy, Host: c.host, Changed: c.at, At: s.book.Now()})
 	})
 }
 
-// noteHeard records which of these words a proxy has taken, as it now asks for what is newer than a version.
-func (s *Service) noteHeard(proxy, version int) {
-	s.eachOnce(s.heard, proxy, version, func(c change) {
+// recordHeard records that a proxy has acknowledged these changes, by asking for changes after a version.
+func (s *Service) recordHeard(proxy, version int) {
+	s.forEachNewStop(s.heard, proxy, version, func(c change) {
 		s.book.Add(record.Heard{Proxy: proxy, Host: c.host, Changed: c.at, At: s.book.Now()})
 	})
 }
 
-// eachOnce calls f for the changes up to a version that sends must stop for, and that were not noted for this proxy before.
-func (s *Service) eachOnce(noted map[[2]int]bool, proxy, version int, f func(change)) {
+// forEachNewStop calls f for each change up to a version that makes a host draining or gone and is not yet noted for this proxy.
+func (s *Service) forEachNewStop(noted map[[2]int]bool, proxy, version int, f func(change)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, c := range s.changes {
@@ -332,9 +336,9 @@
 	}
 }
 
-// Known is the list as a proxy had it last, in the service's form.
-func (s *Service) Known(proxy int) json.RawMessage {
+// Snapshot returns the current list in full, with the addresses for a proxy, as the protocol encodes it.
+func (s *Service) Snapshot(proxy int) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.text(proxy, s.version, 0, false)
+	return s.encode(proxy, s.version, 0, false)
 }
--- a/internal/lab/list/list_test.go
+++ b/internal/lab/list/list_test.go
@@ -11,7 +11,8 @@
 	"beechwing/internal/lab/record"
 )
 
-type told struct {
+// answer is the decoded answer to a call.
+type answer struct {
 	Version int  `json:"version"`
 	Full    bool `json:"full"`
 	Servers []struct {
@@ -21,7 +22,7 @@
 	} `json:"servers"`
 }
 
-func call(s *Service, proxy int, query string) (m told, status int, err error) {
+func call(s *Service, proxy int, query string) (m answer, status int, err error) {
 	c := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	r, err := c.Get(fmt.Sprintf("http://%s/catalog/members%s", s.Addr(proxy), query))
 	if err != nil {
@@ -46,18 +47,20 @@
 	return s, book
 }
 
-// TestVersions: a watch tells what has changed, whom it tells that a host drains is recorded once, and each way to fail shows
-// as such: an old list, a version that goes back, an answer that breaks off, nothing at all.
+// TestVersions checks that a watch returns the changes, that telling a proxy of a draining host is recorded once, and that
+// each fault has its effect: an outdated list, a version that goes back, a truncated answer, no answer.
 func TestVersions(t *testing.T) {
 	s, book := start(t, Config{Rate: 1000, Queue: 10, Wait: time.Second})
-	if m, _, err := call(s, 7, ""); err != nil || m.Version != 1 || !m.Full || len(m.Servers) != 2 || m.Servers[0].Addr != "127.64.7.1:9" {
+	if m, _, err := call(s, 7, ""); err != nil || m.Version != 1 || !m.Full || len(m.Servers) != 2 ||
+		m.Servers[0].Addr != "127.64.7.1:9" {
 		t.Fatalf("%+v %v", m, err)
 	}
 	e := s.Entry(1)
 	e.State = Draining
 	time.AfterFunc(30*time.Millisecond, func() { s.Set(1, e) })
 	for range 2 {
-		if m, _, err := call(s, 7, "?since=1&timeout_ms=4000"); err != nil || m.Full || len(m.Servers) != 1 || m.Servers[0].State != Draining {
+		if m, _, err := call(s, 7, "?since=1&timeout_ms=4000"); err != nil || m.Full || len(m.Servers) != 1 ||
+			m.Servers[0].State != Draining {
 			t.Fatalf("%+v %v", m, err)
 		}
 	}
@@ -83,7 +86,8 @@
 	}
 }
 
-// TestQueue: calls are worked through in turn, and one over the queue's bound fails at once.
+// TestQueue checks that calls are served one after another at the configured rate, and that a call that finds the queue
+// full is rejected.
 func TestQueue(t *testing.T) {
 	s, book := start(t, Config{Rate: 20, Queue: 2, Wait: time.Second})
 	done := make(chan int, 3)
@@ -101,6 +105,6 @@
 		t.Errorf("%v", got)
 	}
 	if book.Now() < 100*time.Millisecond {
-		t.Errorf("two calls at 20 a second took %v", book.Now())
+		t.Errorf("two calls at 20 calls per second took %v", book.Now())
 	}
 }
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -165,7 +165,7 @@
 		Seed: r.Seed + uint64(p), Cores: r.s.Proxy.Cores, MemoryMB: r.s.Proxy.MemoryMB, Sockets: r.s.Proxy.Sockets,
 		Settings: settings(r.s, p), Site: site, Ops: proxyAddr(p), Dir: filepath.Join(r.Dir, fmt.Sprintf("p%03d", p))}
 	if r.s.Proxy.Knows {
-		c.Known = r.list.Known(p)
+		c.Known = r.list.Snapshot(p)
 	}
 	if r.Log != "" {
 		c.Env = append(c.Env, "BEECHWING_LOG="+r.Log)
