--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin is a small client proxy by the platform's protocol, right in all that the judge of the lab looks at, that
-// can be given one defect. It is there to find out whether the judge sees what it claims to see. It shares no code with the
-// program that the lab is for.
+// Package standin implements a small client proxy that speaks the platform's protocol and can be given one deliberate
+// defect. Without a defect it behaves correctly in everything that the lab checks. The lab's self-test runs it with each
+// defect, to verify that the checks detect what they claim to detect. It shares no code with the program under test.
 package standin
 
 import (
@@ -21,29 +21,30 @@
 	"time"
 )
 
-// The defects.
+// Defects that a proxy can be given.
 const (
 	None       = "none"
-	Twice      = "twice"       // an unsafe request goes to two hosts
-	TwoAnswers = "two-answers" // an answer is followed by another
-	Late       = "late"        // answers come long after their time
-	Nobody     = "nobody"      // answers are made up
-	AfterDrain = "after-drain" // a host that drains gets requests as before
-	PushCold   = "push-cold"   // a host that has just started gets everything
+	Twice      = "twice"       // a request that must run once is sent to two hosts
+	TwoAnswers = "two-answers" // the answer is sent twice
+	Late       = "late"        // answers are sent 400 ms after their deadline
+	Nobody     = "nobody"      // the answer is made up, no host sent it
+	AfterDrain = "after-drain" // draining hosts get requests as before
+	PushCold   = "push-cold"   // hosts that have just started get all requests
 	Lose       = "lose"        // connections are closed in the middle of an answer
-	Leak       = "leak"        // descriptors are never given back
-	RefuseRan  = "refuse-ran"  // what may have run is refused
-	SendAfter  = "send-after"  // requests are sent again after their answer
-	Crash      = "crash"       // the process ends by itself
-	Hoard      = "hoard"       // memory grows without an end
+	Leak       = "leak"        // file descriptors are never closed
+	RefuseRan  = "refuse-ran"  // a request that may have run is answered as refused
+	SendAfter  = "send-after"  // requests are sent again after they were answered
+	Crash      = "crash"       // the process exits by itself
+	Hoard      = "hoard"       // memory use grows without bound
 )
 
-// Defects are all of them.
+// Defects lists all defects except None.
 var Defects = []string{Twice, TwoAnswers, Late, Nobody, AfterDrain, PushCold, Lose, Leak, RefuseRan, SendAfter, Crash, Hoard}
 
-// every is how many requests pass between two on which a defect shows.
-const every = 7
+// defectPeriod is the period of a defect: most defects affect one request in so many.
+const defectPeriod = 7
 
+// server is a host in the list of the platform's discovery.
 type server struct {
 	ID      string `json:"id"`
 	Addr    string `json:"addr"`
@@ -51,12 +52,14 @@
 	Started int64  `json:"started_ms"`
 }
 
+// members is an answer of the platform's discovery: the whole list if Full is set, else the changes.
 type members struct {
 	Version int      `json:"version"`
 	Full    bool     `json:"full"`
 	Servers []server `json:"servers"`
 }
 
+// config is the part of the PROXY_CONFIG file that the proxy uses.
 type config struct {
 	Listen    string  `json:"listen"`
 	Discovery string  `json:"discovery"`
@@ -69,19 +72,19 @@
 
 type proxy struct {
 	config
-	defect  string
-	mu      sync.Mutex
-	hosts   map[string]server
-	version int
-	next    int
-	count   atomic.Int64
-	ending  atomic.Bool
-	busy    sync.WaitGroup
-	leaked  []*os.File
-	hoarded [][]byte
+	defect       string
+	mu           sync.Mutex
+	hosts        map[string]server
+	version      int
+	next         int            // round-robin position
+	count        atomic.Int64   // requests received
+	ending       atomic.Bool    // SIGTERM received: connections end after the current request
+	busy         sync.WaitGroup // requests in progress
+	leakedFiles  []*os.File
+	leakedMemory [][]byte
 }
 
-// Run is the whole program: it reads PROXY_CONFIG and serves until SIGTERM.
+// Run runs the proxy with a defect: it reads the file that PROXY_CONFIG names and serves until SIGTERM.
 func Run(defect string) error {
 	text, err := os.ReadFile(os.Getenv("PROXY_CONFIG"))
 	if err != nil {
@@ -91,7 +94,7 @@
 	if err := json.Unmarshal(text, &p.config); err != nil {
 		return err
 	}
-	p.learn(p.Known)
+	p.updateHosts(p.Known)
 	ln, err := net.Listen("tcp", p.Listen)
 	if err != nil {
 		return err
@@ -105,13 +108,14 @@
 	signal.Notify(end, syscall.SIGTERM)
 	<-end
 	p.ending.Store(true)
-	time.Sleep(400 * time.Millisecond) // for connections that still come
+	time.Sleep(400 * time.Millisecond) // accept connections that clients are still opening
 	ln.Close()
 	p.busy.Wait()
 	return nil
 }
 
-func (p *proxy) learn(m members) {
+// updateHosts applies an answer of the discovery to the known hosts.
+func (p *proxy) updateHosts(m members) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m.Full {
@@ -123,7 +127,7 @@
 	p.version = m.Version
 }
 
-// watch follows the list for ever.
+// watch follows the changes of the list until the process exits.
 func (p *proxy) watch() {
 	for {
 		p.mu.Lock()
@@ -139,7 +143,7 @@
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		p.learn(m)
+		p.updateHosts(m)
 	}
 }
 
@@ -170,49 +174,50 @@
 			return
 		}
 		p.busy.Add(1)
-		goesOn := p.answer(c, r, body)
+		keepOpen := p.answer(c, r, body)
 		p.busy.Done()
-		if !goesOn || p.ending.Load() {
+		if !keepOpen || p.ending.Load() {
 			return
 		}
 	}
 }
 
+// answer serves one request and reports whether the connection stays open.
 func (p *proxy) answer(c net.Conn, r *http.Request, body []byte) bool {
 	ms, err := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Remaining"), "m"))
 	if err != nil {
 		return false
 	}
 	deadline := time.Now().Add(time.Duration(ms) * time.Millisecond)
-	defective := p.count.Add(1)%every == 0
-	is := func(defect string) bool { return defective && p.defect == defect }
+	defective := p.count.Add(1)%defectPeriod == 0
+	hasDefect := func(defect string) bool { return defective && p.defect == defect }
 	switch {
-	case is(Lose):
+	case hasDefect(Lose):
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Le")
 		return false
-	case is(Leak):
+	case hasDefect(Leak):
 		if f, err := os.Open(os.DevNull); err == nil {
 			p.mu.Lock()
-			p.leaked = append(p.leaked, f)
+			p.leakedFiles = append(p.leakedFiles, f)
 			p.mu.Unlock()
 		}
-	case is(Hoard):
+	case hasDefect(Hoard):
 		p.mu.Lock()
-		p.hoarded = append(p.hoarded, bytes.Repeat([]byte{1}, 1<<20))
+		p.leakedMemory = append(p.leakedMemory, bytes.Repeat([]byte{1}, 1<<20))
 		p.mu.Unlock()
 	}
 	status, text := p.send(r, body, deadline)
-	once := p.once(r)
+	runsOnce := p.isOnce(r)
 	switch {
-	case is(Twice) && once && status == http.StatusOK:
+	case hasDefect(Twice) && runsOnce && status == http.StatusOK:
 		p.send(r, body, deadline)
-	case is(Nobody):
+	case hasDefect(Nobody):
 		status, text = http.StatusOK, "h000 made-up\n"
-	case is(Late):
+	case hasDefect(Late):
 		time.Sleep(time.Until(deadline) + 400*time.Millisecond)
-	case p.defect == RefuseRan && once && status != http.StatusOK:
+	case p.defect == RefuseRan && runsOnce && status != http.StatusOK:
 		status = http.StatusServiceUnavailable
-	case is(SendAfter) && !once:
+	case hasDefect(SendAfter) && !runsOnce:
 		defer func() {
 			p.busy.Add(1)
 			go func() {
@@ -223,14 +228,15 @@
 		}()
 	}
 	message := fmt.Sprintf("HTTP/1.1 %d Status\r\nContent-Length: %d\r\n\r\n%s", status, len(text), text)
-	if is(TwoAnswers) {
+	if hasDefect(TwoAnswers) {
 		message += message
 	}
 	_, err = io.WriteString(c, message)
 	return err == nil
 }
 
-func (p *proxy) once(r *http.Request) bool {
+// isOnce reports whether the class of a request must not be executed more than once.
+func (p *proxy) isOnce(r *http.Request) bool {
 	for _, k := range p.Settings.Classes {
 		if k.Name == r.Header.Get("X-Lane") {
 			return k.Effect == "once"
@@ -239,7 +245,7 @@
 	return false
 }
 
-// pick takes the hosts in turn; cold ones get nothing while others are there.
+// pick returns the next host by round robin. Cold hosts are used only if there are no warm ones.
 func (p *proxy) pick() (server, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -266,7 +272,7 @@
 	return warm[p.next%len(warm)], true
 }
 
-// send makes one attempt.
+// send makes one attempt and returns the status and body of the answer.
 func (p *proxy) send(r *http.Request, body []byte, deadline time.Time) (status int, text string) {
 	host, ok := p.pick()
 	if !ok {
