--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -75,7 +75,7 @@
 type Target struct {
 	network  *Network
 	number   int
-	reserved *port.Held // kept while the target is down, so that it comes back at the same port
+	reserved *port.Reservation // kept while the target is down, so that it comes back at the same port
 	serve    func(*Conn)
 	mu       sync.Mutex
 	ln       net.Listener
@@ -91,11 +91,11 @@
 	defer t.mu.Unlock()
 	g := &Target{network: t, number: len(t.targets), serve: serve, conns: map[*Conn]struct{}{}}
 	var err error
-	if g.reserved, err = port.Hold(netip.AddrPortFrom(netip.IPv4Unspecified(), 0)); err != nil {
+	if g.reserved, err = port.Reserve(netip.AddrPortFrom(netip.IPv4Unspecified(), 0)); err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
 	if err := g.Up(); err != nil {
-		g.reserved.Free()
+		g.reserved.Release()
 		return nil, err
 	}
 	t.targets = append(t.targets, g)
@@ -257,7 +257,7 @@
 	t.mu.Unlock()
 	for _, g := range targets {
 		g.wg.Wait()
-		g.reserved.Free()
+		g.reserved.Release()
 	}
 }
 
--- a/internal/lab/port/port_test.go
+++ b/internal/lab/port/port_test.go
@@ -6,21 +6,22 @@
 	"testing"
 )
 
-// A port that is held goes to no connection of somebody else's, however many are opened, and a listener can come, go and come back.
+// TestHeldPortStays checks that the kernel gives a reserved port to no outgoing connection as its source port, and that a
+// server can listen there repeatedly.
 func TestHeldPortStays(t *testing.T) {
-	h, err := Hold(netip.MustParseAddrPort("127.0.0.1:0"))
+	h, err := Reserve(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer h.Free()
-	busy, err := net.Listen("tcp4", "127.0.0.1:0")
+	defer h.Release()
+	other, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer busy.Close()
+	defer other.Close()
 	if c, err := net.Dial("tcp4", h.Addr().String()); err == nil {
 		c.Close()
-		t.Error("a connection to a held port that nobody listens at came up")
+		t.Error("connected to a reserved port at which nobody listens")
 	}
 	for range 3 {
 		ln, err := net.Listen("tcp4", h.Addr().String())
@@ -30,13 +31,13 @@
 		ln.Close()
 	}
 	for range 500 {
-		c, err := net.Dial("tcp4", busy.Addr().String())
+		c, err := net.Dial("tcp4", other.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		if c.LocalAddr().(*net.TCPAddr).Port == int(h.Addr().Port()) {
-			t.Fatal("a connection was given the held port")
+			t.Fatal("a connection was given the reserved port")
 		}
 	}
 }
--- a/internal/lab/rig/faults.go
+++ b/internal/lab/rig/faults.go
@@ -269,7 +269,7 @@
 			return
 		}
 		if r.s.Proxy.Knows {
-			m.Know(r.list.Snapshot(p))
+			m.SetKnown(r.list.Snapshot(p))
 		}
 		r.fail(r.launch(m))
 	case "stop":
