--- a/internal/lab/tally/tally.go
+++ b/internal/lab/tally/tally.go
@@ -1,5 +1,6 @@
-// Package tally counts, second by second, what the logs of a whole fleet tell: what no proxy sees alone. It reads what
-// beechwing writes at level debug, and believes nothing else.
+// Package tally aggregates the debug logs of all proxies of a fleet into counts per second, which show what no single proxy
+// can see. Its only input is the log that beechwing writes at level debug. Folder reads the logs into a Table, which Write
+// and WriteHosts print.
 package tally
 
 import (
@@ -20,44 +21,45 @@
 )
 
 const (
-	longestLine    = 1 << 20
-	longestAttempt = 600_000 // milliseconds; what took longer counts as that
-	// A host counts as bad in a second in which badShare of badLeast or more attempts on it failed or were late.
-	badShare, badLeast = 0.5, 4
+	longestLine    = 1 << 20 // bytes
+	longestAttempt = 600_000 // milliseconds; longer attempts are recorded with this duration
+	// A host counts as bad in a second with at least badMinAttempts attempts on it, of which at least the share badShare
+	// failed or timed out.
+	badShare, badMinAttempts = 0.5, 4
 )
 
-// Second is what all proxies together did in one second.
+// Second holds the counts of all proxies for one second.
 type Second struct {
-	Attempts, Again      int            // sent, and those of them that were not a request's first
-	Results              map[string]int // of attempts, by the log's word
-	Served, Refused      int            // answers
-	Failed               int
-	ListOK, ListFailed   int // calls for the list
-	ListLeft             int // those that were given up to leave a watch
-	Ejections, ZonesOut  int
-	Panics, Starts       int
-	Accepted, Ended      int // connections of clients, health calls among them
-	Read                 int // requests, health calls not among them
-	BadHosts, OnBadHosts int // hosts that were bad in it, and the attempts on them
-	hosts                map[string]*record
+	Attempts, Retries         int            // all attempts, and those of them that are retries
+	Results                   map[string]int // attempts by the result in the log
+	Served, Refused           int            // answers with status 200; with 429 or 503
+	Failed                    int            // answers with any other status
+	ListOK, ListFailed        int            // calls to the list service
+	ListLeft                  int            // watches that the proxy gave up; not among ListFailed
+	Ejections, ZonesOut       int
+	Panics, Starts            int // starts of panic mode; starts of proxies
+	Accepted, Ended           int // connections of clients, health checks included
+	Read                      int // requests read, health checks excluded
+	BadHosts, BadHostAttempts int // hosts that count as bad, and the attempts on them
+	hosts                     map[string]*hostRecord
 }
 
-// record is what came back from one host.
-type record struct {
+// hostRecord holds the attempts on one host within one second.
+type hostRecord struct {
 	all, bad, timedOut int
-	took               *hdrhistogram.Histogram // of attempts however they ended, in milliseconds
+	took               *hdrhistogram.Histogram // duration of all attempts in milliseconds, whatever their result
 }
 
-func newRecord() *record { return &record{took: hdrhistogram.New(1, longestAttempt, 2)} }
+func newHostRecord() *hostRecord { return &hostRecord{took: hdrhistogram.New(1, longestAttempt, 2)} }
 
-// Table holds the seconds by their number.
+// Table holds the seconds by their number, counted from the start of the day or of the logs.
 type Table struct {
-	Seconds map[int]*Second
-	Skipped int       // lines that are no log lines
-	zero    time.Time // of lines that carry no time but their own
+	Seconds   map[int]*Second
+	Skipped   int       // lines that could not be parsed as log lines
+	firstTime time.Time // start of second 0 for lines without a prefix: the first timestamp read
 }
 
-// line is a log line; fields that it lacks stay empty.
+// line is a parsed log line. Fields that the line does not have stay empty.
 type line struct {
 	TS      string  `json:"ts"`
 	Msg     string  `json:"msg"`
@@ -70,8 +72,8 @@
 	Left    bool    `json:"left"`
 }
 
-// Folder counts all files that end in .log. A line may begin with seconds since the start of the day; else its own time
-// counts, from the first one that is read.
+// Folder aggregates all files of a directory that end in .log. The prefix of a line may give the time in seconds since the
+// start of the day. For a line without such a prefix the time is its own timestamp, relative to the first timestamp read.
 func Folder(dir string) (*Table, error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err == nil && len(names) == 0 {
@@ -108,7 +110,7 @@
 	return nil
 }
 
-// read counts one line.
+// read parses and counts one line.
 func (t *Table) read(text []byte) {
 	at := bytes.IndexByte(text, '{')
 	var l line
@@ -124,6 +126,8 @@
 	s.count(l)
 }
 
+// second returns the Second to which a line belongs, by its prefix or else by its timestamp. It returns false if neither
+// can be parsed.
 func (t *Table) second(prefix, stamp string) (*Second, bool) {
 	at, err := strconv.ParseFloat(prefix, 64)
 	if err != nil {
@@ -131,18 +135,19 @@
 		if err != nil {
 			return nil, false
 		}
-		if t.zero.IsZero() {
-			t.zero = when
+		if t.firstTime.IsZero() {
+			t.firstTime = when
 		}
-		at = when.Sub(t.zero).Seconds()
+		at = when.Sub(t.firstTime).Seconds()
 	}
 	n := int(at)
 	if t.Seconds[n] == nil {
-		t.Seconds[n] = &Second{Results: map[string]int{}, hosts: map[string]*record{}}
+		t.Seconds[n] = &Second{Results: map[string]int{}, hosts: map[string]*hostRecord{}}
 	}
 	return t.Seconds[n], true
 }
 
+// count adds a line to the counts.
 func (s *Second) count(l line) {
 	switch l.Msg {
 	case "attempt":
@@ -174,8 +179,8 @@
 	case "request read":
 		s.Read++
 	default:
-		for word, n := range map[string]*int{"ejected ": &s.Ejections, "zone ": &s.ZonesOut, "panic: ": &s.Panics} {
-			if len(l.Msg) > len(word) && l.Msg[:len(word)] == word {
+		for prefix, n := range map[string]*int{"ejected ": &s.Ejections, "zone ": &s.ZonesOut, "panic: ": &s.Panics} {
+			if len(l.Msg) > len(prefix) && l.Msg[:len(prefix)] == prefix {
 				*n++
 			}
 		}
@@ -185,12 +190,12 @@
 func (s *Second) attempt(l line) {
 	s.Attempts++
 	if l.Attempt > 0 {
-		s.Again++
+		s.Retries++
 	}
 	s.Results[l.Result]++
 	h := s.hosts[l.Host]
 	if h == nil {
-		h = newRecord()
+		h = newHostRecord()
 		s.hosts[l.Host] = h
 	}
 	h.all++
@@ -203,27 +208,28 @@
 	}
 }
 
+// findBad counts the bad hosts of each second, once all files have been read.
 func (t *Table) findBad() {
 	for _, s := range t.Seconds {
 		for _, h := range s.hosts {
-			if h.all >= badLeast && float64(h.bad) >= badShare*float64(h.all) {
+			if h.all >= badMinAttempts && float64(h.bad) >= badShare*float64(h.all) {
 				s.BadHosts++
-				s.OnBadHosts += h.all
+				s.BadHostAttempts += h.all
 			}
 		}
 	}
 }
 
-// Write prints the table.
+// Write prints a row for each second.
 func (t *Table) Write(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "s\tstarts\taccepted\tended\tread\tserved\trefused\tfailed\tattempts\tagain\terror\ttimed out\tturned away\tnot connected\treset\t"+
 		"bad hosts\ton them\tejected\tzone out\tpanic\tlist ok\tlist failed\tlist left\t")
 	for _, n := range slices.Sorted(maps.Keys(t.Seconds)) {
 		s := t.Seconds[n]
-		for _, v := range []int{n, s.Starts, s.Accepted, s.Ended, s.Read, s.Served, s.Refused, s.Failed, s.Attempts, s.Again, s.Results["error"],
-			s.Results["timed out"], s.Results["turned away"], s.Results["not connected"], s.Results["reset"],
-			s.BadHosts, s.OnBadHosts, s.Ejections, s.ZonesOut, s.Panics, s.ListOK, s.ListFailed, s.ListLeft} {
+		for _, v := range []int{n, s.Starts, s.Accepted, s.Ended, s.Read, s.Served, s.Refused, s.Failed, s.Attempts, s.Retries,
+			s.Results["error"], s.Results["timed out"], s.Results["turned away"], s.Results["not connected"], s.Results["reset"],
+			s.BadHosts, s.BadHostAttempts, s.Ejections, s.ZonesOut, s.Panics, s.ListOK, s.ListFailed, s.ListLeft} {
 			fmt.Fprintf(w, "%d\t", v)
 		}
 		fmt.Fprintln(w)
@@ -231,7 +237,8 @@
 	return w.Flush()
 }
 
-// WriteHosts prints a row for each host and second: which crowd while others idle shows in no sum over all of them.
+// WriteHosts prints a row for each second and host. It shows an uneven distribution of load over the hosts, which sums over
+// all hosts hide.
 func (t *Table) WriteHosts(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "s\thost\tattempts\ttimed out\tmedian ms\t")
--- a/internal/lab/tally/tally_test.go
+++ b/internal/lab/tally/tally_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestFolder: two proxies' logs, one with the seconds of the day ahead of its lines and one without; what is no log line
-// is skipped and counted.
+// TestFolder reads the logs of two proxies, one with seconds of the day as a prefix of its lines and one without. Lines that
+// cannot be parsed are skipped and counted.
 func TestFolder(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -42,9 +42,9 @@
 	}
 	s := table.Seconds[1]
 	if table.Skipped != 2 || table.Seconds[0].Starts != 1 || table.Seconds[0].Served != 1 {
-		t.Errorf("skipped %d, first second %+v", table.Skipped, table.Seconds[0])
+		t.Errorf("skipped %d, second 0: %+v", table.Skipped, table.Seconds[0])
 	}
-	if s.Attempts != 4 || s.Again != 1 || s.Results["error"] != 2 || s.BadHosts != 1 || s.OnBadHosts != 4 || s.Refused != 1 ||
+	if s.Attempts != 4 || s.Retries != 1 || s.Results["error"] != 2 || s.BadHosts != 1 || s.BadHostAttempts != 4 || s.Refused != 1 ||
 		s.ListOK != 1 || s.ListFailed != 1 || s.ListLeft != 1 || s.Ejections != 1 {
 		t.Errorf("second 1: %+v", s)
 	}
@@ -60,6 +60,6 @@
 		t.Errorf("%v\n%s", err, out.String())
 	}
 	if _, err := Folder(filepath.Join(dir, "none")); err == nil {
-		t.Error("a folder without logs is taken")
+		t.Error("no error for a folder without logs")
 	}
 }
