--- a/internal/lab/caller/caller.go
+++ b/internal/lab/caller/caller.go
@@ -1,7 +1,7 @@
-// Package caller is the application beside each proxy, by the platform's protocol: it sends what its schedule says whatever
-// comes back (an open loop), keeps connections, and tries again after a refusal when it was told to. Latency counts from the
-// moment a request was meant to go out, so that a proxy that stalls is seen as its callers see it (Tene, "How NOT to Measure
-// Latency", 2013). It records each request and its end.
+// Package caller implements the test client of a proxy, an application that speaks the platform's protocol. It sends requests
+// at scheduled times whatever the answers are (an open loop), reuses connections, and retries a refused request if the answer
+// has Retry-After. Latency counts from the scheduled time, so that a stall of the proxy shows as its clients experience it
+// (Tene, "How NOT to Measure Latency", 2013). Caller records each request and its outcome.
 package caller
 
 import (
@@ -21,73 +21,75 @@
 	"beechwing/internal/lab/record"
 )
 
-// Class is what a caller says of a class.
+// Class describes the requests of a class.
 type Class struct {
 	Name     string
 	Safe     bool
 	Deadline time.Duration
 }
 
-// Patience is for how long past its deadline a caller still listens on an idle machine, so that a late answer is told from a lost one.
+// Patience is the default time after the deadline during which a caller still waits for the answer, so that a late answer is
+// distinguished from a lost one. It suits a machine without other load.
 const Patience = 1500 * time.Millisecond
 
-// Caller is all connections to one proxy.
+// Caller is the client of one proxy, with all its connections.
 type Caller struct {
 	addr    string
 	proxy   int
 	classes []Class
 	retries int
-	// Patience is for how long past its deadline it still listens.
-	Patience time.Duration
-	book     *record.Book
-	mu       sync.Mutex
-	random   *rand.Rand
-	idle     []*conn
-	life     int // of the proxy, by the run's own kills
-	wg       sync.WaitGroup
+	// Patience is how long after the deadline the caller still waits for an answer.
+	Patience   time.Duration
+	book       *record.Book
+	mu         sync.Mutex
+	random     *rand.Rand
+	idle       []*conn
+	generation int // generation of the proxy process, incremented by ProxyKilled
+	wg         sync.WaitGroup
 }
 
 type conn struct {
 	net.Conn
-	br   *bufio.Reader
-	used bool
-	life int
-	last string // the request answered on it last
+	br         *bufio.Reader
+	used       bool   // a request was sent on it
+	generation int    // generation of the proxy at the time of the dial
+	last       string // ID of the request that was answered last
 }
 
-const idleMost = 64 // connections kept
+const maxIdle = 64 // maximum number of idle connections
 
-// New makes the caller of a proxy.
+// New returns the caller of the proxy at addr.
 func New(addr string, proxy int, classes []Class, retries int, seed uint64, book *record.Book) *Caller {
 	return &Caller{addr: addr, proxy: proxy, classes: classes, retries: retries, book: book, Patience: Patience,
 		random: rand.New(rand.NewPCG(seed, 13))}
 }
 
-// Ask sends one request, due at a moment, in a goroutine of its own. ended is called once it and its retries have ended.
+// Ask sends one request in a goroutine of its own, without delay; due is the scheduled time that is recorded. ended is called
+// once the request and its retries have ended.
 func (c *Caller) Ask(due time.Duration, id string, class int, key uint64, ended func()) {
 	c.wg.Go(func() {
 		defer ended()
-		c.try(record.Ask{ID: id, Proxy: c.proxy, Class: class, Key: key, Due: due}, c.retries)
+		c.send(record.Ask{ID: id, Proxy: c.proxy, Class: class, Key: key, Due: due}, c.retries)
 	})
 }
 
-// Close waits for all answers and ends the connections.
+// Close waits for all answers and closes the connections.
 func (c *Caller) Close() {
 	c.wg.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, one := range c.idle {
-		c.listen(one)
-		one.Close()
+	for _, cn := range c.idle {
+		c.checkExtra(cn)
+		cn.Close()
 	}
 	c.idle = nil
 }
 
-// listen looks whether anything has come on a connection that nothing was asked on. It looks into the socket: a read would
-// have to wait.
-func (c *Caller) listen(one *conn) (extra bool) {
-	extra = one.br.Buffered() > 0
-	if raw, err := one.Conn.(*net.TCPConn).SyscallConn(); err == nil && !extra {
+// checkExtra reports and records whether unexpected data has arrived on an idle connection. It peeks at the socket without
+// blocking, which a read could not do.
+func (c *Caller) checkExtra(cn *conn) (extra bool) {
+	extra = cn.br.Buffered() > 0
+	if raw, err := cn.Conn.(*net.TCPConn).SyscallConn(); err == nil && !extra {
 		raw.Control(func(fd uintptr) {
 			var b [1]byte
 			n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -95,12 +97,13 @@
 		})
 	}
 	if extra {
-		c.book.Add(record.Extra{ID: one.last, Proxy: c.proxy, At: c.book.Now()})
+		c.book.Add(record.Extra{ID: cn.last, Proxy: c.proxy, At: c.book.Now()})
 	}
 	return extra
 }
 
-func (c *Caller) try(a record.Ask, retries int) {
+// send sends a request and records the outcome. If the answer allows a retry, it sends a new request after the given time.
+func (c *Caller) send(a record.Ask, retries int) {
 	a.Deadline = c.classes[a.Class].Deadline
 	c.exchange(&a)
 	a.Done = c.book.Now()
@@ -112,25 +115,25 @@
 	c.mu.Lock()
 	id := fmt.Sprintf("%016x", c.random.Uint64())
 	c.mu.Unlock()
-	c.try(record.Ask{ID: id, Proxy: a.Proxy, Class: a.Class, Key: a.Key, Due: c.book.Now(), Again: true}, retries-1)
+	c.send(record.Ask{ID: id, Proxy: a.Proxy, Class: a.Class, Key: a.Key, Due: c.book.Now(), Again: true}, retries-1)
 }
 
-// exchange sends a request and takes its answer. One that is written to a connection that the proxy closes between two
-// requests goes once more on a new one, as the protocol says of clients.
+// exchange sends a request and reads its answer. If the proxy closed a reused connection while the request was being sent,
+// the request is sent once more on a new connection, as the protocol requires of clients.
 func (c *Caller) exchange(a *record.Ask) {
 	for range 2 {
-		one, err := c.take(a.Sent > 0)
+		cn, err := c.getConn(a.Sent > 0)
 		if err != nil {
 			a.End = record.Unsent
 			return
 		}
-		used := one.used
-		err = c.on(one, a)
+		used := cn.used
+		err = c.exchangeOn(cn, a)
 		if err == nil {
 			return
 		}
-		one.Close()
-		if !used || !crossed(err) || c.killed(one) {
+		cn.Close()
+		if !used || !closedBeforeAnswer(err) || c.isStale(cn) {
 			a.End = record.Lost
 			return
 		}
@@ -138,52 +141,58 @@
 	a.End = record.Lost
 }
 
-// Kill is said just ahead of killing the proxy: what it has taken by then is not sent again, since it may have run.
-func (c *Caller) Kill() {
+// ProxyKilled closes the idle connections. It must be called just before the proxy is killed. Requests that the proxy has
+// received by then are not sent again, since they may have run.
+func (c *Caller) ProxyKilled() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life++
-	for _, one := range c.idle {
-		one.Close()
+	c.generation++
+	for _, cn := range c.idle {
+		cn.Close()
 	}
 	c.idle = nil
 }
 
-func (c *Caller) killed(one *conn) bool {
+// isStale reports whether the proxy was killed after the connection was opened.
+func (c *Caller) isStale(cn *conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return one.life != c.life
+	return cn.generation != c.generation
 }
 
-// crossed says whether a connection ended before any byte of an answer.
-func crossed(err error) bool {
+// closedBeforeAnswer reports whether err means that the connection ended before the first byte of the answer, as when the
+// proxy closes the connection while the request is on its way.
+func closedBeforeAnswer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-func (c *Caller) take(fresh bool) (*conn, error) {
+// getConn returns an idle connection, or a new one if newConn is set or none is idle.
+func (c *Caller) getConn(newConn bool) (*conn, error) {
 	c.mu.Lock()
-	if n := len(c.idle); n > 0 && !fresh {
-		one := c.idle[n-1]
+	if n := len(c.idle); n > 0 && !newConn {
+		cn := c.idle[n-1]
 		c.idle = c.idle[:n-1]
 		c.mu.Unlock()
-		if c.listen(one) {
-			one.Close()
-			return c.take(true)
+		if c.checkExtra(cn) {
+			cn.Close()
+			return c.getConn(true)
 		}
-		return one, nil
+		return cn, nil
 	}
-	life := c.life
+	generation := c.generation
 	c.mu.Unlock()
 	nc, err := net.DialTimeout("tcp", c.addr, time.Second)
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, 1<<10), life: life}, nil
+	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, 1<<10), generation: generation}, nil
 }
 
+// unsafeBody is the body of requests of classes that are not safe to repeat.
 const unsafeBody = "take one seat\n"
 
-func (c *Caller) on(one *conn, a *record.Ask) error {
+// exchangeOn sends a request on a connection and reads the answer into a. It keeps the connection for reuse where possible.
+func (c *Caller) exchangeOn(cn *conn, a *record.Ask) error {
 	class := c.classes[a.Class]
 	method, body := "POST", unsafeBody
 	if class.Safe {
@@ -203,16 +212,16 @@
 	}
 	text.WriteString("\r\n" + body)
 	a.Began = c.book.Now()
-	if _, err := io.WriteString(one, text.String()); err != nil {
+	if _, err := io.WriteString(cn, text.String()); err != nil {
 		return err
 	}
 	a.Sent = c.book.Now()
-	one.used = true
-	one.SetReadDeadline(time.Now().Add(class.Deadline + c.Patience))
-	if _, err := one.br.Peek(1); err != nil { // ReadResponse would call an end ahead of any byte an unexpected one
+	cn.used = true
+	cn.SetReadDeadline(time.Now().Add(class.Deadline + c.Patience))
+	if _, err := cn.br.Peek(1); err != nil { // ReadResponse would report io.ErrUnexpectedEOF for a close before the first byte
 		return err
 	}
-	r, err := http.ReadResponse(one.br, nil)
+	r, err := http.ReadResponse(cn.br, nil)
 	if err != nil {
 		return err
 	}
@@ -227,16 +236,16 @@
 	if s, err := strconv.ParseFloat(r.Header.Get("Retry-After"), 64); err == nil && a.Refused() {
 		a.RetryIn = time.Duration(s * float64(time.Second))
 	}
-	if one.last = a.ID; r.Close {
-		one.Close()
+	if cn.last = a.ID; r.Close {
+		cn.Close()
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle) < idleMost && one.life == c.life {
-		c.idle = append(c.idle, one)
+	if len(c.idle) < maxIdle && cn.generation == c.generation {
+		c.idle = append(c.idle, cn)
 	} else {
-		one.Close()
+		cn.Close()
 	}
 	return nil
 }
--- a/internal/lab/rig/faults.go
+++ b/internal/lab/rig/faults.go
@@ -244,7 +244,7 @@
 	case "kill":
 		m.mu.Lock()
 		m.wanted = false
-		r.callers[p].Kill()
+		r.callers[p].ProxyKilled()
 		r.book.Add(record.Event{At: r.book.Now(), Kind: record.Killed, Proxy: p, Host: -1})
 		m.Signal(syscall.SIGKILL)
 		m.mu.Unlock()
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -361,7 +361,7 @@
 		m.Stop()
 	}
 	for _, c := range r.callers {
-		c.Kill()
+		c.ProxyKilled()
 	}
 	r.peers.Close()
 	r.net.Close()
