--- a/cmd/beechwing-lab/idle.go
+++ b/cmd/beechwing-lab/idle.go
@@ -110,7 +110,7 @@
 	var base int64
 	for _, n := range append([]int{0}, e.held...) {
 		err := e.with(ctx, site, func(p *process.Proxy, _ []*fleet.Node) error {
-			crowd, err := load.Gather(p.Addr, n, gatherers)
+			crowd, err := load.OpenIdle(p.Addr, n, gatherers)
 			if err != nil {
 				return err
 			}
@@ -132,7 +132,7 @@
 			if n > 0 {
 				each = fmt.Sprint((after.RSS - base) / int64(n))
 			}
-			fmt.Fprintf(e.out, "%10d %10d %12.1f %12s %12.2f\n", n, crowd.Held(), float64(after.RSS)/(1<<20), each,
+			fmt.Fprintf(e.out, "%10d %10d %12.1f %12s %12.2f\n", n, crowd.CountOpen(), float64(after.RSS)/(1<<20), each,
 				1000*(after.CPU-before.CPU).Seconds()/e.settle.Seconds())
 			return nil
 		})
@@ -154,19 +154,19 @@
 	for run := range e.repeats {
 		for _, n := range []int{0, e.beside} {
 			err := e.with(ctx, site, func(p *process.Proxy, _ []*fleet.Node) error {
-				crowd, err := load.Gather(p.Addr, n, gatherers)
+				crowd, err := load.OpenIdle(p.Addr, n, gatherers)
 				if err != nil {
 					return err
 				}
 				defer crowd.Close()
-				if _, err := load.Steady(p.Addr, e.rate, time.Second, 99); err != nil { // pools fill, the heap settles
+				if _, err := load.SendSteady(p.Addr, e.rate, time.Second, 99); err != nil { // pools fill, the heap settles
 					return err
 				}
 				before, err := p.Usage()
 				if err != nil {
 					return err
 				}
-				r, err := load.Steady(p.Addr, e.rate, e.span, uint64(run))
+				r, err := load.SendSteady(p.Addr, e.rate, e.span, uint64(run))
 				if err != nil {
 					return err
 				}
@@ -174,7 +174,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(e.out, "%10d %10d %9d %9d %9d %9d %12.1f\n", crowd.Held(), r.Served, r.Refused,
+				fmt.Fprintf(e.out, "%10d %10d %9d %9d %9d %9d %12.1f\n", crowd.CountOpen(), r.Served, r.Refused,
 					r.Quantile(50).Microseconds(), r.Quantile(99).Microseconds(), r.Quantile(99.9).Microseconds(),
 					float64((after.CPU-before.CPU).Microseconds())/float64(max(1, r.Sent)))
 				return nil
@@ -194,7 +194,7 @@
 		return err
 	}
 	defer node.Close()
-	r, err := load.Steady(node.Addr(), e.rate, e.span, 0)
+	r, err := load.SendSteady(node.Addr(), e.rate, e.span, 0)
 	if err != nil {
 		return err
 	}
@@ -216,22 +216,22 @@
 		signal bool
 	}{{"nothing", 0, site, false}, {"idle-time", e.beside, fmt.Sprintf(shortSite, e.expire), false}, {"SIGTERM", e.beside, site, true}} {
 		err := e.with(ctx, c.site, func(p *process.Proxy, _ []*fleet.Node) error {
-			crowd, err := load.Gather(p.Addr, c.held, gatherers)
+			crowd, err := load.OpenIdle(p.Addr, c.held, gatherers)
 			if err != nil {
 				return err
 			}
 			defer crowd.Close()
-			held, span := crowd.Held(), e.expire+2*time.Second
+			held, span := crowd.CountOpen(), e.expire+2*time.Second
 			if c.signal { // new connections go on being taken for half a second
 				span = min(span, 3*time.Second)
 				timer := time.AfterFunc(span-200*time.Millisecond, func() { p.Signal(syscall.SIGTERM) })
 				defer timer.Stop()
 			}
-			r, err := load.Steady(p.Addr, e.rate, span, 7)
+			r, err := load.SendSteady(p.Addr, e.rate, span, 7)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(e.out, "%10d %10s %10d %9d %9d %9d %9d %9d %11d\n", held, c.by, crowd.Held(), r.Served, r.Refused,
+			fmt.Fprintf(e.out, "%10d %10s %10d %9d %9d %9d %9d %9d %11d\n", held, c.by, crowd.CountOpen(), r.Served, r.Refused,
 				r.Unanswered, r.Quantile(99).Microseconds(), r.Quantile(99.9).Microseconds(), r.Slowest.Microseconds())
 			return nil
 		})
@@ -249,22 +249,22 @@
 		"silent", "p50 ms", "p99 ms", "slowest ms", "peak MB", "doubled")
 	for _, within := range []time.Duration{e.wave, 0} {
 		err := e.with(ctx, site, func(p *process.Proxy, nodes []*fleet.Node) error {
-			crowd, err := load.Gather(p.Addr, e.beside, gatherers)
+			crowd, err := load.OpenIdle(p.Addr, e.beside, gatherers)
 			if err != nil {
 				return err
 			}
 			defer crowd.Close()
 			for _, n := range nodes {
-				n.Ran()
+				n.TakeRuns()
 			}
-			r := crowd.Wake(within, time.Second)
+			r := crowd.SendAll(within, time.Second)
 			u, err := p.Usage()
 			if err != nil {
 				return err
 			}
 			ran, doubled := map[string]int{}, 0
 			for _, n := range nodes {
-				for id, times := range n.Ran() {
+				for id, times := range n.TakeRuns() {
 					ran[id] += times
 				}
 			}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -7,7 +7,7 @@
 	"beechwing/internal/lab/fleet"
 )
 
-func node(t *testing.T) *fleet.Node {
+func startNode(t *testing.T) *fleet.Node {
 	t.Helper()
 	n, err := fleet.NewNode("h1", 0)
 	if err != nil {
@@ -17,46 +17,48 @@
 	return n
 }
 
-// TestOpenLoop: a stall is seen by everything that was meant to go out in it, and all that was sent is counted as run.
+// TestOpenLoop checks that a stall of the host shows in the latency of every request that was due during the stall, and that
+// the host has run every request that was sent.
 func TestOpenLoop(t *testing.T) {
 	const stall = 400 * time.Millisecond
-	n := node(t)
+	n := startNode(t)
 	go func() {
 		time.Sleep(200 * time.Millisecond)
 		n.Pause(stall)
 	}()
-	r, err := Steady(n.Addr(), 500, time.Second, 1)
+	r, err := SendSteady(n.Addr(), 500, time.Second, 1)
 	if err != nil || r.Served != r.Sent || r.Served < 300 {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	if ran := len(n.Ran()); ran != r.Sent {
-		t.Errorf("%d sent, %d ran", r.Sent, ran)
+	if ran := len(n.TakeRuns()); ran != r.Sent {
+		t.Errorf("%d sent, %d run by the host", r.Sent, ran)
 	}
-	// Two fifths of all were due while it lasted, and wait for half of it on average.
+	// Two fifths of the requests were due during the stall, and waited for half of it on average.
 	if p75, p99 := r.Quantile(75), r.Quantile(99); p75 < stall/5 || p99 < stall*4/5 {
 		t.Errorf("p75 %v, p99 %v", p75, p99)
 	}
 }
 
-// TestCrowd: those that ask once stay, wake together, and are seen to go.
+// TestCrowd checks that idle connections stay open, that all of them can send again at once, and that closed ones are
+// detected.
 func TestCrowd(t *testing.T) {
-	n := node(t)
-	c, err := Gather(n.Addr(), 300, 8)
+	n := startNode(t)
+	c, err := OpenIdle(n.Addr(), 300, 8)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if held := c.Held(); held != 300 {
-		t.Fatalf("%d held", held)
+	if open := c.CountOpen(); open != 300 {
+		t.Fatalf("%d of 300 connections open", open)
 	}
-	if r := c.Wake(0, time.Second); r.Served != 300 {
+	if r := c.SendAll(0, time.Second); r.Served != 300 {
 		t.Fatalf("%+v", r)
 	}
 	n.Close()
-	if r := c.Wake(0, time.Second); r.Unanswered != 300 {
-		t.Fatalf("after its end: %+v", r)
+	if r := c.SendAll(0, time.Second); r.Unanswered != 300 {
+		t.Fatalf("requests after the host closed: %+v", r)
 	}
-	if held := c.Held(); held != 0 {
-		t.Fatalf("%d held after its end", held)
+	if open := c.CountOpen(); open != 0 {
+		t.Fatalf("%d connections open after the host closed", open)
 	}
 }
