--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -1,5 +1,6 @@
-// Package virtual plays events in virtual time, for tests of what only shows in numbers: a fleet's half minute takes
-// milliseconds and always goes the same way.
+// Package virtual runs events in virtual time, for tests of behaviour that shows only in a large fleet or over a long time.
+// Half a minute of a fleet takes milliseconds to simulate, and the order of events is always the same. Clock holds the events:
+// After schedules one, and Run executes them.
 package virtual
 
 import (
@@ -7,23 +8,24 @@
 	"time"
 )
 
-// Clock holds what is to happen. Its zero value is ready, at time zero.
+// Clock is a virtual clock with its queue of events. The zero value is ready to use, at time zero.
 type Clock struct {
 	now    time.Duration
-	order  int
+	order  int // number of events scheduled so far
 	events events
 }
 
-// Now is the time of the event at hand.
+// Now returns the current virtual time, which is that of the event being executed.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// After lets do happen so long from now. What falls on the same moment happens in the order of the calls.
+// After schedules do after the duration d; a negative d counts as zero. Events at the same time run in the order of the calls
+// to After.
 func (c *Clock) After(d time.Duration, do func()) {
 	c.order++
 	heap.Push(&c.events, event{c.now + max(0, d), c.order, do})
 }
 
-// Run plays what happens before a time, which it then is.
+// Run executes the events before the time until, and then sets the clock to that time. Events at until itself stay queued.
 func (c *Clock) Run(until time.Duration) {
 	for len(c.events) > 0 && c.events[0].at < until {
 		e := heap.Pop(&c.events).(event)
@@ -33,12 +35,14 @@
 	c.now = until
 }
 
+// event is a scheduled function; order decides between events at the same time.
 type event struct {
 	at    time.Duration
 	order int
 	do    func()
 }
 
+// events implements heap.Interface, the earliest event first.
 type events []event
 
 func (h events) Len() int { return len(h) }
