--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -86,24 +86,24 @@
 
 // Listen adds a target and starts its listener. serve is called for each connection in a goroutine of its own; the
 // connection is closed when serve returns.
-func (t *Network) Listen(serve func(*Conn)) (*Target, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	g := &Target{network: t, number: len(t.targets), serve: serve, conns: map[*Conn]struct{}{}}
+func (nw *Network) Listen(serve func(*Conn)) (*Target, error) {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	t := &Target{network: nw, number: len(nw.targets), serve: serve, conns: map[*Conn]struct{}{}}
 	var err error
-	if g.reserved, err = port.Reserve(netip.AddrPortFrom(netip.IPv4Unspecified(), 0)); err != nil {
+	if t.reserved, err = port.Reserve(netip.AddrPortFrom(netip.IPv4Unspecified(), 0)); err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	if err := g.Up(); err != nil {
-		g.reserved.Release()
+	if err := t.Up(); err != nil {
+		t.reserved.Release()
 		return nil, err
 	}
-	t.targets = append(t.targets, g)
-	return g, nil
+	nw.targets = append(nw.targets, t)
+	return t, nil
 }
 
 // Up starts the listener. After Down it listens at the same addresses again.
-func (g *Target) Up() error {
+func (t *Target) Up() error {
 	lc := net.ListenConfig{Control: func(_, _ string, rc syscall.RawConn) error {
 		var bindErr, reuseErr error
 		err := rc.Control(func(fd uintptr) {
@@ -112,168 +112,168 @@
 		})
 		return errors.Join(err, bindErr, reuseErr)
 	}}
-	ln, err := lc.Listen(context.Background(), "tcp4", g.reserved.Addr().String())
+	ln, err := lc.Listen(context.Background(), "tcp4", t.reserved.Addr().String())
 	if err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
-	g.mu.Lock()
-	g.ln, g.closed = ln, false
-	g.mu.Unlock()
-	g.wg.Go(func() { g.accept(ln) })
+	t.mu.Lock()
+	t.ln, t.closed = ln, false
+	t.mu.Unlock()
+	t.wg.Go(func() { t.accept(ln) })
 	return nil
 }
 
 // Number returns the index of the target in the network, as Network.Set takes it.
-func (g *Target) Number() int { return g.number }
+func (t *Target) Number() int { return t.number }
 
 // Addr returns the address at which a proxy reaches the target.
-func (g *Target) Addr(proxy int) string {
-	return netip.AddrPortFrom(IP(proxy), g.reserved.Addr().Port()).String()
+func (t *Target) Addr(proxy int) string {
+	return netip.AddrPortFrom(IP(proxy), t.reserved.Addr().Port()).String()
 }
 
-func (g *Target) accept(ln net.Listener) {
+func (t *Target) accept(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
 			return
 		}
 		proxy := proxyOf(c.LocalAddr())
-		lc := newConn(c.(*net.TCPConn), g, proxy)
-		if s, _ := g.network.state(pair{proxy, g.number}); s.Refused || !g.track(lc) {
+		lc := newConn(c.(*net.TCPConn), t, proxy)
+		if s, _ := t.network.state(pair{proxy, t.number}); s.Refused || !t.track(lc) {
 			lc.Reset()
 			continue
 		}
-		g.wg.Go(lc.receive)
-		g.wg.Go(func() {
-			defer g.untrack(lc)
-			g.serve(lc)
+		t.wg.Go(lc.receive)
+		t.wg.Go(func() {
+			defer t.untrack(lc)
+			t.serve(lc)
 		})
 	}
 }
 
-func (g *Target) track(c *Conn) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.closed {
-		g.conns[c] = struct{}{}
+func (t *Target) track(c *Conn) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.closed {
+		t.conns[c] = struct{}{}
 	}
-	return !g.closed
+	return !t.closed
 }
 
-func (g *Target) untrack(c *Conn) {
+func (t *Target) untrack(c *Conn) {
 	c.Close()
-	g.mu.Lock()
-	delete(g.conns, c)
-	g.mu.Unlock()
+	t.mu.Lock()
+	delete(t.conns, c)
+	t.mu.Unlock()
 }
 
 // Down stops the target as a crash of its process does: new connections are refused and open ones are reset.
-func (g *Target) Down() {
-	g.mu.Lock()
-	g.closed = true
-	g.ln.Close()
-	for c := range g.conns {
+func (t *Target) Down() {
+	t.mu.Lock()
+	t.closed = true
+	t.ln.Close()
+	for c := range t.conns {
 		c.Reset()
 	}
-	g.mu.Unlock()
+	t.mu.Unlock()
 }
 
 // Set applies change to the state of every pair of the given proxies and targets, atomically. Open connections of a pair
 // that becomes silent stall, and go on once the pair is no longer silent.
-func (t *Network) Set(proxies, targets []int, change func(*State)) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (nw *Network) Set(proxies, targets []int, change func(*State)) {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
 	for _, p := range proxies {
-		for _, g := range targets {
-			k := pair{p, g}
-			s := t.states[k]
+		for _, t := range targets {
+			k := pair{p, t}
+			s := nw.states[k]
 			change(&s)
-			t.states[k] = s
-			t.setBlackhole(k, s.silent())
+			nw.states[k] = s
+			nw.setBlackhole(k, s.silent())
 		}
 	}
-	close(t.changed)
-	t.changed = make(chan struct{})
+	close(nw.changed)
+	nw.changed = make(chan struct{})
 }
 
 // setBlackhole adds or removes the blackhole of a pair. mu is held.
-func (t *Network) setBlackhole(k pair, wanted bool) {
-	h := t.blackholes[k]
+func (nw *Network) setBlackhole(k pair, wanted bool) {
+	h := nw.blackholes[k]
 	switch {
 	case wanted && h == nil:
-		added, err := newBlackhole(netip.AddrPortFrom(IP(k.proxy), t.targets[k.target].reserved.Addr().Port()))
+		added, err := newBlackhole(netip.AddrPortFrom(IP(k.proxy), nw.targets[k.target].reserved.Addr().Port()))
 		if err != nil {
-			t.failure = errors.Join(t.failure, err)
+			nw.failure = errors.Join(nw.failure, err)
 			return
 		}
-		t.blackholes[k] = added
+		nw.blackholes[k] = added
 	case !wanted && h != nil:
 		h.close()
-		delete(t.blackholes, k)
+		delete(nw.blackholes, k)
 	}
 }
 
 // Reset resets all open connections of the given pairs.
-func (t *Network) Reset(proxies, targets []int) {
+func (nw *Network) Reset(proxies, targets []int) {
 	affected := map[int]bool{}
 	for _, p := range proxies {
 		affected[p] = true
 	}
 	for _, n := range targets {
-		g := t.targets[n]
-		g.mu.Lock()
-		for c := range g.conns {
+		t := nw.targets[n]
+		t.mu.Lock()
+		for c := range t.conns {
 			if affected[c.Proxy] {
 				c.Reset()
 			}
 		}
-		g.mu.Unlock()
+		t.mu.Unlock()
 	}
 }
 
 // Err returns an error if a blackhole could not be set up, so that a pair was less silent than requested.
-func (t *Network) Err() error {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.failure
+func (nw *Network) Err() error {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	return nw.failure
 }
 
 // Close stops all targets and waits for their connections. Data that the links still hold is discarded.
-func (t *Network) Close() {
-	t.mu.Lock()
-	targets := t.targets
-	t.mu.Unlock()
-	for _, g := range targets {
-		g.Down()
+func (nw *Network) Close() {
+	nw.mu.Lock()
+	targets := nw.targets
+	nw.mu.Unlock()
+	for _, t := range targets {
+		t.Down()
 	}
-	t.mu.Lock()
-	for k, h := range t.blackholes {
+	nw.mu.Lock()
+	for k, h := range nw.blackholes {
 		h.close()
-		delete(t.blackholes, k)
+		delete(nw.blackholes, k)
 	}
-	t.states = map[pair]State{}
-	close(t.changed)
-	t.changed = make(chan struct{})
-	t.mu.Unlock()
-	for _, g := range targets {
-		g.wg.Wait()
-		g.reserved.Release()
+	nw.states = map[pair]State{}
+	close(nw.changed)
+	nw.changed = make(chan struct{})
+	nw.mu.Unlock()
+	for _, t := range targets {
+		t.wg.Wait()
+		t.reserved.Release()
 	}
 }
 
-func (t *Network) state(k pair) (State, chan struct{}) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.states[k], t.changed
+func (nw *Network) state(k pair) (State, chan struct{}) {
+	nw.mu.Lock()
+	defer nw.mu.Unlock()
+	return nw.states[k], nw.changed
 }
 
 // delay returns how long n bytes take to cross a link.
-func (t *Network) delay(s State, n int) time.Duration {
+func (nw *Network) delay(s State, n int) time.Duration {
 	d := s.Latency
 	if s.Jitter > 0 {
-		t.mu.Lock()
-		d += time.Duration(t.random.Int64N(int64(s.Jitter)))
-		t.mu.Unlock()
+		nw.mu.Lock()
+		d += time.Duration(nw.random.Int64N(int64(s.Jitter)))
+		nw.mu.Unlock()
 	}
 	if s.Bandwidth > 0 {
 		d += time.Duration(float64(n) / s.Bandwidth * float64(time.Second))
--- a/internal/lab/link/peers.go
+++ b/internal/lab/link/peers.go
@@ -59,8 +59,8 @@
 }
 
 // NewPeers returns a Peers without faults, which shares the random numbers of the network.
-func (t *Network) NewPeers() *Peers {
-	return &Peers{network: t, states: map[pair]PeerState{}, bytes: map[int]int64{}}
+func (nw *Network) NewPeers() *Peers {
+	return &Peers{network: nw, states: map[pair]PeerState{}, bytes: map[int]int64{}}
 }
 
 // Add starts the relay of a process and returns the address for the process to listen on and the one to advertise.
@@ -166,7 +166,8 @@
 	}
 }
 
-// forwardStream forwards a TCP connection to the process, in both directions. Bytes in a direction that is silent are discarded.
+// forwardStream forwards a TCP connection to the process, in both directions. Bytes in a direction that is silent are
+// discarded. If the direction to the process is silent at the start, the connection is closed after one second.
 func (r *relay) forwardStream(c net.Conn) {
 	defer c.Close()
 	from := peerOf(c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
--- a/internal/lab/list/list.go
+++ b/internal/lab/list/list.go
@@ -307,8 +307,8 @@
 	return list
 }
 
-// recordTold records that a proxy was told of the changes up to a version, once for each change after which requests to the host
-// must stop.
+// recordTold records that a proxy was told of the changes up to a version, once for each change after which requests to the
+// host must stop.
 func (s *Service) recordTold(proxy, version int) {
 	s.forEachNewStop(s.told, proxy, version, func(c change) {
 		s.book.Add(record.Told{Proxy: proxy, Host: c.host, Changed: c.at, At: s.book.Now()})
@@ -322,7 +322,8 @@
 	})
 }
 
-// forEachNewStop calls f for each change up to a version that makes a host draining or gone and is not yet noted for this proxy.
+// forEachNewStop calls f for each change up to a version that makes a host draining or gone and is not in noted for this
+// proxy yet. It adds these changes to noted.
 func (s *Service) forEachNewStop(noted map[[2]int]bool, proxy, version int, f func(change)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
