--- a/internal/lab/caller/caller.go
+++ b/internal/lab/caller/caller.go
@@ -24,13 +24,13 @@
 // Class describes the requests of a class.
 type Class struct {
 	Name     string
-	Safe     bool
+	Safe     bool // requests may be repeated, and are sent as GET
 	Deadline time.Duration
 }
 
-// Patience is the default time after the deadline during which a caller still waits for the answer, so that a late answer is
-// distinguished from a lost one. It suits a machine without other load.
-const Patience = 1500 * time.Millisecond
+// DefaultLateWait is the default time after the deadline during which a caller still waits for the answer, so that a
+// late answer is distinguished from a lost one. It suits a machine without other load.
+const DefaultLateWait = 1500 * time.Millisecond
 
 // Caller is the client of one proxy, with all its connections.
 type Caller struct {
@@ -38,8 +38,8 @@
 	proxy   int
 	classes []Class
 	retries int
-	// Patience is how long after the deadline the caller still waits for an answer.
-	Patience   time.Duration
+	// LateWait is how long after the deadline the caller still waits for an answer.
+	LateWait   time.Duration
 	book       *record.Book
 	mu         sync.Mutex
 	random     *rand.Rand
@@ -48,6 +48,7 @@
 	wg         sync.WaitGroup
 }
 
+// conn is a connection to the proxy.
 type conn struct {
 	net.Conn
 	br         *bufio.Reader
@@ -60,7 +61,7 @@
 
 // New returns the caller of the proxy at addr.
 func New(addr string, proxy int, classes []Class, retries int, seed uint64, book *record.Book) *Caller {
-	return &Caller{addr: addr, proxy: proxy, classes: classes, retries: retries, book: book, Patience: Patience,
+	return &Caller{addr: addr, proxy: proxy, classes: classes, retries: retries, book: book, LateWait: DefaultLateWait,
 		random: rand.New(rand.NewPCG(seed, 13))}
 }
 
@@ -217,7 +218,7 @@
 	}
 	a.Sent = c.book.Now()
 	cn.used = true
-	cn.SetReadDeadline(time.Now().Add(class.Deadline + c.Patience))
+	cn.SetReadDeadline(time.Now().Add(class.Deadline + c.LateWait))
 	if _, err := cn.br.Peek(1); err != nil { // ReadResponse would report io.ErrUnexpectedEOF for a close before the first byte
 		return err
 	}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -180,7 +180,7 @@
 		classes = append(classes, caller.Class{Name: k.Name, Safe: k.Effect == "repeatable", Deadline: k.Deadline.D()})
 	}
 	beside := caller.New(m.Addr, p, classes, r.s.Traffic.Retries, r.Seed+uint64(p), r.book)
-	beside.Patience = r.patience(caller.Patience)
+	beside.LateWait = r.patience(caller.DefaultLateWait)
 	r.callers = append(r.callers, beside)
 	return nil
 }
