--- a/cmd/beechwing-lab/fleet_test.go
+++ b/cmd/beechwing-lab/fleet_test.go
@@ -72,7 +72,7 @@
 
 // paced is how the tests play: the schedule waits for answers, and everything has the time that a slow machine takes.
 func paced(binary string, seed uint64) rig.Options {
-	return rig.Options{Binary: binary, Seed: seed, Pace: 48, SlowBy: slowest}
+	return rig.Options{Binary: binary, Seed: seed, MaxInFlight: 48, SlowdownFactor: slowest}
 }
 
 // TestSelftest: at any load the judge names each defect of a stand-in that is played now, and accuses it of no other break that
--- a/internal/lab/rig/faults.go
+++ b/internal/lab/rig/faults.go
@@ -16,18 +16,18 @@
 	"beechwing/internal/lab/record"
 )
 
-// steps breaks and heals, each step at its moment.
-func (r *rig) steps() {
-	for _, s := range r.s.Steps {
-		if _, err := r.pace.until(r.ctx, s.At); err != nil {
+// runSteps starts and ends the scheduled faults, each step at its time.
+func (r *rig) runSteps() {
+	for _, s := range r.schedule.Steps {
+		if _, err := r.pacer.waitUntil(r.ctx, s.At); err != nil {
 			return
 		}
-		r.step(&s)
+		r.applyStep(&s)
 	}
 }
 
-func (r *rig) step(s *plan.Step) {
-	f := &r.s.Faults[s.Fault]
+func (r *rig) applyStep(s *plan.Step) {
+	f := &r.schedule.Faults[s.Fault]
 	kind := record.Fault
 	if s.End {
 		kind = record.Heal
@@ -36,29 +36,29 @@
 	switch f.Kind {
 	case "kill", "term", "stop", "hup":
 		for _, p := range s.Proxies {
-			r.bg.Go(func() { r.disturb(f, p, s.End) })
+			r.background.Go(func() { r.applyProcessFault(f, p, s.End) })
 		}
 	case "crash", "slow", "errors", "drain", "remove":
 		for _, h := range s.Hosts {
-			r.hurt(f, h, s.End)
+			r.applyHostFault(f, h, s.End)
 		}
 	case "list_down", "list_late", "list_stale", "list_back", "list_torn":
-		r.list.Change(func(l *list.Faults) { setList(l, f, !s.End) })
-	case "load": // the arrivals have it
+		r.list.Change(func(l *list.Faults) { setListFault(l, f, !s.End) })
+	case "load": // already part of the scheduled arrivals
 	case "zone_out", "zone_back":
 		if !s.End {
 			for _, p := range s.Proxies {
-				r.bg.Go(func() { r.fail(r.order(p, f.Zone, f.Kind == "zone_out")) })
+				r.background.Go(func() { r.recordFailure(r.sendZoneOrder(p, f.Zone, f.Kind == "zone_out")) })
 			}
 		}
 	case "peers_silent", "peers_loss", "peers_late":
-		r.breakPeers(f, s)
+		r.applyPeerFault(f, s)
 	default:
-		r.breakLinks(f, s)
+		r.applyLinkFault(f, s)
 	}
 }
 
-func setList(l *list.Faults, f *plan.Fault, on bool) {
+func setListFault(l *list.Faults, f *plan.Fault, on bool) {
 	switch f.Kind {
 	case "list_down":
 		l.Down = on
@@ -76,7 +76,7 @@
 	}
 }
 
-func (r *rig) breakLinks(f *plan.Fault, s *plan.Step) {
+func (r *rig) applyLinkFault(f *plan.Fault, s *plan.Step) {
 	var targets []int
 	for _, h := range s.Hosts {
 		targets = append(targets, r.nodes[h].Number())
@@ -109,18 +109,19 @@
 	})
 }
 
-// order asks a process's door to take a zone out for the whole fleet, or back. Anything but a yes fails the run.
-func (r *rig) order(p int, zone string, out bool) error {
-	ctx, cancel := context.WithTimeout(r.ctx, r.patience(orderWithin))
+// sendZoneOrder posts an order to the operations endpoint of a process: to take a zone out of service for the whole fleet, or
+// to put it back. Any status other than 200 is an error, and the error fails the run.
+func (r *rig) sendZoneOrder(p int, zone string, out bool) error {
+	ctx, cancel := context.WithTimeout(r.ctx, r.scaleTimeout(zoneOrderTimeout))
 	defer cancel()
 	body := fmt.Sprintf(`{"zone":%q,"out":%v}`, zone, out)
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.members[p].Ops()+"/admin/zone", strings.NewReader(body))
+	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.processes[p].Ops()+"/admin/zone", strings.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("rig: %w", err)
 	}
 	a, err := http.DefaultClient.Do(q)
 	if err != nil {
-		return fmt.Errorf("rig: order: %w", err)
+		return fmt.Errorf("rig: zone order: %w", err)
 	}
 	defer a.Body.Close()
 	text, err := io.ReadAll(a.Body)
@@ -128,15 +129,15 @@
 		err = fmt.Errorf("%s: %s", a.Status, text)
 	}
 	if err != nil {
-		return fmt.Errorf("rig: order to process %d: %w", p, err)
+		return fmt.Errorf("rig: zone order to process %d: %w", p, err)
 	}
 	return nil
 }
 
-const orderWithin = 2 * time.Second
+const zoneOrderTimeout = 2 * time.Second
 
-// breakPeers breaks or heals what lies between processes, in both directions.
-func (r *rig) breakPeers(f *plan.Fault, s *plan.Step) {
+// applyPeerFault starts or ends a fault of the links between processes, in both directions.
+func (r *rig) applyPeerFault(f *plan.Fault, s *plan.Step) {
 	change := func(l *link.PeerState) {
 		switch f.Kind {
 		case "peers_silent":
@@ -151,27 +152,27 @@
 	r.peers.Set(s.Peers, s.Proxies, change)
 }
 
-// hurt breaks or heals one host.
-func (r *rig) hurt(f *plan.Fault, h int, heal bool) {
+// applyHostFault starts or ends a fault of one host.
+func (r *rig) applyHostFault(f *plan.Fault, h int, heal bool) {
 	n := r.nodes[h]
 	switch f.Kind {
 	case "crash":
 		if heal {
-			r.revive(h)
+			r.restartHost(h)
 		} else {
 			n.Stop()
 		}
 	case "slow":
 		n.Change(func(m *node.Model) { m.Slow = map[bool]float64{true: 1, false: f.Factor}[heal] })
 	case "errors":
-		n.Change(func(m *node.Model) { m.Errors = errorShares(r.s, f, heal) })
+		n.Change(func(m *node.Model) { m.Errors = errorShares(r.schedule, f, heal) })
 	case "drain", "remove":
-		r.withdraw(f, h, heal)
+		r.updateListing(f, h, heal)
 	}
 }
 
-// withdraw lets the list say of a host that it drains or is gone, or that it is ready again.
-func (r *rig) withdraw(f *plan.Fault, h int, heal bool) {
+// updateListing makes the list service report a host as draining or gone, or as ready again.
+func (r *rig) updateListing(f *plan.Fault, h int, heal bool) {
 	e := r.list.Entry(h)
 	kind := record.Withdrawn
 	switch {
@@ -197,70 +198,70 @@
 	return shares
 }
 
-// revive starts a host again, cold, and lists it so.
-func (r *rig) revive(h int) {
+// restartHost starts a host with cold caches and lists it with its new start time.
+func (r *rig) restartHost(h int) {
 	if err := r.nodes[h].Start(); err != nil {
-		r.fail(err)
+		r.recordFailure(err)
 		return
 	}
-	r.listStart(h)
+	r.listAsRestarted(h)
 }
 
-func (r *rig) listStart(h int) {
+func (r *rig) listAsRestarted(h int) {
 	e := r.list.Entry(h)
 	e.State, e.Started = list.Ready, time.Now().UnixMilli()
 	r.list.Set(h, e)
 }
 
-// fell takes word that a cold host has been pushed over; it comes back cold after a while.
-func (r *rig) fell(h int) {
+// hostOverloaded records that a cold host went down from overload. The host restarts cold after the configured delay.
+func (r *rig) hostOverloaded(h int) {
 	warmth := 0.0
 	now := r.book.Now()
 	r.nodes[h].Change(func(m *node.Model) { warmth = m.Warmth(now) })
 	r.book.Add(record.Event{At: now, Kind: record.Fell, Proxy: -1, Host: h, Text: fmt.Sprintf("%.2f warm", warmth)})
-	r.bg.Go(func() {
-		if _, err := r.book.Until(r.ctx, now+r.s.Host.Restart.D()); err == nil {
-			r.revive(h)
+	r.background.Go(func() {
+		if _, err := r.book.Until(r.ctx, now+r.schedule.Host.Restart.D()); err == nil {
+			r.restartHost(h)
 		}
 	})
 }
 
-// chill makes all hosts cold, as after a power cut.
-func (r *rig) chill() {
+// startHostsCold makes all hosts cold, as after a power cut.
+func (r *rig) startHostsCold() {
 	for h, n := range r.nodes {
 		n.Change(func(m *node.Model) { m.Start(0) })
-		r.listStart(h)
+		r.listAsRestarted(h)
 	}
 }
 
-// disturb does to a process what a fault says, or ends that.
-func (r *rig) disturb(f *plan.Fault, p int, heal bool) {
-	m := r.members[p]
+// applyProcessFault starts or ends a fault of one process.
+func (r *rig) applyProcessFault(f *plan.Fault, p int, heal bool) {
+	m := r.processes[p]
 	if heal {
-		r.restore(f, p)
+		r.endProcessFault(f, p)
 		return
 	}
 	switch f.Kind {
 	case "kill":
 		m.mu.Lock()
-		m.wanted = false
+		m.shouldRun = false
 		r.callers[p].ProxyKilled()
 		r.book.Add(record.Event{At: r.book.Now(), Kind: record.Killed, Proxy: p, Host: -1})
 		m.Signal(syscall.SIGKILL)
 		m.mu.Unlock()
 		<-m.Done()
 	case "term":
-		r.retire(p, m, r.patience(endWithin))
+		r.terminate(p, m, r.scaleTimeout(exitTimeout))
 	case "stop":
 		r.book.Add(record.Event{At: r.book.Now(), Kind: record.Stopped, Proxy: p, Host: -1})
-		r.fail(m.Signal(syscall.SIGSTOP))
+		r.recordFailure(m.Signal(syscall.SIGSTOP))
 	case "hup":
-		r.fail(m.Signal(syscall.SIGHUP))
+		r.recordFailure(m.Signal(syscall.SIGHUP))
 	}
 }
 
-func (r *rig) restore(f *plan.Fault, p int) {
-	m := r.members[p]
+func (r *rig) endProcessFault(f *plan.Fault, p int) {
+	m := r.processes[p]
 	switch f.Kind {
 	case "kill", "term":
 		select {
@@ -268,24 +269,25 @@
 		case <-r.ctx.Done():
 			return
 		}
-		if r.s.Proxy.Knows {
+		if r.schedule.Proxy.Knows {
 			m.SetKnown(r.list.Snapshot(p))
 		}
-		r.fail(r.launch(m))
+		r.recordFailure(r.launch(m))
 	case "stop":
-		r.fail(m.Signal(syscall.SIGCONT))
+		r.recordFailure(m.Signal(syscall.SIGCONT))
 		r.book.Add(record.Event{At: r.book.Now(), Kind: record.Going, Proxy: p, Host: -1})
 	}
 }
 
-// retire asks a process to end. One that does not in time, or says that it failed, has crashed.
-func (r *rig) retire(p int, m *member, within time.Duration) {
+// terminate stops a process with SIGTERM. A process that outlasts the timeout or exits with a failure is recorded as crashed.
+// SIGCONT follows because a stopped process would not handle the signal.
+func (r *rig) terminate(p int, m *proxyProcess, within time.Duration) {
 	m.mu.Lock()
-	if !m.wanted {
+	if !m.shouldRun {
 		m.mu.Unlock()
 		return
 	}
-	m.wanted = false
+	m.shouldRun = false
 	m.Signal(syscall.SIGTERM)
 	m.Signal(syscall.SIGCONT)
 	done := m.Done()
@@ -297,7 +299,7 @@
 			e.Kind, e.Text = record.Crash, m.Exit().String()
 		}
 	case <-time.After(within):
-		e.Kind, e.Text = record.Crash, fmt.Sprintf("still there %v after SIGTERM", within)
+		e.Kind, e.Text = record.Crash, fmt.Sprintf("still running %v after SIGTERM", within)
 		m.Signal(syscall.SIGKILL)
 		<-done
 	}
--- a/internal/lab/rig/machine.go
+++ b/internal/lab/rig/machine.go
@@ -18,48 +18,48 @@
 )
 
 const (
-	sampleEvery = time.Second
-	clockEvery  = 10 * time.Millisecond
+	sampleInterval     = time.Second
+	timerCheckInterval = 10 * time.Millisecond
 )
 
-// sample records what each process holds, by the second.
-func (r *rig) sample() {
-	for at := sampleEvery; at < r.s.Span.D(); at += sampleEvery {
-		if _, err := r.pace.until(r.ctx, at); err != nil {
+// sampleProcesses records the resources that each running process holds, once a second.
+func (r *rig) sampleProcesses() {
+	for at := sampleInterval; at < r.schedule.Span.D(); at += sampleInterval {
+		if _, err := r.pacer.waitUntil(r.ctx, at); err != nil {
 			return
 		}
-		for p, m := range r.members {
+		for p, m := range r.processes {
 			m.mu.Lock()
-			wanted := m.wanted
+			wanted := m.shouldRun
 			m.mu.Unlock()
 			if !wanted {
 				continue
 			}
-			if u, err := m.Usage(); err == nil { // it may just have ended
+			if u, err := m.Usage(); err == nil { // the process may just have ended
 				r.book.Add(record.Sample{Proxy: p, At: r.book.Now(), RSS: u.RSS, CPU: u.CPU, Descriptors: u.Descriptors})
 			}
 		}
 	}
 }
 
-// watchClock finds out how late this process's own timers are.
-func (r *rig) watchClock() {
-	for at := clockEvery; at < r.s.Span.D(); at += clockEvery {
-		late, err := r.pace.until(r.ctx, at)
+// measureTimerDelay measures how late the timers of the rig's own process fire.
+func (r *rig) measureTimerDelay() {
+	for at := timerCheckInterval; at < r.schedule.Span.D(); at += timerCheckInterval {
+		late, err := r.pacer.waitUntil(r.ctx, at)
 		if err != nil {
 			return
 		}
-		r.late.note(late)
+		r.timerDelay.add(late)
 	}
 }
 
-// lateness collects how late timers were.
-type lateness struct {
+// delayHistogram collects how late timers fired.
+type delayHistogram struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram // microseconds
 }
 
-func (l *lateness) note(late time.Duration) {
+func (l *delayHistogram) add(late time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.h == nil {
@@ -68,7 +68,7 @@
 	l.h.RecordValue(min(60_000_000, max(1, late.Microseconds())))
 }
 
-func (l *lateness) figures() (p99, most time.Duration) {
+func (l *delayHistogram) p99AndMax() (p99, most time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.h == nil {
@@ -77,17 +77,17 @@
 	return time.Duration(l.h.ValueAtQuantile(99)) * time.Microsecond, time.Duration(l.h.Max()) * time.Microsecond
 }
 
-// usage is what the machine had worked at a moment, in ticks and this process's own time.
-type usage struct {
-	at         time.Time
-	busy, all  float64
-	rig        time.Duration
-	unreadable error
+// machineUsage is the CPU time used up to a point in time: by the machine in ticks of /proc/stat, and by the rig's own process.
+type machineUsage struct {
+	at        time.Time
+	busy, all float64
+	rig       time.Duration
+	err       error
 }
 
-func startUsage() usage {
-	u := usage{at: time.Now()}
-	u.busy, u.all, u.unreadable = machineTicks()
+func readMachineUsage() machineUsage {
+	u := machineUsage{at: time.Now()}
+	u.busy, u.all, u.err = machineTicks()
 	var self syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &self) == nil {
 		u.rig = time.Duration(self.Utime.Nano() + self.Stime.Nano())
@@ -95,16 +95,17 @@
 	return u
 }
 
-func (u usage) since() (m record.Machine) {
-	now := startUsage()
-	if d := now.all - u.all; u.unreadable == nil && now.unreadable == nil && d > 0 {
+func (u machineUsage) since() (m record.Machine) {
+	now := readMachineUsage()
+	if d := now.all - u.all; u.err == nil && now.err == nil && d > 0 {
 		m.Busy = (now.busy - u.busy) / d
 	}
 	m.RigBusy = float64(now.rig-u.rig) / float64(now.at.Sub(u.at)) / float64(runtime.NumCPU())
 	return m
 }
 
-// machineTicks reads the first line of /proc/stat (proc(5)): user, nice, system, idle, iowait and so on.
+// machineTicks reads the CPU ticks of the whole machine from the first line of /proc/stat (proc(5)): user, nice, system, idle,
+// iowait and so on. All of them but idle and iowait count as busy.
 func machineTicks() (busy, all float64, err error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -1,6 +1,7 @@
-// Package rig plays a schedule: it starts the hosts, the list service, the network between them and the processes of a
-// built program, sends the callers' requests, breaks what is to break at its moment, and keeps the records. What it starts
-// it ends. It judges nothing.
+// Package rig runs a fleet experiment. Play takes a schedule of internal/lab/plan and starts simulated hosts, the list service
+// (service discovery), the simulated network between them and the proxy processes of a built program. It then sends the
+// callers' requests, injects each fault at its scheduled time and returns the records of the run. The rig stops everything that
+// it has started. It does not evaluate the records; internal/lab/judge does.
 package rig
 
 import (
@@ -26,59 +27,61 @@
 	"beechwing/internal/lab/record"
 )
 
-// Options say with what a schedule is played.
+// Options configure a run of a schedule.
 type Options struct {
-	Binary string
-	Args   []string // of the program
-	Site   string   // text of an operator's file; empty: the experiment's
-	Dir    string   // for the processes' files and logs; empty: one that goes with the run
+	Binary string   // path of the program under test
+	Args   []string // arguments of the program
+	Site   string   // text of the operators' configuration file; empty: the one in the experiment
+	Dir    string   // for the processes' files and logs; empty: a temporary one, removed after the run
 	Seed   uint64
-	Log    string // level of the processes' logs; empty: the program's default
-	// Pace is how many requests may be without an answer before the schedule waits for them; 0: it goes by the clock alone.
-	Pace int
-	// SlowBy is how many times as slow as an idle one the machine may be: the rig waits so much longer for what has to come.
-	SlowBy int
+	Log    string // log level of the processes; empty: the program's default
+	// MaxInFlight is the number of unanswered requests at which the schedule pauses. With 0 the schedule follows the clock
+	// alone.
+	MaxInFlight int
+	// SlowdownFactor is how many times as slow as an idle machine this one may be. The rig multiplies its timeouts by it.
+	SlowdownFactor int
 }
 
-// patience is how long the rig waits for something that has to come within a time on an idle machine.
-func (o *Options) patience(idle time.Duration) time.Duration {
-	return idle * time.Duration(max(1, o.SlowBy))
+// scaleTimeout returns the timeout to use on this machine, given the timeout for an idle one.
+func (o *Options) scaleTimeout(idle time.Duration) time.Duration {
+	return idle * time.Duration(max(1, o.SlowdownFactor))
 }
 
-// rig is a run in progress.
+// rig is the state of a run in progress.
 type rig struct {
 	Options
-	s       *plan.Schedule
-	book    *record.Book
-	net     *link.Network
-	peers   *link.Peers
-	nodes   []*node.Node
-	list    *list.Service
-	members []*member
-	callers []*caller.Caller
-	ctx     context.Context
-	bg      sync.WaitGroup // of what goes on beside the run: watches over processes, hosts that come back
-	mu      sync.Mutex
-	failure error // of the rig itself
-	late    lateness
-	pace    *pace
+	schedule   *plan.Schedule
+	book       *record.Book
+	net        *link.Network
+	peers      *link.Peers
+	nodes      []*node.Node
+	list       *list.Service
+	processes  []*proxyProcess
+	callers    []*caller.Caller
+	ctx        context.Context
+	background sync.WaitGroup // goroutines that watch processes, apply process faults or restart hosts
+	mu         sync.Mutex
+	failure    error // joined errors of the rig itself
+	timerDelay delayHistogram
+	pacer      *pacer
 }
 
-// member is one proxy's process over its lives.
-type member struct {
+// proxyProcess is the process of one proxy across its restarts.
+type proxyProcess struct {
 	*process.Proxy
-	number int
-	mu     sync.Mutex
-	wanted bool // it should be running
-	life   int
+	index      int
+	mu         sync.Mutex
+	shouldRun  bool // an exit while this is set is a crash
+	generation int  // counts the launches
 }
 
-// Play plays a schedule. The error is the rig's own, or the context's.
+// Play runs a schedule and returns its records. The error is one of the rig itself or of the context; a proxy's faults are in
+// the records.
 func Play(ctx context.Context, s *plan.Schedule, o Options) (*record.Book, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &rig{Options: o, s: s, book: record.NewBook(), net: link.New(o.Seed), ctx: ctx}
-	r.pace = newPace(r.book, o.Pace)
+	r := &rig{Options: o, schedule: s, book: record.NewBook(), net: link.New(o.Seed), ctx: ctx}
+	r.pacer = newPacer(r.book, o.MaxInFlight)
 	if r.Dir == "" {
 		dir, err := os.MkdirTemp("", "beechwing-rig")
 		if err != nil {
@@ -97,8 +100,8 @@
 	return r.book, errors.Join(err, r.failure, r.net.Err())
 }
 
-// fail keeps an error of the rig itself: a run in which the rig could not do its part proves nothing.
-func (r *rig) fail(err error) {
+// recordFailure keeps an error of the rig itself. A run in which the rig could not carry out the schedule proves nothing.
+func (r *rig) recordFailure(err error) {
 	if err != nil {
 		r.mu.Lock()
 		r.failure = errors.Join(r.failure, err)
@@ -107,64 +110,65 @@
 }
 
 func (r *rig) setUp() error {
-	classes := make([]string, len(r.s.Classes))
-	for i, k := range r.s.Classes {
+	classes := make([]string, len(r.schedule.Classes))
+	for i, k := range r.schedule.Classes {
 		classes[i] = k.Name
 	}
-	entries := make([]list.Entry, len(r.s.Hosts))
-	for i, h := range r.s.Hosts {
-		n, err := node.New(r.net, judge.HostName(i), i, nodeConfig(&r.s.Host), classes, r.Seed+uint64(i), r.book,
-			func() { r.fell(i) })
+	entries := make([]list.Entry, len(r.schedule.Hosts))
+	for i, h := range r.schedule.Hosts {
+		n, err := node.New(r.net, judge.HostName(i), i, nodeConfig(&r.schedule.Host), classes, r.Seed+uint64(i), r.book,
+			func() { r.hostOverloaded(i) })
 		if err != nil {
 			return err
 		}
 		r.nodes = append(r.nodes, n)
-		entries[i] = list.Entry{ID: n.ID, Addr: n.Addr, Zone: r.s.Zones[h.Zone].Name, Weight: 1, State: list.Ready}
+		entries[i] = list.Entry{ID: n.ID, Addr: n.Addr, Zone: r.schedule.Zones[h.Zone].Name, Weight: 1, State: list.Ready}
 	}
 	var err error
-	r.list, err = list.New(r.net, list.Config{Rate: r.s.List.Rate, Queue: r.s.List.Queue, Wait: r.s.List.Wait.D()}, r.book, entries)
+	r.list, err = list.New(r.net,
+		list.Config{Rate: r.schedule.List.Rate, Queue: r.schedule.List.Queue, Wait: r.schedule.List.Wait.D()}, r.book, entries)
 	if err != nil {
 		return err
 	}
-	r.spread()
-	sites, err := r.sites()
+	r.setLatencies()
+	sites, err := r.siteTexts()
 	if err != nil {
 		return err
 	}
-	for p := range r.s.Proxies {
-		if err := r.addMember(p, sites[p]); err != nil {
+	for p := range r.schedule.Proxies {
+		if err := r.addProcess(p, sites[p]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// spread sets how far apart the parties are.
-func (r *rig) spread() {
-	l := r.s.Link
-	for p, party := range r.s.Proxies {
-		from := r.s.Zones[party.Zone]
-		for h, host := range r.s.Hosts {
-			to, far := r.s.Zones[host.Zone], l.Near.D()
+// setLatencies sets the network latency between each proxy and each host by their zones and regions.
+func (r *rig) setLatencies() {
+	l := r.schedule.Link
+	for p, party := range r.schedule.Proxies {
+		from := r.schedule.Zones[party.Zone]
+		for h, host := range r.schedule.Hosts {
+			to, latency := r.schedule.Zones[host.Zone], l.Near.D()
 			if from.Region != to.Region {
-				far = l.Region.D()
+				latency = l.Region.D()
 			} else if from.Name != to.Name {
-				far = l.Zone.D()
+				latency = l.Zone.D()
 			}
-			if far > 0 {
+			if latency > 0 {
 				r.net.Set([]int{p}, []int{r.nodes[h].Number()}, func(s *link.State) {
-					s.Latency, s.Jitter = far, time.Duration(l.Jitter*float64(far))
+					s.Latency, s.Jitter = latency, time.Duration(l.Jitter*float64(latency))
 				})
 			}
 		}
 	}
 }
 
-func (r *rig) addMember(p int, site string) error {
+func (r *rig) addProcess(p int, site string) error {
 	c := process.Config{Binary: r.Binary, Args: r.Args, Name: fmt.Sprintf("p%03d", p), Listen: proxyAddr(p), Discovery: r.list.Addr(p),
-		Seed: r.Seed + uint64(p), Cores: r.s.Proxy.Cores, MemoryMB: r.s.Proxy.MemoryMB, Sockets: r.s.Proxy.Sockets,
-		Settings: settings(r.s, p), Site: site, Ops: proxyAddr(p), Dir: filepath.Join(r.Dir, fmt.Sprintf("p%03d", p))}
-	if r.s.Proxy.Knows {
+		Seed: r.Seed + uint64(p), Cores: r.schedule.Proxy.Cores, MemoryMB: r.schedule.Proxy.MemoryMB, Sockets: r.schedule.Proxy.Sockets,
+		Settings: settings(r.schedule, p), Site: site, Ops: proxyAddr(p), Dir: filepath.Join(r.Dir, fmt.Sprintf("p%03d", p))}
+	if r.schedule.Proxy.Knows {
 		c.Known = r.list.Snapshot(p)
 	}
 	if r.Log != "" {
@@ -174,22 +178,23 @@
 	if err != nil {
 		return err
 	}
-	r.members = append(r.members, &member{Proxy: m, number: p})
+	r.processes = append(r.processes, &proxyProcess{Proxy: m, index: p})
 	var classes []caller.Class
-	for _, k := range r.s.Classes {
+	for _, k := range r.schedule.Classes {
 		classes = append(classes, caller.Class{Name: k.Name, Safe: k.Effect == "repeatable", Deadline: k.Deadline.D()})
 	}
-	beside := caller.New(m.Addr, p, classes, r.s.Traffic.Retries, r.Seed+uint64(p), r.book)
-	beside.LateWait = r.patience(caller.DefaultLateWait)
-	r.callers = append(r.callers, beside)
+	client := caller.New(m.Addr, p, classes, r.schedule.Traffic.Retries, r.Seed+uint64(p), r.book)
+	client.LateWait = r.scaleTimeout(caller.DefaultLateWait)
+	r.callers = append(r.callers, client)
 	return nil
 }
 
-// sites words each process's operator's file. In the text "@own@" and "@advertised@" stand for the process's addresses among
-// its peers, and "@seeds@" for those of three others.
-func (r *rig) sites() ([]string, error) {
-	text := cmp.Or(r.Site, r.s.Proxy.Site)
-	sites := make([]string, len(r.s.Proxies))
+// siteTexts returns the text of the operators' configuration file for each process. In the template, "@own@" is replaced by the
+// address on which the process listens for peers, "@advertised@" by the address under which peers reach the process, and
+// "@seeds@" by the advertised addresses of three other processes.
+func (r *rig) siteTexts() ([]string, error) {
+	text := cmp.Or(r.Site, r.schedule.Proxy.Site)
+	sites := make([]string, len(r.schedule.Proxies))
 	if !strings.Contains(text, "@own@") {
 		for p := range sites {
 			sites[p] = text
@@ -214,149 +219,149 @@
 	return sites, nil
 }
 
-// proxyAddr is an address of the proxy's own, on which callers come to it. A port that the system finds free now may be a
-// target's by the time the proxy starts, in this rig or another: these lie below those that it gives out (ip(7),
-// ip_local_port_range), and the address's last part is this process's, as far as that goes.
+// proxyAddr returns a loopback address of its own for a proxy to listen on. A port that the system reports as free may be taken
+// by a host or another rig before the proxy starts. These ports therefore lie below the ephemeral range (ip(7),
+// ip_local_port_range). The last octet is derived from the process id, which keeps most concurrent rigs apart.
 func proxyAddr(p int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 32+p>>8, p&255, 1+os.Getpid()%250, 20_000+ports.Add(1)%10_000)
 }
 
-// ports counts the addresses given to proxies of all rigs in this process.
+// ports counts the addresses handed out to proxies by all rigs in this process.
 var ports atomic.Int64
 
-const readyWithin = 60 * time.Second
+const readyTimeout = 60 * time.Second
 
 func (r *rig) play() error {
-	before := r.s.Proxy.Start == "before"
+	before := r.schedule.Proxy.Start == "before"
 	if before {
-		for _, m := range r.members {
+		for _, m := range r.processes {
 			if err := r.launch(m); err != nil {
 				return err
 			}
 		}
-		for _, m := range r.members {
-			if err := m.AwaitReady(r.ctx, r.patience(readyWithin)); err != nil {
+		for _, m := range r.processes {
+			if err := m.AwaitReady(r.ctx, r.scaleTimeout(readyTimeout)); err != nil {
 				return err
 			}
 		}
 	}
-	busy, words := startUsage(), r.words()
+	usageBefore, sentBefore := readMachineUsage(), r.peerBytesSent()
 	r.book.Begin()
-	if r.s.Proxy.ColdAll {
-		r.chill()
+	if r.schedule.Proxy.ColdAll {
+		r.startHostsCold()
 	}
 	var wg sync.WaitGroup
-	wg.Go(r.sample)
-	wg.Go(r.watchClock)
-	wg.Go(r.steps)
+	wg.Go(r.sampleProcesses)
+	wg.Go(r.measureTimerDelay)
+	wg.Go(r.runSteps)
 	if !before {
-		wg.Go(r.startAll)
+		wg.Go(r.startProcesses)
 	}
-	err := r.send()
+	err := r.sendRequests()
 	if err == nil {
-		_, err = r.pace.until(r.ctx, r.s.Span.D()+r.s.Settle.D())
+		_, err = r.pacer.waitUntil(r.ctx, r.schedule.Span.D()+r.schedule.Settle.D())
 	}
 	for _, c := range r.callers {
 		c.Close()
 	}
-	r.book.Machine = busy.since()
-	for p, sent := range r.words() {
-		r.book.Words = append(r.book.Words, sent-words[p])
+	r.book.Machine = usageBefore.since()
+	for p, sent := range r.peerBytesSent() {
+		r.book.Words = append(r.book.Words, sent-sentBefore[p])
 	}
-	r.book.Machine.LateP99, r.book.Machine.LateMost = r.late.figures()
-	r.end()
+	r.book.Machine.LateP99, r.book.Machine.LateMost = r.timerDelay.p99AndMax()
+	r.terminateAll()
 	wg.Wait()
 	return err
 }
 
-// words is how many bytes each process has sent to others so far.
-func (r *rig) words() []int64 {
-	sent := make([]int64, len(r.members))
+// peerBytesSent returns the number of bytes that each process has sent to its peers so latency.
+func (r *rig) peerBytesSent() []int64 {
+	sent := make([]int64, len(r.processes))
 	for p := range sent {
 		sent[p] = r.peers.BytesSent(p)
 	}
 	return sent
 }
 
-// startAll starts the processes with the traffic, all at once or over a time.
-func (r *rig) startAll() {
-	step := r.s.Proxy.Spread.D() / time.Duration(max(1, len(r.members)))
-	for i, m := range r.members {
-		if _, err := r.pace.until(r.ctx, step*time.Duration(i)); err != nil {
+// startProcesses starts the processes while traffic is already arriving, all at once or spread over the configured time.
+func (r *rig) startProcesses() {
+	step := r.schedule.Proxy.Spread.D() / time.Duration(max(1, len(r.processes)))
+	for i, m := range r.processes {
+		if _, err := r.pacer.waitUntil(r.ctx, step*time.Duration(i)); err != nil {
 			return
 		}
 		if err := r.launch(m); err != nil {
-			r.fail(err)
+			r.recordFailure(err)
 			return
 		}
-		r.bg.Go(func() { r.noteReady(i) })
+		r.background.Go(func() { r.recordReady(i) })
 	}
 }
 
-// noteReady records when a process says for the first time that it is ready.
-func (r *rig) noteReady(p int) {
-	if r.members[p].AwaitReady(r.ctx, r.s.Span.D()) == nil {
+// recordReady records when a process first reports that it is ready.
+func (r *rig) recordReady(p int) {
+	if r.processes[p].AwaitReady(r.ctx, r.schedule.Span.D()) == nil {
 		r.book.Add(record.Event{At: r.book.Now(), Kind: record.Ready, Proxy: p, Host: -1})
 	}
 }
 
-// send lets the callers ask, each request at its moment.
-func (r *rig) send() error {
-	for _, a := range r.s.Arrivals {
-		late, err := r.pace.until(r.ctx, a.At)
+// sendRequests makes the callers send each request at its scheduled time.
+func (r *rig) sendRequests() error {
+	for _, a := range r.schedule.Arrivals {
+		late, err := r.pacer.waitUntil(r.ctx, a.At)
 		if err != nil {
 			return err
 		}
-		r.late.note(late)
-		if err := r.pace.begin(r.ctx); err != nil {
+		r.timerDelay.add(late)
+		if err := r.pacer.acquire(r.ctx); err != nil {
 			return err
 		}
-		r.callers[a.Proxy].Ask(a.At+r.pace.heldUp(), a.ID, a.Class, a.Key, r.pace.end)
+		r.callers[a.Proxy].Ask(a.At+r.pacer.pausedFor(), a.ID, a.Class, a.Key, r.pacer.release)
 	}
 	return nil
 }
 
-// launch starts a process and watches over it.
-func (r *rig) launch(m *member) error {
+// launch starts a process and records a crash if the process exits unasked.
+func (r *rig) launch(m *proxyProcess) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.Launch(); err != nil {
 		return err
 	}
-	m.wanted = true
-	m.life++
-	life := m.life
-	p := m.number
+	m.shouldRun = true
+	m.generation++
+	generation := m.generation
+	p := m.index
 	r.book.Add(record.Event{At: r.book.Now(), Kind: record.Start, Proxy: p, Host: -1})
 	done := m.Done()
-	r.bg.Go(func() {
+	r.background.Go(func() {
 		<-done
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if m.wanted && m.life == life {
-			m.wanted = false
+		if m.shouldRun && m.generation == generation {
+			m.shouldRun = false
 			r.book.Add(record.Event{At: r.book.Now(), Kind: record.Crash, Proxy: p, Host: -1, Text: m.Exit().String()})
 		}
 	})
 	return nil
 }
 
-// end asks all processes to end, and records how they did.
-func (r *rig) end() {
+// terminateAll stops all processes at the same time and records how each of them exited.
+func (r *rig) terminateAll() {
 	var wg sync.WaitGroup
-	for p, m := range r.members {
-		wg.Go(func() { r.retire(p, m, r.patience(endWithin)) })
+	for p, m := range r.processes {
+		wg.Go(func() { r.terminate(p, m, r.scaleTimeout(exitTimeout)) })
 	}
 	wg.Wait()
 }
 
-const endWithin = 6 * time.Second // the longest deadline and what the platform grants beyond
+const exitTimeout = 6 * time.Second // the longest request deadline plus the extra time that the platform grants
 
-// tearDown ends whatever is left.
+// tearDown stops whatever still runs.
 func (r *rig) tearDown() {
-	for _, m := range r.members {
+	for _, m := range r.processes {
 		m.mu.Lock()
-		m.wanted = false
+		m.shouldRun = false
 		m.mu.Unlock()
 		m.Stop()
 	}
@@ -365,5 +370,5 @@
 	}
 	r.peers.Close()
 	r.net.Close()
-	r.bg.Wait()
+	r.background.Wait()
 }
--- a/internal/lab/rig/settings.go
+++ b/internal/lab/rig/settings.go
@@ -6,7 +6,7 @@
 	"beechwing/internal/lab/plan"
 )
 
-// settings is the platform's object for one proxy of the schedule.
+// settings returns the JSON settings that the platform passes to one proxy of the schedule.
 func settings(s *plan.Schedule, p int) string {
 	zones := make([]string, len(s.Zones))
 	for i, z := range s.Zones {
@@ -30,7 +30,7 @@
 			"TipAfterS": s.Host.FallAfter.D().Seconds()},
 		"Report": map[string]any{"How": "none"}, "WeightKind": "nominal", "WorthBy": "request"})
 	if err != nil {
-		panic(err) // the map holds nothing that JSON could not
+		panic(err) // all values in the map can be encoded as JSON
 	}
 	return string(text)
 }
