--- a/internal/lab/rig/machine.go
+++ b/internal/lab/rig/machine.go
@@ -30,9 +30,9 @@
 		}
 		for p, m := range r.processes {
 			m.mu.Lock()
-			wanted := m.shouldRun
+			shouldRun := m.shouldRun
 			m.mu.Unlock()
-			if !wanted {
+			if !shouldRun {
 				continue
 			}
 			if u, err := m.Usage(); err == nil { // the process may just have ended
