--- a/internal/lab/plan/file.go
+++ b/internal/lab/plan/file.go
@@ -1,6 +1,7 @@
-// Package plan reads an experiment's file and draws from its seed, before anything is started, all that will happen in the
-// run: who is there, each request with its moment, class and key, and each fault with its moment and targets. The same file
-// and seed give the same schedule, byte for byte. It does no I/O beyond reading the file.
+// Package plan reads the file of a fleet experiment and generates the schedule of a run from it and a seed. Load returns a
+// File, and File.Draw generates its Schedule before anything is started: the proxies and hosts, each request with its time,
+// class and key, and each fault with its time and targets. The same file and seed give the same schedule, byte for byte. The
+// package does no I/O beyond reading the file. The package internal/lab/rig runs schedules.
 package plan
 
 import (
@@ -15,26 +16,26 @@
 	"beechwing/internal/strict"
 )
 
-// Duration is a time such as "1.5s".
+// Duration is a time.Duration that is written as text, such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalText reads what time.ParseDuration does.
+// UnmarshalText reads the text with time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Duration(v)
 	return err
 }
 
-// D is the duration as the standard library has it.
+// D returns the duration as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// File is an experiment as it is written.
+// File is the content of an experiment's file.
 type File struct {
-	Base   string   `toml:"base"`
+	Base   string   `toml:"base"` // file beside this one with the defaults; see Load
 	Name   string   `toml:"name"`
 	Seed   uint64   `toml:"seed"`
 	Span   Duration `toml:"span"`
-	Settle Duration `toml:"settle"` // after the last request, for answers still under way
+	Settle Duration `toml:"settle"` // wait after the last request for answers still in flight
 
 	Proxy   Proxy    `toml:"proxy"`
 	Zones   []Zone   `toml:"zone"`
@@ -47,7 +48,7 @@
 	Expect  []Expect `toml:"expect"`
 }
 
-// Proxy is what each process is told and may use.
+// Proxy holds the settings and the resource limits of each proxy process.
 type Proxy struct {
 	Cores       float64  `toml:"cores"`
 	MemoryMB    int      `toml:"memory_mb"`
@@ -55,113 +56,115 @@
 	MaxAttempts int      `toml:"max_attempts"`
 	Connect     Duration `toml:"connect_timeout"`
 	ConnIdle    Duration `toml:"conn_idle"`
-	AskWithin   Duration `toml:"ask_within"`
-	Grace       Duration `toml:"grace"` // after word that a host drains
+	AskWithin   Duration `toml:"ask_within"` // time after a change within which the proxy has asked for the list
+	Grace       Duration `toml:"grace"`      // time to stop sending after learning that a host drains
 	CrossZone   float64  `toml:"cross_zone"`
-	Knows       bool     `toml:"knows"`  // starts with the list as it was, else with none
-	Start       string   `toml:"start"`  // "before" the traffic, settled; "with" it, all at once
-	Site        string   `toml:"site"`   // text of an operator's file
-	ColdAll     bool     `toml:"cold"`   // all hosts start cold, with the traffic
-	Spread      Duration `toml:"spread"` // starts are spread over it
+	Knows       bool     `toml:"knows"`  // starts with its last known host list, else with none
+	Start       string   `toml:"start"`  // "before": ready before traffic starts; "with": started along with it
+	Site        string   `toml:"site"`   // text of the operators' configuration file
+	ColdAll     bool     `toml:"cold"`   // all hosts are cold when traffic starts
+	Spread      Duration `toml:"spread"` // process starts are spread over this time
 }
 
-// Zone is a place with proxies and hosts.
+// Zone is a zone with its numbers of proxies and hosts.
 type Zone struct {
 	Name    string  `toml:"name"`
 	Region  string  `toml:"region"`
 	Proxies int     `toml:"proxies"`
 	Hosts   int     `toml:"hosts"`
-	Traffic float64 `toml:"traffic"` // share of all, relative to the other zones; 0: as the proxies' number
+	Traffic float64 `toml:"traffic"` // weight against the other zones; 0: the number of proxies
 }
 
-// Host is what hosts are like.
+// Host describes the simulated hosts.
 type Host struct {
 	Cores        int      `toml:"cores"`
-	Work         Duration `toml:"work"`
-	CV           float64  `toml:"cv"`
-	Queue        int      `toml:"queue"`
-	Conns        int      `toml:"conns"`
-	Handshake    Duration `toml:"handshake"`
-	SlowAt       int      `toml:"slow_at"`
+	Work         Duration `toml:"work"`      // mean work of a request
+	CV           float64  `toml:"cv"`        // coefficient of variation of the work
+	Queue        int      `toml:"queue"`     // requests that may wait; more are rejected
+	Conns        int      `toml:"conns"`     // connections held; more are rejected
+	Handshake    Duration `toml:"handshake"` // extra work of the first request on a connection
+	SlowAt       int      `toml:"slow_at"`   // queue length from which work takes SlowBy times as long
 	SlowBy       float64  `toml:"slow_by"`
-	ColdFrom     float64  `toml:"cold_from"`
-	Cold         Duration `toml:"cold"`
-	FallMultiple float64  `toml:"fall_multiple"`
-	FallAfter    Duration `toml:"fall_after"`
-	WarmKeys     int      `toml:"warm_keys"`
-	WarmShare    float64  `toml:"warm_share"`
-	Restart      Duration `toml:"restart"` // until one that was pushed over is back
+	ColdFrom     float64  `toml:"cold_from"`     // share of the capacity right after a start
+	Cold         Duration `toml:"cold"`          // time from a start to full capacity
+	FallMultiple float64  `toml:"fall_multiple"` // a cold host goes down at this multiple of its capacity
+	FallAfter    Duration `toml:"fall_after"`    // time over which the load is averaged for that
+	WarmKeys     int      `toml:"warm_keys"`     // number of recent keys in the host's cache
+	WarmShare    float64  `toml:"warm_share"`    // work of a request with a cached key, as a share of the usual
+	Restart      Duration `toml:"restart"`       // time until a host that went down from overload restarts
 }
 
-// List is the list service.
+// List describes the list service, which tells proxies the hosts.
 type List struct {
-	Rate  float64  `toml:"rate"`
-	Queue int      `toml:"queue"`
-	Wait  Duration `toml:"wait"`
+	Rate  float64  `toml:"rate"`  // calls handled a second
+	Queue int      `toml:"queue"` // calls that may wait; more fail at once
+	Wait  Duration `toml:"wait"`  // a call that has waited for this time fails
 }
 
-// Traffic is what callers send.
+// Traffic describes the requests of all callers together.
 type Traffic struct {
 	RPS     float64 `toml:"rps"`
 	Keys    int     `toml:"keys"`
-	Skew    float64 `toml:"skew"`    // exponent of the keys' popularity
-	Uneven  float64 `toml:"uneven"`  // standard deviation of the logarithm of a proxy's share
-	Retries int     `toml:"retries"` // of a caller after a refusal
+	Skew    float64 `toml:"skew"`    // exponent of the power law of the keys' popularity
+	Uneven  float64 `toml:"uneven"`  // standard deviation of the logarithm of a proxy's share of its zone
+	Retries int     `toml:"retries"` // how often a caller retries a refused request
 }
 
-// Class is a kind of request.
+// Class is a request class with its latency targets.
 type Class struct {
 	Name      string   `toml:"name"`
 	Effect    string   `toml:"effect"` // "repeatable", "by_key", "once", as in the settings
-	Group     string   `toml:"group"`
-	Window    Duration `toml:"window"`
-	Aim       Duration `toml:"aim"`
+	Group     string   `toml:"group"`  // hosts among which repeats of a key are dropped: "", "all" or "zone"
+	Window    Duration `toml:"window"` // time for which repeats of a key are dropped
+	Aim       Duration `toml:"aim"`    // target latency
 	Deadline  Duration `toml:"deadline"`
-	Worth     float64  `toml:"worth"`
-	LateWorth float64  `toml:"late_worth"`
-	Share     float64  `toml:"share"`
+	Worth     float64  `toml:"worth"`      // value of an answer within the aim
+	LateWorth float64  `toml:"late_worth"` // value of a later answer
+	Share     float64  `toml:"share"`      // of the requests, relative to the other classes
 }
 
-// Link is what the network is like where nothing is broken, one way.
+// Link holds the one-way network latencies without faults.
 type Link struct {
 	Near   Duration `toml:"near"`   // inside a zone
 	Zone   Duration `toml:"zone"`   // between zones of a region
 	Region Duration `toml:"region"` // between regions
-	Jitter float64  `toml:"jitter"` // as a share of those
+	Jitter float64  `toml:"jitter"` // as a share of the latency
 }
 
-// Fault is something that breaks, at a moment and for a time.
+// Fault is a fault to inject, with its time and duration.
 type Fault struct {
 	Kind   string   `toml:"kind"`
 	At     Duration `toml:"at"`
-	For    Duration `toml:"for"`   // 0: until the end
-	Every  Duration `toml:"every"` // it comes again with this period
-	Until  Duration `toml:"until"` // and begins no more from then on
-	From   string   `toml:"from"`  // proxies, of links
-	To     string   `toml:"to"`    // what breaks
+	For    Duration `toml:"for"`   // 0: until the end of the run
+	Every  Duration `toml:"every"` // period of repetition; 0: the fault occurs once
+	Until  Duration `toml:"until"` // no repetition begins from this time on; 0: the end
+	From   string   `toml:"from"`  // proxies at one end of the links
+	To     string   `toml:"to"`    // targets; see selector
 	Delay  Duration `toml:"delay"`
-	Bytes  int64    `toml:"bytes"`
-	Factor float64  `toml:"factor"`
-	Share  float64  `toml:"share"`
-	Class  string   `toml:"class"`
-	Step   Duration `toml:"step"` // between one target and the next
-	Zone   string   `toml:"zone"` // of an operators' order
+	Bytes  int64    `toml:"bytes"`  // for "cut", after which a connection is reset; for "bandwidth", a second
+	Factor float64  `toml:"factor"` // by which work or load is multiplied
+	Share  float64  `toml:"share"`  // of requests that fail, or of messages that are lost
+	Class  string   `toml:"class"`  // of the requests that fail; empty: all classes
+	Step   Duration `toml:"step"`   // delay between one target and the next
+	Zone   string   `toml:"zone"`   // zone of an operators' order
 }
 
-// Expect is what has to hold, of all or of a zone's callers, for requests due in a time.
+// Expect is a bound on a measure, over the requests that all callers or those of one zone send within a time range.
 type Expect struct {
-	What  string   `toml:"what"`
+	What  string   `toml:"what"` // one of Measures
 	From  Duration `toml:"from"`
-	To    Duration `toml:"to"` // 0: the end
+	To    Duration `toml:"to"` // 0: the end of the run
 	Zone  string   `toml:"zone"`
 	Least *float64 `toml:"least"`
 	Most  *float64 `toml:"most"`
 }
 
-// The kinds of fault: what they break, and what they need.
-var kinds = map[string]struct {
-	to    string // "hosts", "proxies", "list", "links" (hosts or list, from proxies), "peers" (words between proxies), "" nothing
-	needs string
+// faultKinds maps each kind of fault to its kind of target and the field that the kind requires.
+var faultKinds = map[string]struct {
+	// target is "hosts", "proxies", "list", "links" (between proxies and hosts or the list service), "peers" (links between
+	// proxies), or "" for a fault without a target.
+	target string
+	needs  string // required field of Fault; empty: none
 }{
 	"silent": {"links", ""}, "silent_to": {"links", ""}, "silent_back": {"links", ""}, "refused": {"links", ""},
 	"reset": {"links", ""}, "latency": {"links", "delay"}, "cut": {"links", "bytes"}, "bandwidth": {"links", "bytes"},
@@ -174,7 +177,7 @@
 	"peers_silent": {"peers", ""}, "peers_loss": {"peers", "share"}, "peers_late": {"peers", "delay"},
 }
 
-// What an expectation may be of.
+// Measures lists the figures that an expectation can bound.
 var Measures = []string{"served", "refused", "failed", "late", "lost", "crossings", "calls", "fell", "regions_crossed",
 	"connections", "bad_seconds"}
 
@@ -191,8 +194,8 @@
 		Link:    Link{Jitter: 0.2}}
 }
 
-// Load reads an experiment's file. Where it names a base, a whole experiment of its own beside it, that stands for what the
-// file leaves out, but for faults and expectations.
+// Load reads an experiment's file. A file can name a base, which is a complete experiment in the same folder. Settings that the
+// file leaves out are taken from the base, except for faults and expectations.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -210,20 +213,20 @@
 	return f, strict.Decode(path, text, f, f.check)
 }
 
-// Parse reads an experiment's text; name stands for the file in errors.
+// Parse reads the text of an experiment. Errors name the file by name.
 func Parse(name string, text []byte) (*File, error) {
 	f := defaults()
 	return &f, strict.Decode(name, text, &f, f.check)
 }
 
-const mostProxies, mostHosts = 400, 250
+const maxProxies, maxHosts = 400, 250
 
 func (f *File) check() []strict.Fault {
 	c := &strict.Checker{}
 	c.Add(f.Name == "", "name", "is missing")
 	c.Add(f.Span < Duration(time.Second) || f.Span > Duration(time.Hour), "span", "is not from 1s to 1h")
 	c.Add(f.Settle < 0, "settle", "is below 0")
-	f.checkParties(c)
+	f.checkZonesAndHosts(c)
 	f.checkTraffic(c)
 	for i := range f.Faults {
 		f.checkFault(c, fmt.Sprintf("fault.%d.", i), &f.Faults[i])
@@ -231,28 +234,28 @@
 	for i, e := range f.Expect {
 		at := fmt.Sprintf("expect.%d.", i)
 		c.Add(!slices.Contains(Measures, e.What), at+"what", "%q is none of %v", e.What, Measures)
-		c.Add(e.Least == nil && e.Most == nil, at+"least", "is missing, and so is most")
+		c.Add(e.Least == nil && e.Most == nil, at+"least", "is missing, and most is missing too")
 		c.Add(e.From < 0 || e.From > f.Span, at+"from", "is not within the span")
 		c.Add(e.To != 0 && e.To <= e.From, at+"to", "is not after from")
-		c.Add(e.Zone != "" && f.zone(e.Zone) < 0, at+"zone", "%q is no zone", e.Zone)
+		c.Add(e.Zone != "" && f.zone(e.Zone) < 0, at+"zone", "%q is not a zone of the experiment", e.Zone)
 	}
 	return c.Faults
 }
 
-func (f *File) checkParties(c *strict.Checker) {
+func (f *File) checkZonesAndHosts(c *strict.Checker) {
 	proxies, hosts := 0, 0
 	for i, z := range f.Zones {
 		at := fmt.Sprintf("zone.%d.", i)
 		c.Add(z.Name == "", at+"name", "is missing")
-		c.Add(f.zone(z.Name) != i && z.Name != "", at+"name", "%q is there already", z.Name)
+		c.Add(f.zone(z.Name) != i && z.Name != "", at+"name", "%q is defined more than once", z.Name)
 		c.Add(z.Proxies < 0, at+"proxies", "is below 0")
 		c.Add(z.Hosts < 0, at+"hosts", "is below 0")
 		c.Add(z.Traffic < 0, at+"traffic", "is below 0")
 		proxies, hosts = proxies+max(0, z.Proxies), hosts+max(0, z.Hosts)
 	}
-	c.Add(len(f.Zones) == 0, "zone", "there is none")
-	c.Add(proxies == 0 || proxies > mostProxies, "zone", "%d proxies in all, not from 1 to %d", proxies, mostProxies)
-	c.Add(hosts == 0 || hosts > mostHosts, "zone", "%d hosts in all, not from 1 to %d", hosts, mostHosts)
+	c.Add(len(f.Zones) == 0, "zone", "at least one is required")
+	c.Add(proxies == 0 || proxies > maxProxies, "zone", "%d proxies in all, not from 1 to %d", proxies, maxProxies)
+	c.Add(hosts == 0 || hosts > maxHosts, "zone", "%d hosts in all, not from 1 to %d", hosts, maxHosts)
 	p, h := f.Proxy, f.Host
 	c.Add(p.Start != "before" && p.Start != "with", "proxy.start", `%q is neither "before" nor "with"`, p.Start)
 	c.Add(p.MemoryMB < 16, "proxy.memory_mb", "is under 16")
@@ -278,7 +281,7 @@
 	c.Add(t.Keys < 0, "traffic.keys", "is below 0")
 	c.Add(t.Skew < 0, "traffic.skew", "is below 0")
 	c.Add(t.Uneven < 0 || t.Uneven > 2, "traffic.uneven", "is not from 0 to 2")
-	c.Add(len(f.Classes) == 0, "class", "there is none")
+	c.Add(len(f.Classes) == 0, "class", "at least one is required")
 	for i, k := range f.Classes {
 		at := fmt.Sprintf("class.%d.", i)
 		c.Add(k.Name == "", at+"name", "is missing")
@@ -292,42 +295,43 @@
 	}
 }
 
-func (f *File) checkFault(c *strict.Checker, at string, b *Fault) {
-	kind, known := kinds[b.Kind]
-	c.Add(!known, at+"kind", "%q is no kind of fault", b.Kind)
-	c.Add(b.At < 0 || b.At >= f.Span, at+"at", "is not within the span")
-	c.Add(b.For < 0, at+"for", "is below 0")
-	c.Add(b.Every != 0 && (b.For <= 0 || b.Every <= b.For), at+"every", "is not longer than for")
+func (f *File) checkFault(c *strict.Checker, at string, fault *Fault) {
+	kind, known := faultKinds[fault.Kind]
+	c.Add(!known, at+"kind", "%q is not a known kind of fault", fault.Kind)
+	c.Add(fault.At < 0 || fault.At >= f.Span, at+"at", "is not within the span")
+	c.Add(fault.For < 0, at+"for", "is below 0")
+	c.Add(fault.Every != 0 && (fault.For <= 0 || fault.Every <= fault.For), at+"every", "is not longer than for")
 	if !known {
 		return
 	}
-	missing := map[string]bool{"delay": b.Delay <= 0, "bytes": b.Bytes <= 0, "factor": b.Factor <= 0,
-		"share": b.Share <= 0 || b.Share > 1, "for": b.For <= 0, "zone": f.zone(b.Zone) < 0}
-	c.Add(kind.needs != "" && missing[kind.needs], at+kind.needs, "is missing or makes no sense")
-	c.Add(b.Class != "" && f.class(b.Class) < 0, at+"class", "%q is no class", b.Class)
-	party := func(field, text string, allowed ...string) {
+	missing := map[string]bool{"delay": fault.Delay <= 0, "bytes": fault.Bytes <= 0, "factor": fault.Factor <= 0,
+		"share": fault.Share <= 0 || fault.Share > 1, "for": fault.For <= 0, "zone": f.zone(fault.Zone) < 0}
+	c.Add(kind.needs != "" && missing[kind.needs], at+kind.needs, "is missing or out of range")
+	c.Add(fault.Class != "" && f.class(fault.Class) < 0, at+"class", "%q is not a class of the experiment", fault.Class)
+	checkSelector := func(field, text string, allowed ...string) {
 		s, err := parseSelector(text)
 		if err == nil {
 			err = s.check(f)
 		}
 		c.Add(err != nil, at+field, "%v", err)
-		c.Add(err == nil && !slices.Contains(allowed, s.kind), at+field, "%q cannot break so; %v can", text, allowed)
+		c.Add(err == nil && !slices.Contains(allowed, s.kind), at+field,
+			"%q cannot be selected for this kind of fault; allowed are %v", text, allowed)
 	}
-	switch kind.to {
+	switch kind.target {
 	case "links":
-		party("to", b.To, "hosts", "list")
-		if b.From != "" {
-			party("from", b.From, "proxies")
+		checkSelector("to", fault.To, "hosts", "list")
+		if fault.From != "" {
+			checkSelector("from", fault.From, "proxies")
 		}
 	case "peers":
-		party("to", b.To, "proxies")
-		party("from", b.From, "proxies")
+		checkSelector("to", fault.To, "proxies")
+		checkSelector("from", fault.From, "proxies")
 	case "hosts", "proxies":
-		party("to", b.To, kind.to)
+		checkSelector("to", fault.To, kind.target)
 	default:
-		c.Add(b.To != "", at+"to", "has no meaning here")
+		c.Add(fault.To != "", at+"to", "does not apply to this kind of fault")
 	}
-	c.Add(b.From != "" && kind.to != "links" && kind.to != "peers", at+"from", "has no meaning here")
+	c.Add(fault.From != "" && kind.target != "links" && kind.target != "peers", at+"from", "does not apply to this kind of fault")
 }
 
 func (f *File) zone(name string) int {
--- a/internal/lab/plan/schedule.go
+++ b/internal/lab/plan/schedule.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// Party is a proxy or a host.
-type Party struct{ Zone int }
+// Placement is the zone of a proxy or a host, as an index into File.Zones.
+type Placement struct{ Zone int }
 
-// Arrival is one request of a caller.
+// Arrival is one request that a caller sends.
 type Arrival struct {
 	At    time.Duration
 	ID    string
@@ -25,32 +25,32 @@
 	Key   uint64
 }
 
-// Step is the begin or the end of a fault.
+// Step is the start or the end of a fault on its targets.
 type Step struct {
 	At      time.Duration
-	Fault   int  // in the file
-	End     bool // it heals
-	Proxies []int
-	Hosts   []int // of links too
+	Fault   int   // index into File.Faults
+	End     bool  // the fault ends here
+	Proxies []int // targets, or the proxies' ends of links
+	Hosts   []int // targets, or the hosts' ends of links
 	Peers   []int // the other ends of links between proxies
-	List    bool
+	List    bool  // the links to the list service are targets
 }
 
-// Schedule is all that will happen.
+// Schedule is everything that happens in a run: the experiment with the generated requests and steps, each in order of time.
 type Schedule struct {
 	*File
-	Proxies  []Party
-	Hosts    []Party
+	Proxies  []Placement
+	Hosts    []Placement
 	Arrivals []Arrival
 	Steps    []Step
 }
 
-// Draw makes the schedule of a seed.
+// Draw generates the schedule for a seed.
 func (f *File) Draw(seed uint64) *Schedule {
 	s := &Schedule{File: f}
 	for z, zone := range f.Zones {
-		s.Proxies = append(s.Proxies, slices.Repeat([]Party{{z}}, zone.Proxies)...)
-		s.Hosts = append(s.Hosts, slices.Repeat([]Party{{z}}, zone.Hosts)...)
+		s.Proxies = append(s.Proxies, slices.Repeat([]Placement{{z}}, zone.Proxies)...)
+		s.Hosts = append(s.Hosts, slices.Repeat([]Placement{{z}}, zone.Hosts)...)
 	}
 	for i := range f.Faults {
 		s.drawFault(i, rand.New(rand.NewPCG(seed, 1000+uint64(i))))
@@ -60,12 +60,12 @@
 	return s
 }
 
-// drawFault draws targets once: what comes again hits the same.
+// drawFault adds the steps of a fault. Its targets are drawn once, so each repetition hits the same ones.
 func (s *Schedule) drawFault(n int, random *rand.Rand) {
 	f := &s.Faults[n]
 	step := Step{Fault: n}
 	var targets []int
-	switch kinds[f.Kind].to {
+	switch faultKinds[f.Kind].target {
 	case "links":
 		from, _ := parseSelector(cmp.Or(f.From, "proxies"))
 		to, _ := parseSelector(f.To)
@@ -79,7 +79,7 @@
 		to, _ := parseSelector(f.To)
 		targets = to.pick(s, random)
 	}
-	one := func(at time.Duration, step Step) {
+	addSteps := func(at time.Duration, step Step) {
 		step.At = at
 		s.Steps = append(s.Steps, step)
 		if f.For > 0 {
@@ -93,16 +93,16 @@
 	}
 	for at := f.At.D(); at < until; at += f.Every.D() {
 		if targets == nil {
-			one(at, step)
+			addSteps(at, step)
 		}
 		for i, t := range targets {
 			each := step
-			if kinds[f.Kind].to == "hosts" {
+			if faultKinds[f.Kind].target == "hosts" {
 				each.Hosts = []int{t}
 			} else {
 				each.Proxies = []int{t}
 			}
-			one(at+time.Duration(i)*f.Step.D(), each)
+			addSteps(at+time.Duration(i)*f.Step.D(), each)
 		}
 		if f.Every == 0 {
 			break
@@ -110,20 +110,21 @@
 	}
 }
 
-// drawArrivals draws each proxy's requests, Poisson at its share of the rate, which "load" faults raise and lower.
+// drawArrivals draws the requests of each proxy from a Poisson process at the proxy's share of the rate. Arrivals are drawn at
+// the rate under the largest factor of a "load" fault, and thinned to the rate at their time.
 func (s *Schedule) drawArrivals(seed uint64) {
 	rates := s.rates(rand.New(rand.NewPCG(seed, 1)))
-	highest := 1.0
+	maxLoad := 1.0
 	for _, f := range s.Faults {
 		if f.Kind == "load" {
-			highest = max(highest, f.Factor)
+			maxLoad = max(maxLoad, f.Factor)
 		}
 	}
 	classes := s.classBounds()
 	for p, rate := range rates {
 		random := rand.New(rand.NewPCG(seed, 10_000+uint64(p)))
 		for at := 0.0; rate > 0; {
-			at += random.ExpFloat64() / (rate * highest)
+			at += random.ExpFloat64() / (rate * maxLoad)
 			due := time.Duration(at * float64(time.Second))
 			if due >= s.Span.D() {
 				break
@@ -131,7 +132,7 @@
 			a := Arrival{At: due, ID: fmt.Sprintf("%016x", random.Uint64()), Proxy: p, Key: s.drawKey(random)}
 			x := random.Float64()
 			a.Class = slices.IndexFunc(classes, func(bound float64) bool { return x < bound })
-			if random.Float64()*highest < s.loadAt(due) {
+			if random.Float64()*maxLoad < s.loadAt(due) {
 				s.Arrivals = append(s.Arrivals, a)
 			}
 		}
@@ -139,7 +140,7 @@
 	slices.SortStableFunc(s.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 }
 
-// rates is each proxy's share of the traffic: its zone's, spread unevenly.
+// rates returns the request rate of each proxy: its zone's share of the traffic, divided unevenly among the zone's proxies.
 func (s *Schedule) rates(random *rand.Rand) []float64 {
 	shares := make([]float64, len(s.Proxies))
 	sums := make([]float64, len(s.Zones))
@@ -165,6 +166,7 @@
 	return shares
 }
 
+// classBounds returns the cumulative shares of the classes, of which the last is 1.
 func (s *Schedule) classBounds() []float64 {
 	all, bounds := 0.0, make([]float64, len(s.Classes))
 	for i, k := range s.Classes {
@@ -178,7 +180,7 @@
 	return bounds
 }
 
-// drawKey draws by popularity: the inverse of the distribution function of a power law.
+// drawKey draws a key by popularity, through the inverse of the cumulative distribution function of a power law.
 func (s *Schedule) drawKey(random *rand.Rand) uint64 {
 	n, x := float64(s.Traffic.Keys), random.Float64()
 	if n == 0 {
@@ -192,6 +194,7 @@
 	return uint64(x)
 }
 
+// loadAt returns the factor by which the "load" faults of a time multiply the request rate.
 func (s *Schedule) loadAt(at time.Duration) float64 {
 	load := 1.0
 	for _, f := range s.Faults {
@@ -202,7 +205,7 @@
 	return load
 }
 
-// Write prints the schedule, a line for each thing.
+// Write prints the schedule, one line for each step and each request.
 func (s *Schedule) Write(w io.Writer) error {
 	for _, step := range s.Steps {
 		if _, err := fmt.Fprintf(w, "%v fault %d %s end %v proxies %v hosts %v list %v\n", step.At, step.Fault,
@@ -218,70 +221,71 @@
 	return nil
 }
 
-// selector names parties: "hosts", "hosts@a" (zone or region a), "hosts@a/0.5" (half of them, drawn), "proxies#3" (one, by
-// its number), "list".
+// selector selects the targets of a fault. Its text is "hosts", "proxies" or "list", which can be limited: "hosts@a" to zone or
+// region a, "hosts@a/0.5" to a random half of those, "proxies#3" to the one with index 3.
 type selector struct {
-	kind, place string
-	share       float64
-	number      int
+	kind, zoneOrRegion string
+	share              float64
+	index              int // -1: not limited to one
 }
 
 func parseSelector(text string) (s selector, err error) {
-	s.share, s.number = 1, -1
+	s.share, s.index = 1, -1
 	rest, share, shared := strings.Cut(text, "/")
 	if shared {
 		if s.share, err = strconv.ParseFloat(share, 64); err != nil || s.share <= 0 || s.share > 1 {
-			return s, fmt.Errorf("%q: the share is not above 0 and at most 1", text)
+			return s, fmt.Errorf("%q: the share after / is not above 0 and at most 1", text)
 		}
 	}
 	rest, number, numbered := strings.Cut(rest, "#")
 	if numbered {
-		if s.number, err = strconv.Atoi(number); err != nil || s.number < 0 {
-			return s, fmt.Errorf("%q: no number after #", text)
+		if s.index, err = strconv.Atoi(number); err != nil || s.index < 0 {
+			return s, fmt.Errorf("%q: # is not followed by an index of 0 or more", text)
 		}
 	}
-	s.kind, s.place, _ = strings.Cut(rest, "@")
+	s.kind, s.zoneOrRegion, _ = strings.Cut(rest, "@")
 	if !slices.Contains([]string{"hosts", "proxies", "list"}, s.kind) {
-		return s, fmt.Errorf("%q names neither hosts, proxies nor list", text)
+		return s, fmt.Errorf("%q does not begin with hosts, proxies or list", text)
 	}
 	return s, nil
 }
 
 func (s selector) check(f *File) error {
-	if s.kind == "list" && (s.place != "" || s.share != 1 || s.number >= 0) {
-		return errors.New("there is one list")
+	if s.kind == "list" && (s.zoneOrRegion != "" || s.share != 1 || s.index >= 0) {
+		return errors.New("list takes no zone, share or index")
 	}
 	n := 0
 	for _, z := range f.Zones {
-		if s.place == "" || z.Name == s.place || z.Region == s.place {
+		if s.zoneOrRegion == "" || z.Name == s.zoneOrRegion || z.Region == s.zoneOrRegion {
 			n += map[string]int{"hosts": z.Hosts, "proxies": z.Proxies, "list": 1}[s.kind]
 		}
 	}
 	if n == 0 {
-		return fmt.Errorf("%q is no zone or region with %s", s.place, s.kind)
+		return fmt.Errorf("%q is not a zone or region with %s", s.zoneOrRegion, s.kind)
 	}
-	if s.number >= n {
-		return fmt.Errorf("there are %d, counted from 0", n)
+	if s.index >= n {
+		return fmt.Errorf("index is out of range: there are %d, counted from 0", n)
 	}
 	return nil
 }
 
-func (s selector) pick(of *Schedule, random *rand.Rand) []int {
-	all := of.Hosts
+// pick returns the indexes of the selected hosts or proxies; none for the list service.
+func (s selector) pick(schedule *Schedule, random *rand.Rand) []int {
+	all := schedule.Hosts
 	switch s.kind {
 	case "list":
 		return nil
 	case "proxies":
-		all = of.Proxies
+		all = schedule.Proxies
 	}
 	var picked []int
 	for i, p := range all {
-		if z := of.Zones[p.Zone]; s.place == "" || z.Name == s.place || z.Region == s.place {
+		if z := schedule.Zones[p.Zone]; s.zoneOrRegion == "" || z.Name == s.zoneOrRegion || z.Region == s.zoneOrRegion {
 			picked = append(picked, i)
 		}
 	}
-	if s.number >= 0 {
-		return picked[s.number : s.number+1]
+	if s.index >= 0 {
+		return picked[s.index : s.index+1]
 	}
 	if s.share < 1 {
 		random.Shuffle(len(picked), func(i, j int) { picked[i], picked[j] = picked[j], picked[i] })
