--- a/cmd/beechwing-lab/fleet_test.go
+++ b/cmd/beechwing-lab/fleet_test.go
@@ -102,7 +102,7 @@
 			if want != "" && !slices.Contains(n.rules, want) {
 				t.Errorf("%q is not named in %v", want, n.rules)
 			}
-			for _, b := range judge.Judge(f.Draw(f.Seed), book).AtAnySpeed() {
+			for _, b := range judge.Judge(f.Draw(f.Seed), book).UntimedViolations() {
 				if b.Rule != want && !(want == judge.Crashed && b.Rule == judge.LostRequest) {
 					t.Errorf("accused of %q at %v: %s", b.Rule, b.At, b.Text)
 				}
@@ -136,8 +136,8 @@
 		if c.started > 0 {
 			book.Add(record.Event{Kind: record.Start, At: c.started})
 		}
-		breaks := judge.Judge(f.Draw(f.Seed), book).AtAnySpeed()
-		if named := len(breaks) == 1 && breaks[0].Rule == judge.AfterDrain; named != c.broken || len(breaks) > 1 {
+		breaks := judge.Judge(f.Draw(f.Seed), book).UntimedViolations()
+		if named := len(breaks) == 1 && breaks[0].Rule == judge.SentAfterDrain; named != c.broken || len(breaks) > 1 {
 			t.Errorf("%s: %v", c.name, breaks)
 		}
 	}
@@ -177,7 +177,7 @@
 				t.Fatal(err)
 			}
 			v := judge.Judge(s, book)
-			for _, b := range v.AtAnySpeed() {
+			for _, b := range v.UntimedViolations() {
 				t.Errorf("%q at %v: %s", b.Rule, b.At, b.Text)
 			}
 			if v.Totals.Served == 0 {
--- a/cmd/beechwing-lab/selftest.go
+++ b/cmd/beechwing-lab/selftest.go
@@ -25,9 +25,9 @@
 // planted is the break that the judge has to name for each defect of the stand-in proxy.
 var planted = map[string]string{
 	standin.Twice: judge.RanTwice, standin.TwoAnswers: judge.TwoAnswers, standin.Late: judge.LateAnswer,
-	standin.Nobody: judge.FromNobody, standin.AfterDrain: judge.AfterDrain, standin.PushCold: judge.PushedOver,
-	standin.Lose: judge.LostRequest, standin.Leak: judge.Leaked, standin.RefuseRan: judge.RefusedAndRan,
-	standin.SendAfter: judge.SentAfter, standin.Crash: judge.Crashed, standin.Hoard: judge.Leaked,
+	standin.Nobody: judge.UnknownOrigin, standin.AfterDrain: judge.SentAfterDrain, standin.PushCold: judge.ColdHostOverloaded,
+	standin.Lose: judge.LostRequest, standin.Leak: judge.ResourceGrowth, standin.RefuseRan: judge.RefusedAndRan,
+	standin.SendAfter: judge.SentAfterAnswer, standin.Crash: judge.Crashed, standin.Hoard: judge.ResourceGrowth,
 }
 
 // selftestText is played once for each defect: a host fails what it runs, one drains, one crashes and comes back cold.
@@ -163,7 +163,7 @@
 // found puts a verdict down to a defect.
 func found(defect string, v *judge.Verdict) finding {
 	n := finding{defect: defect, void: v.Void}
-	for _, b := range v.Breaks {
+	for _, b := range v.Violations {
 		if !slices.Contains(n.rules, b.Rule) {
 			n.rules = append(n.rules, b.Rule)
 		}
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -1,6 +1,7 @@
-// Package judge reads the records of a run and says what was kept and what was broken. It believes hosts, the list service,
-// callers and the system; no word of a proxy reaches it. A run in which the machine itself was the limit proves nothing: it
-// is void, not passed.
+// Package judge evaluates a run of a fleet experiment. Judge takes the schedule of the run and its records and returns a
+// Verdict: the rules that were violated and the expectations of the experiment that were not met. The records come from hosts,
+// the list service, callers and the operating system. Nothing that a proxy reports about itself is used. A run in which the
+// machine itself was the bottleneck proves nothing: its verdict is void instead of passed.
 package judge
 
 import (
@@ -12,128 +13,132 @@
 	"beechwing/internal/lab/record"
 )
 
-// The rules, by the names under which a break of them is reported.
+// The rules, with the names under which violations are reported.
 const (
-	LostRequest   = "request lost"
-	TwoAnswers    = "more than one answer"
-	LateAnswer    = "answer too late"
-	SentAfter     = "sent after its answer"
-	RanTwice      = "unsafe request ran twice"
-	RefusedAndRan = "refused though it may have run"
-	LeftGroup     = "keyed request ran outside its group"
-	FromNobody    = "answer that no host made"
-	AfterDrain    = "sent after the grace of a drain"
-	PushedOver    = "cold host pushed over"
-	Crashed       = "crash"
-	Leaked        = "descriptors or memory grow"
-	OverLimit     = "over its limit"
+	LostRequest        = "request lost"
+	TwoAnswers         = "more than one answer"
+	LateAnswer         = "answer too late"
+	SentAfterAnswer    = "sent after its answer"
+	RanTwice           = "unsafe request ran twice"
+	RefusedAndRan      = "refused though it may have run"
+	RanOutsideGroup    = "keyed request ran outside its group"
+	UnknownOrigin      = "answer that no host sent"
+	SentAfterDrain     = "sent to a draining host after the grace period"
+	ColdHostOverloaded = "cold host overloaded"
+	Crashed            = "crash"
+	ResourceGrowth     = "descriptors or memory grow steadily"
+	OverLimit          = "over its limit"
 )
 
-// Break is one rule that was broken.
-type Break struct {
+// Violation is one violation of a rule.
+type Violation struct {
 	Rule string
 	At   time.Duration
 	Text string
-	// Timed: it was found by comparing moments, as "too late". Such a break means nothing where the machine itself was slow. All others
-	// follow from the order of what happened, and hold at any speed.
+	// Timed marks a violation that was found by comparing durations, such as a late answer. It means nothing if the machine
+	// itself was slow. All other violations follow from the order of events and count at any speed of the machine.
 	Timed bool
 }
 
-// Verdict is what a run has shown.
+// Verdict is the result of evaluating a run.
 type Verdict struct {
-	Void   string // why the run proves nothing; empty: it counts
-	Breaks []Break
-	Unmet  []string // expectations that did not hold
-	Totals Shares
+	Void       string // why the run proves nothing; empty: the run counts
+	Violations []Violation
+	Unmet      []string // expectations that were not met
+	Totals     Shares
 }
 
-// AtAnySpeed are the breaks that count however slow or busy the machine was.
-func (v *Verdict) AtAnySpeed() []Break {
-	return slices.DeleteFunc(slices.Clone(v.Breaks), func(b Break) bool { return b.Timed })
+// UntimedViolations returns the violations that count no matter how slow or busy the machine was.
+func (v *Verdict) UntimedViolations() []Violation {
+	return slices.DeleteFunc(slices.Clone(v.Violations), func(b Violation) bool { return b.Timed })
 }
 
-// OK says whether the run counts and nothing was broken.
-func (v *Verdict) OK() bool { return v.Void == "" && len(v.Breaks) == 0 && len(v.Unmet) == 0 }
+// OK reports whether the run counts, no rule was violated and all expectations were met.
+func (v *Verdict) OK() bool { return v.Void == "" && len(v.Violations) == 0 && len(v.Unmet) == 0 }
 
-// Slack is what the machine may add to a time limit before a rule counts as broken.
+// Slack is the delay that is put down to the machine before a time limit counts as exceeded.
 const Slack = 150 * time.Millisecond
 
-// lateMost is how late the rig's own timers may be, in the 99th percentile, for a run to count; busyMost is the share of the
-// machine that may be in use.
+// A run is void if the rig's own timers were later than maxTimerDelayP99 in the 99th percentile, or if a larger share of the
+// machine than maxMachineBusy was in use.
 const (
-	lateMost = 25 * time.Millisecond
-	busyMost = 0.95
+	maxTimerDelayP99 = 25 * time.Millisecond
+	maxMachineBusy   = 0.95
 )
 
-// judge holds the records by what they are looked up with.
+// judge holds the records of a run with the indexes that the checks use.
 type judge struct {
-	s       *plan.Schedule
-	b       *record.Book
-	runs    map[string][]*record.Execution
-	down    [][]span // times in which a proxy could not be held to an answer, by proxy
-	stopped [][]span
-	v       *Verdict
+	schedule   *plan.Schedule
+	book       *record.Book
+	executions map[string][]*record.Execution // by request id
+	down       [][]interval                   // by proxy: times in which its process did not run, so that requests may be lost
+	stopped    [][]interval                   // by proxy: times in which the run had its process stopped (SIGSTOP)
+	verdict    *Verdict
 }
 
-type span struct{ from, to time.Duration }
+// interval is a time range.
+type interval struct{ from, to time.Duration }
 
-func within(spans []span, from, to time.Duration) bool {
-	return slices.ContainsFunc(spans, func(s span) bool { return from < s.to && to > s.from })
+// overlaps reports whether any of the intervals overlaps the given time range.
+func overlaps(intervals []interval, from, to time.Duration) bool {
+	return slices.ContainsFunc(intervals, func(s interval) bool { return from < s.to && to > s.from })
 }
 
-// Judge reads the records of a schedule's run.
+// Judge evaluates the records of a run of the schedule.
 func Judge(s *plan.Schedule, b *record.Book) *Verdict {
-	j := &judge{s: s, b: b, runs: map[string][]*record.Execution{}, v: &Verdict{}}
-	j.down, j.stopped = make([][]span, len(s.Proxies)), make([][]span, len(s.Proxies))
+	j := &judge{schedule: s, book: b, executions: map[string][]*record.Execution{}, verdict: &Verdict{}}
+	j.down, j.stopped = make([][]interval, len(s.Proxies)), make([][]interval, len(s.Proxies))
 	for i := range b.Executions {
 		e := &b.Executions[i]
-		j.runs[e.ID] = append(j.runs[e.ID], e)
+		j.executions[e.ID] = append(j.executions[e.ID], e)
 	}
 	j.readEvents()
 	for i := range b.Asks {
-		j.ask(&b.Asks[i])
+		j.checkRequest(&b.Asks[i])
 	}
-	for _, x := range j.b.Extras {
-		j.broken(TwoAnswers, x.At, "%s at proxy %d", x.ID, x.Proxy)
+	for _, x := range j.book.Extras {
+		j.addViolation(TwoAnswers, x.At, "%s at proxy %d", x.ID, x.Proxy)
 	}
-	j.drains()
-	j.acknowledgedDrains()
-	j.samples()
-	slices.SortStableFunc(j.v.Breaks, func(a, b Break) int { return int(a.At - b.At) })
-	j.v.Totals = Count(s, b, nil)
-	j.expect()
-	if m := b.Machine; m.LateP99 > lateMost {
-		j.v.Void = fmt.Sprintf("the rig's timers were %v late in the 99th percentile", m.LateP99.Round(time.Millisecond))
-	} else if m.Busy > busyMost {
-		j.v.Void = fmt.Sprintf("%.0f%% of the machine was in use", 100*m.Busy)
+	j.checkDrains()
+	j.checkAcknowledgedDrains()
+	j.checkSamples()
+	slices.SortStableFunc(j.verdict.Violations, func(a, b Violation) int { return int(a.At - b.At) })
+	j.verdict.Totals = Count(s, b, nil)
+	j.checkExpectations()
+	if m := b.Machine; m.LateP99 > maxTimerDelayP99 {
+		j.verdict.Void = fmt.Sprintf("the rig's timers were %v late in the 99th percentile", m.LateP99.Round(time.Millisecond))
+	} else if m.Busy > maxMachineBusy {
+		j.verdict.Void = fmt.Sprintf("%.0f%% of the machine was in use", 100*m.Busy)
 	}
-	return j.v
+	return j.verdict
 }
 
-// broken notes a break that follows from the order of what happened.
-func (j *judge) broken(rule string, at time.Duration, format string, args ...any) {
-	j.v.Breaks = append(j.v.Breaks, Break{Rule: rule, At: at, Text: fmt.Sprintf(format, args...)})
+// addViolation adds a violation that follows from the order of events.
+func (j *judge) addViolation(rule string, at time.Duration, format string, args ...any) {
+	j.verdict.Violations = append(j.verdict.Violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...)})
 }
 
-// tooLate notes a break that follows from the distance of two moments.
-func (j *judge) tooLate(rule string, at time.Duration, format string, args ...any) {
-	j.v.Breaks = append(j.v.Breaks, Break{Rule: rule, At: at, Text: fmt.Sprintf(format, args...), Timed: true})
+// addTimedViolation adds a violation that follows from the time between two events.
+func (j *judge) addTimedViolation(rule string, at time.Duration, format string, args ...any) {
+	j.verdict.Violations = append(j.verdict.Violations,
+		Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...), Timed: true})
 }
 
-// readEvents finds out when a proxy was down or stopped by the run's own hand, and what ended by itself.
+// readEvents collects the times in which each proxy was down or stopped, and adds violations for crashes and overloaded cold
+// hosts.
 func (j *judge) readEvents() {
 	const never = time.Duration(1<<63 - 1)
-	open := func(spans *[]span, at time.Duration) { *spans = append(*spans, span{at, never}) }
-	closeLast := func(spans []span, at time.Duration) {
-		if n := len(spans); n > 0 && spans[n-1].to == never {
-			spans[n-1].to = at
+	open := func(intervals *[]interval, at time.Duration) { *intervals = append(*intervals, interval{at, never}) }
+	closeLast := func(intervals []interval, at time.Duration) {
+		if n := len(intervals); n > 0 && intervals[n-1].to == never {
+			intervals[n-1].to = at
 		}
 	}
-	for _, e := range j.b.Events {
+	for _, e := range j.book.Events {
 		switch e.Kind {
 		case record.Killed:
 			open(&j.down[e.Proxy], e.At)
-		case record.Exit: // an end that was asked for must answer what it has taken; only what comes later is excused
+		case record.Exit: // a process that was asked to exit must answer accepted requests; only later ones are excused
 			open(&j.down[e.Proxy], e.At)
 		case record.Start:
 			closeLast(j.down[e.Proxy], e.At)
@@ -142,89 +147,91 @@
 		case record.Going:
 			closeLast(j.stopped[e.Proxy], e.At)
 		case record.Crash:
-			j.broken(Crashed, e.At, "proxy %d: %s", e.Proxy, e.Text)
+			j.addViolation(Crashed, e.At, "proxy %d: %s", e.Proxy, e.Text)
 			open(&j.down[e.Proxy], e.At)
 		case record.Fell:
-			j.tooLate(PushedOver, e.At, "host %d at %.0f%% of its warmth", e.Host, 100*j.warmthAt(e))
+			j.addTimedViolation(ColdHostOverloaded, e.At, "host %d at %.0f%% of its full capacity", e.Host, 100*j.parseWarmth(e))
 		}
 	}
 }
 
-// warmthAt reads the share that the event's text begins with.
-func (j *judge) warmthAt(e record.Event) (w float64) {
+// parseWarmth reads the share of its capacity that a cold host had, which the event's text begins with.
+func (j *judge) parseWarmth(e record.Event) (w float64) {
 	fmt.Sscanf(e.Text, "%f", &w)
 	return w
 }
 
-// ask judges one request.
-func (j *judge) ask(a *record.Ask) {
-	runs := j.runs[a.ID]
+// checkRequest checks one request of a caller.
+func (j *judge) checkRequest(a *record.Ask) {
+	executions := j.executions[a.ID]
 	ran := 0
-	for _, e := range runs {
+	for _, e := range executions {
 		if e.HasRun() {
 			ran++
 		}
 	}
-	j.effects(a, runs, ran)
-	if a.End == record.Unsent || within(j.down[a.Proxy], a.Sent, a.Done) {
-		return // it was never taken, or its proxy was killed under it
+	j.checkEffects(a, executions, ran)
+	if a.End == record.Unsent || overlaps(j.down[a.Proxy], a.Sent, a.Done) {
+		return // the proxy never had the request, or was down during it
 	}
 	if a.End == record.Lost {
-		if within(j.stopped[a.Proxy], a.Sent, a.Done) {
-			return // its caller had to leave while the run kept its proxy from answering
+		if overlaps(j.stopped[a.Proxy], a.Sent, a.Done) {
+			return // the caller gave up while the run had the proxy stopped
 		}
-		j.broken(LostRequest, a.Done, "%s at proxy %d, sent at %v", a.ID, a.Proxy, a.Sent)
+		j.addViolation(LostRequest, a.Done, "%s at proxy %d, sent at %v", a.ID, a.Proxy, a.Sent)
 		return
 	}
-	over := a.Sent + a.Deadline
-	if a.Done > over+Slack && !within(j.stopped[a.Proxy], a.Sent, a.Done) {
-		j.tooLate(LateAnswer, a.Done, "%s at proxy %d: %v after its time", a.ID, a.Proxy, a.Done-over)
+	deadline := a.Sent + a.Deadline
+	if a.Done > deadline+Slack && !overlaps(j.stopped[a.Proxy], a.Sent, a.Done) {
+		j.addTimedViolation(LateAnswer, a.Done, "%s at proxy %d: %v after its deadline", a.ID, a.Proxy, a.Done-deadline)
 	}
-	for _, e := range runs {
+	for _, e := range executions {
 		if e.Sent > a.Done+Slack {
-			j.tooLate(SentAfter, e.Sent, "%s to host %d, %v after its answer", a.ID, e.Host, e.Sent-a.Done)
+			j.addTimedViolation(SentAfterAnswer, e.Sent, "%s to host %d, %v after its answer", a.ID, e.Host, e.Sent-a.Done)
 		}
 	}
-	if a.Status == 200 && !slices.ContainsFunc(runs, func(e *record.Execution) bool {
+	if a.Status == 200 && !slices.ContainsFunc(executions, func(e *record.Execution) bool {
 		return e.How == record.Ran && a.Echo == a.ID && a.Host == HostName(e.Host)
 	}) {
-		j.broken(FromNobody, a.Done, "%s at proxy %d: host %q, id %q", a.ID, a.Proxy, a.Host, a.Echo)
+		j.addViolation(UnknownOrigin, a.Done, "%s at proxy %d: host %q, id %q", a.ID, a.Proxy, a.Host, a.Echo)
 	}
 }
 
-// HostName is the name of a host in the list and in its answers.
+// HostName returns the name of a host in the list and in its answers.
 func HostName(n int) string { return fmt.Sprintf("h%03d", n) }
 
-// effects judges what a request has done at hosts, however it was answered.
-func (j *judge) effects(a *record.Ask, runs []*record.Execution, ran int) {
-	class := &j.s.Classes[a.Class]
+// checkEffects checks the executions of a request at hosts, whatever answer the caller got. ran is the number of those that had
+// an effect.
+func (j *judge) checkEffects(a *record.Ask, executions []*record.Execution, ran int) {
+	class := &j.schedule.Classes[a.Class]
 	if class.Effect == "repeatable" || ran == 0 {
 		return
 	}
 	switch {
 	case class.Effect == "once" && ran > 1:
-		j.broken(RanTwice, runs[len(runs)-1].Arrived, "%s ran %d times, %s", a.ID, ran, places(runs))
-	case class.Effect == "by_key" && ran > 1 && !j.inGroup(class, runs):
-		j.broken(LeftGroup, runs[len(runs)-1].Arrived, "%s: %s", a.ID, places(runs))
+		j.addViolation(RanTwice, executions[len(executions)-1].Arrived, "%s ran %d times, %s", a.ID, ran, describeExecutions(executions))
+	case class.Effect == "by_key" && ran > 1 && !j.withinDedupScope(class, executions):
+		j.addViolation(RanOutsideGroup, executions[len(executions)-1].Arrived, "%s: %s", a.ID, describeExecutions(executions))
 	}
 	if a.Refused() && (class.Effect == "once" || class.Group == "zone") {
-		j.broken(RefusedAndRan, a.Done, "%s: %s", a.ID, places(runs))
+		j.addViolation(RefusedAndRan, a.Done, "%s: %s", a.ID, describeExecutions(executions))
 	}
 }
 
-// inGroup says whether all runs of a keyed request were where repeats are dropped, inside its window.
-func (j *judge) inGroup(class *plan.Class, runs []*record.Execution) bool {
+// withinDedupScope reports whether all executions of a keyed request were in the same deduplication group and within the
+// deduplication window, so that the hosts could drop repeats.
+func (j *judge) withinDedupScope(class *plan.Class, executions []*record.Execution) bool {
 	var first *record.Execution
-	for _, e := range runs {
+	for _, e := range executions {
 		if e.HasRun() && (first == nil || e.Arrived < first.Arrived) {
 			first = e
 		}
 	}
-	for _, e := range runs {
+	for _, e := range executions {
 		if !e.HasRun() {
 			continue
 		}
-		if class.Group == "zone" && j.s.Hosts[e.Host].Zone != j.s.Hosts[first.Host].Zone ||
+		if class.Group == "zone" && j.schedule.Hosts[e.Host].Zone != j.schedule.Hosts[first.Host].Zone ||
 			e.Arrived-first.Arrived > class.Window.D()+Slack {
 			return false
 		}
@@ -232,60 +239,63 @@
 	return true
 }
 
-func places(runs []*record.Execution) string {
+// describeExecutions lists executions for the text of a violation.
+func describeExecutions(executions []*record.Execution) string {
 	text := ""
-	for _, e := range runs {
+	for _, e := range executions {
 		text += fmt.Sprintf("[host %d at %v: %s]", e.Host, e.Arrived.Round(time.Millisecond), e.How)
 	}
 	return text
 }
 
-// drains judges what hosts got after word that they drain or are gone. A proxy that was never told counts as told once it
-// ought to have asked.
-func (j *judge) drains() {
+// checkDrains checks the attempts that hosts got after the list service had reported them as draining or gone. A proxy that was
+// not told counts as told once it should have asked for the list.
+func (j *judge) checkDrains() {
 	type pair struct{ proxy, host int }
 	told := map[pair]time.Duration{}
-	for _, t := range j.b.Tolds {
+	for _, t := range j.book.Tolds {
 		k := pair{t.Proxy, t.Host}
 		if at, known := told[k]; !known || t.At < at {
 			told[k] = t.At
 		}
 	}
-	listed := j.withdrawals()
-	for i := range j.b.Executions {
-		e := &j.b.Executions[i]
-		w := listed[e.Host]
-		if !w.holds(e.Sent) {
+	withdrawn := j.withdrawals()
+	for i := range j.book.Executions {
+		e := &j.book.Executions[i]
+		w := withdrawn[e.Host]
+		if !w.contains(e.Sent) {
 			continue
 		}
-		from := w.from + j.s.Proxy.AskWithin.D()
+		from := w.from + j.schedule.Proxy.AskWithin.D()
 		if at, known := told[pair{e.Proxy, e.Host}]; known {
 			from = min(from, at)
 		}
-		if late := e.Sent - from - j.s.Proxy.Grace.D(); late > Slack && !within(j.stopped[e.Proxy], from, e.Sent) {
-			j.tooLate(AfterDrain, e.Sent, "%s from proxy %d to host %d, %v after the grace", e.ID, e.Proxy, e.Host, late)
+		if late := e.Sent - from - j.schedule.Proxy.Grace.D(); late > Slack && !overlaps(j.stopped[e.Proxy], from, e.Sent) {
+			j.addTimedViolation(SentAfterDrain, e.Sent, "%s from proxy %d to host %d, %v after the grace period",
+				e.ID, e.Proxy, e.Host, late)
 		}
 	}
 }
 
-// acknowledgedDrains judges requests that began once their proxy had acknowledged that a host drains or is gone, and went there all
-// the same. No clock is read for it: the proxy's own question shows that it knew.
-func (j *judge) acknowledgedDrains() {
+// checkAcknowledgedDrains checks for requests that began after their proxy had acknowledged that a host drains or is gone, and
+// were sent to that host nevertheless. This check compares no durations: the proxy's next call to the list service shows that
+// the proxy knew.
+func (j *judge) checkAcknowledgedDrains() {
 	type pair struct{ proxy, host int }
 	heard := map[pair][]record.Heard{}
-	for _, h := range j.b.Heards {
+	for _, h := range j.book.Heards {
 		k := pair{h.Proxy, h.Host}
 		heard[k] = append(heard[k], h)
 	}
 	asks := map[string]*record.Ask{}
-	for i := range j.b.Asks {
-		asks[j.b.Asks[i].ID] = &j.b.Asks[i]
+	for i := range j.book.Asks {
+		asks[j.book.Asks[i].ID] = &j.book.Asks[i]
 	}
 	withdrawn, starts := j.withdrawals(), j.starts()
-	for i := range j.b.Executions {
-		e := &j.b.Executions[i]
+	for i := range j.book.Executions {
+		e := &j.book.Executions[i]
 		a, w := asks[e.ID], withdrawn[e.Host]
-		if a == nil || !w.holds(e.Sent) {
+		if a == nil || !w.contains(e.Sent) {
 			continue
 		}
 		knew := slices.ContainsFunc(heard[pair{e.Proxy, e.Host}], func(h record.Heard) bool {
@@ -293,31 +303,32 @@
 			return h.Changed >= w.from && h.At < a.Began && !restarted
 		})
 		if knew {
-			j.broken(AfterDrain, e.Sent, "%s from proxy %d to host %d, begun once it had acknowledged", e.ID, e.Proxy, e.Host)
+			j.addViolation(SentAfterDrain, e.Sent, "%s from proxy %d to host %d, begun after the proxy had acknowledged the drain",
+				e.ID, e.Proxy, e.Host)
 		}
 	}
 }
 
-// withdrawals are the times in which the list says of a host that it drains or is gone: the last of each host.
-func (j *judge) withdrawals() map[int]span {
-	listed := map[int]span{}
-	for _, e := range j.b.Events {
+// withdrawals returns, for each host, the last time range in which the list service reported it as draining or gone.
+func (j *judge) withdrawals() map[int]interval {
+	withdrawn := map[int]interval{}
+	for _, e := range j.book.Events {
 		switch e.Kind {
 		case record.Withdrawn:
-			listed[e.Host] = span{from: e.At, to: 1<<63 - 1}
+			withdrawn[e.Host] = interval{from: e.At, to: 1<<63 - 1}
 		case record.Listed:
-			listed[e.Host] = span{from: listed[e.Host].from, to: e.At}
+			withdrawn[e.Host] = interval{from: withdrawn[e.Host].from, to: e.At}
 		}
 	}
-	return listed
+	return withdrawn
 }
 
-func (s span) holds(at time.Duration) bool { return s.from <= at && at <= s.to && s.to > 0 }
+func (s interval) contains(at time.Duration) bool { return s.from <= at && at <= s.to && s.to > 0 }
 
-// starts are the moments at which each proxy was started.
+// starts returns the times at which each proxy was started.
 func (j *judge) starts() map[int][]time.Duration {
 	starts := map[int][]time.Duration{}
-	for _, e := range j.b.Events {
+	for _, e := range j.book.Events {
 		if e.Kind == record.Start {
 			starts[e.Proxy] = append(starts[e.Proxy], e.At)
 		}
@@ -325,33 +336,35 @@
 	return starts
 }
 
-// samples judges what processes hold: over their limits, or more and more of it at the same traffic.
-func (j *judge) samples() {
+// checkSamples checks the resources that processes hold against their limits, and for steady growth.
+func (j *judge) checkSamples() {
 	by := map[int][]record.Sample{}
-	for _, s := range j.b.Samples {
+	for _, s := range j.book.Samples {
 		by[s.Proxy] = append(by[s.Proxy], s)
 	}
 	for p, all := range by {
 		for _, s := range all {
-			if s.RSS > int64(j.s.Proxy.MemoryMB)<<20 || s.Descriptors > j.s.Proxy.Sockets {
-				j.broken(OverLimit, s.At, "proxy %d: %d MB, %d descriptors", p, s.RSS>>20, s.Descriptors)
+			if s.RSS > int64(j.schedule.Proxy.MemoryMB)<<20 || s.Descriptors > j.schedule.Proxy.Sockets {
+				j.addViolation(OverLimit, s.At, "proxy %d: %d MB, %d descriptors", p, s.RSS>>20, s.Descriptors)
 				break
 			}
 		}
-		if text := grows(all); text != "" {
-			j.tooLate(Leaked, all[len(all)-1].At, "proxy %d: %s", p, text)
+		if text := describeGrowth(all); text != "" {
+			j.addTimedViolation(ResourceGrowth, all[len(all)-1].At, "proxy %d: %s", p, text)
 		}
 	}
 }
 
-// A leak shows as growth from each quarter of the run to the next, by a step that no chance explains.
+// A leak shows as growth from each quarter of the run to the next, by steps too large for chance. At least leakSamples samples
+// are needed.
 const (
 	leakSamples     = 8
 	leakDescriptors = 10
 	leakBytes       = 8 << 20
 )
 
-func grows(all []record.Sample) string {
+// describeGrowth returns a description of a leak, or an empty text. It compares the lowest figures of the quarters of the run.
+func describeGrowth(all []record.Sample) string {
 	if len(all) < leakSamples {
 		return ""
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -24,9 +24,9 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "callers of\tasked\tserved\tlate\trefused\tfailed\tlost\tnot taken\ttries/r\tcrossed\tabroad\tp50 ms\tp99 ms\t")
 	row := func(name string, c judge.Shares) {
-		fmt.Fprintf(t, "%s\t%d\t%.4f\t%.4f\t%.4f\t%.4f\t%d\t%d\t%.3f\t%.4f\t%.4f\t%.1f\t%.1f\t\n", name, c.Asked, c.Part(c.Served),
-			c.Part(c.Late), c.Part(c.Refused), c.Part(c.Failed), c.Lost, c.Unsent, c.Part(c.Attempts), share(c.Crossed, c.Attempts),
-			share(c.CrossedRegions, c.Attempts), ms(c.P50), ms(c.P99))
+		fmt.Fprintf(t, "%s\t%d\t%.4f\t%.4f\t%.4f\t%.4f\t%d\t%d\t%.3f\t%.4f\t%.4f\t%.1f\t%.1f\t\n", name, c.Asked, c.Fraction(c.Served),
+			c.Fraction(c.Late), c.Fraction(c.Refused), c.Fraction(c.Failed), c.Lost, c.Unsent, c.Fraction(c.Attempts),
+			share(c.CrossZone, c.Attempts), share(c.CrossRegion, c.Attempts), ms(c.P50), ms(c.P99))
 	}
 	for z, zone := range s.Zones {
 		row(zone.Name, judge.Count(s, b, &judge.Filter{Zone: z, To: 1<<63 - 1}))
@@ -38,7 +38,7 @@
 	}
 	rss, cpu, descriptors := held(b)
 	fmt.Fprintf(w, "list: %d calls, %d failed; hosts: %d connections, %d at most on one, %d new a second at most, %d pushed over\n",
-		all.Calls, all.CallsFailed, all.Connections, all.MostOpen, all.PerSecond, all.Fell)
+		all.Calls, all.CallsFailed, all.Connections, all.MaxOpen, all.MaxNewPerSecond, all.HostsOverloaded)
 	fmt.Fprintf(w, "a process: %.1f MB resident, %d descriptors at most, %.1f%% of a core in the mean; machine %.0f%% busy, the rig %.0f%%; "+
 		"timers late by %v (p99), %v (most)\n", float64(rss)/(1<<20), descriptors, 100*cpu, 100*b.Machine.Busy, 100*b.Machine.RigBusy,
 		b.Machine.LateP99, b.Machine.LateMost)
@@ -60,7 +60,7 @@
 // Verdict prints what was broken and the word on the run.
 func Verdict(w io.Writer, v *judge.Verdict) error {
 	shown := map[string]int{}
-	for _, k := range v.Breaks {
+	for _, k := range v.Violations {
 		if shown[k.Rule]++; shown[k.Rule] <= breaksShown {
 			fmt.Fprintf(w, "BROKEN at %.3f s: %s: %s\n", k.At.Seconds(), k.Rule, k.Text)
 		}
@@ -124,7 +124,7 @@
 		for z, zone := range s.Zones {
 			c := judge.Count(s, b, &judge.Filter{Zone: z, From: at, To: at + time.Second})
 			all = append(all, Second{Second: int(at / time.Second), Zone: zone.Name, Asked: c.Asked, Served: c.Served, Late: c.Late,
-				Refused: c.Refused, Failed: c.Failed, Lost: c.Lost, Tries: c.Attempts, Crossed: c.Crossed, Calls: c.Calls,
+				Refused: c.Refused, Failed: c.Failed, Lost: c.Lost, Tries: c.Attempts, Crossed: c.CrossZone, Calls: c.Calls,
 				Conns: c.Connections, P99: ms(c.P99)})
 		}
 	}
--- a/internal/lab/report/table.go
+++ b/internal/lab/report/table.go
@@ -23,21 +23,21 @@
 }
 
 var columns = []column{
-	{"served", func(s *judge.Shares) float64 { return s.Part(s.Served) }},
-	{"in time", func(s *judge.Shares) float64 { return s.Part(s.Served - s.Late) }},
+	{"served", func(s *judge.Shares) float64 { return s.Fraction(s.Served) }},
+	{"in time", func(s *judge.Shares) float64 { return s.Fraction(s.Served - s.Late) }},
 	{"bad s", func(s *judge.Shares) float64 { return float64(s.BadSeconds) }},
-	{"refused", func(s *judge.Shares) float64 { return s.Part(s.Refused) }},
-	{"failed", func(s *judge.Shares) float64 { return s.Part(s.Failed) }},
-	{"not taken", func(s *judge.Shares) float64 { return s.Part(s.Unsent) }},
-	{"tries/r", func(s *judge.Shares) float64 { return s.Part(s.Attempts) }},
-	{"crossed", func(s *judge.Shares) float64 { return share(s.Crossed, s.Attempts) }},
-	{"abroad", func(s *judge.Shares) float64 { return share(s.CrossedRegions, s.Attempts) }},
+	{"refused", func(s *judge.Shares) float64 { return s.Fraction(s.Refused) }},
+	{"failed", func(s *judge.Shares) float64 { return s.Fraction(s.Failed) }},
+	{"not taken", func(s *judge.Shares) float64 { return s.Fraction(s.Unsent) }},
+	{"tries/r", func(s *judge.Shares) float64 { return s.Fraction(s.Attempts) }},
+	{"crossed", func(s *judge.Shares) float64 { return share(s.CrossZone, s.Attempts) }},
+	{"abroad", func(s *judge.Shares) float64 { return share(s.CrossRegion, s.Attempts) }},
 	{"p99 ms", func(s *judge.Shares) float64 { return ms(s.P99) }},
 	{"calls", func(s *judge.Shares) float64 { return float64(s.Calls) }},
 	{"conns", func(s *judge.Shares) float64 { return float64(s.Connections) }},
-	{"most open", func(s *judge.Shares) float64 { return float64(s.MostOpen) }},
-	{"new/s", func(s *judge.Shares) float64 { return float64(s.PerSecond) }},
-	{"fell", func(s *judge.Shares) float64 { return float64(s.Fell) }},
+	{"most open", func(s *judge.Shares) float64 { return float64(s.MaxOpen) }},
+	{"new/s", func(s *judge.Shares) float64 { return float64(s.MaxNewPerSecond) }},
+	{"fell", func(s *judge.Shares) float64 { return float64(s.HostsOverloaded) }},
 }
 
 // Table prints rows as experiments end, in the form of Markdown.
@@ -98,7 +98,7 @@
 		if r.Verdict.Void != "" {
 			void++
 		}
-		for _, b := range r.Verdict.Breaks {
+		for _, b := range r.Verdict.Violations {
 			count[b.Rule]++
 		}
 	}
