--- a/cmd/beechwing-lab/fleet_test.go
+++ b/cmd/beechwing-lab/fleet_test.go
@@ -130,8 +130,8 @@
 	} {
 		book := record.NewBook()
 		book.Add(record.Event{Kind: record.Start}, record.Event{Kind: record.Withdrawn, At: 10 * ms, Host: 1},
-			record.Heard{Host: 1, Changed: 10 * ms, At: 30 * ms},
-			record.Ask{ID: "a", Began: c.began, Sent: c.began, Done: 60 * ms, Deadline: time.Second, Status: 500},
+			record.WithdrawalAck{Host: 1, Changed: 10 * ms, At: 30 * ms},
+			record.Request{ID: "a", Began: c.began, Sent: c.began, Done: 60 * ms, Deadline: time.Second, Status: 500},
 			record.Execution{ID: "a", Host: 1, Sent: 50 * ms, Arrived: 50 * ms, How: record.TurnedAway})
 		if c.started > 0 {
 			book.Add(record.Event{Kind: record.Start, At: c.started})
--- a/internal/lab/caller/caller.go
+++ b/internal/lab/caller/caller.go
@@ -70,7 +70,7 @@
 func (c *Caller) Ask(due time.Duration, id string, class int, key uint64, ended func()) {
 	c.wg.Go(func() {
 		defer ended()
-		c.send(record.Ask{ID: id, Proxy: c.proxy, Class: class, Key: key, Due: due}, c.retries)
+		c.send(record.Request{ID: id, Proxy: c.proxy, Class: class, Key: key, Due: due}, c.retries)
 	})
 }
 
@@ -98,13 +98,13 @@
 		})
 	}
 	if extra {
-		c.book.Add(record.Extra{ID: cn.last, Proxy: c.proxy, At: c.book.Now()})
+		c.book.Add(record.UnexpectedData{ID: cn.last, Proxy: c.proxy, At: c.book.Now()})
 	}
 	return extra
 }
 
 // send sends a request and records the outcome. If the answer allows a retry, it sends a new request after the given time.
-func (c *Caller) send(a record.Ask, retries int) {
+func (c *Caller) send(a record.Request, retries int) {
 	a.Deadline = c.classes[a.Class].Deadline
 	c.exchange(&a)
 	a.Done = c.book.Now()
@@ -116,12 +116,12 @@
 	c.mu.Lock()
 	id := fmt.Sprintf("%016x", c.random.Uint64())
 	c.mu.Unlock()
-	c.send(record.Ask{ID: id, Proxy: a.Proxy, Class: a.Class, Key: a.Key, Due: c.book.Now(), Again: true}, retries-1)
+	c.send(record.Request{ID: id, Proxy: a.Proxy, Class: a.Class, Key: a.Key, Due: c.book.Now(), Again: true}, retries-1)
 }
 
 // exchange sends a request and reads its answer. If the proxy closed a reused connection while the request was being sent,
 // the request is sent once more on a new connection, as the protocol requires of clients.
-func (c *Caller) exchange(a *record.Ask) {
+func (c *Caller) exchange(a *record.Request) {
 	for range 2 {
 		cn, err := c.getConn(a.Sent > 0)
 		if err != nil {
@@ -193,7 +193,7 @@
 const unsafeBody = "take one seat\n"
 
 // exchangeOn sends a request on a connection and reads the answer into a. It keeps the connection for reuse where possible.
-func (c *Caller) exchangeOn(cn *conn, a *record.Ask) error {
+func (c *Caller) exchangeOn(cn *conn, a *record.Request) error {
 	class := c.classes[a.Class]
 	method, body := "POST", unsafeBody
 	if class.Safe {
--- a/internal/lab/caller/caller_test.go
+++ b/internal/lab/caller/caller_test.go
@@ -45,7 +45,7 @@
 	book := record.NewBook()
 	book.Begin()
 	c := New(ln.Addr().String(), 0, []Class{{Name: "look", Safe: true, Deadline: time.Second}}, 0, 1, book)
-	send := func(id string) record.Ask {
+	send := func(id string) record.Request {
 		c.Ask(0, id, 0, 1, func() {})
 		c.wg.Wait()
 		return book.Asks[len(book.Asks)-1]
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -144,12 +144,12 @@
 			closeLast(j.down[e.Proxy], e.At)
 		case record.Stopped:
 			open(&j.stopped[e.Proxy], e.At)
-		case record.Going:
+		case record.Resumed:
 			closeLast(j.stopped[e.Proxy], e.At)
 		case record.Crash:
 			j.addViolation(Crashed, e.At, "proxy %d: %s", e.Proxy, e.Text)
 			open(&j.down[e.Proxy], e.At)
-		case record.Fell:
+		case record.HostOverloaded:
 			j.addTimedViolation(ColdHostOverloaded, e.At, "host %d at %.0f%% of its full capacity", e.Host, 100*j.parseWarmth(e))
 		}
 	}
@@ -162,7 +162,7 @@
 }
 
 // checkRequest checks one request of a caller.
-func (j *judge) checkRequest(a *record.Ask) {
+func (j *judge) checkRequest(a *record.Request) {
 	executions := j.executions[a.ID]
 	ran := 0
 	for _, e := range executions {
@@ -202,14 +202,15 @@
 
 // checkEffects checks the executions of a request at hosts, whatever answer the caller got. ran is the number of those that had
 // an effect.
-func (j *judge) checkEffects(a *record.Ask, executions []*record.Execution, ran int) {
+func (j *judge) checkEffects(a *record.Request, executions []*record.Execution, ran int) {
 	class := &j.schedule.Classes[a.Class]
 	if class.Effect == "repeatable" || ran == 0 {
 		return
 	}
 	switch {
 	case class.Effect == "once" && ran > 1:
-		j.addViolation(RanTwice, executions[len(executions)-1].Arrived, "%s ran %d times, %s", a.ID, ran, describeExecutions(executions))
+		j.addViolation(RanTwice, executions[len(executions)-1].Arrived, "%s ran %d times, %s",
+			a.ID, ran, describeExecutions(executions))
 	case class.Effect == "by_key" && ran > 1 && !j.withinDedupScope(class, executions):
 		j.addViolation(RanOutsideGroup, executions[len(executions)-1].Arrived, "%s: %s", a.ID, describeExecutions(executions))
 	}
@@ -282,23 +283,23 @@
 // the proxy knew.
 func (j *judge) checkAcknowledgedDrains() {
 	type pair struct{ proxy, host int }
-	heard := map[pair][]record.Heard{}
+	acks := map[pair][]record.WithdrawalAck{}
 	for _, h := range j.book.Heards {
 		k := pair{h.Proxy, h.Host}
-		heard[k] = append(heard[k], h)
+		acks[k] = append(acks[k], h)
 	}
-	asks := map[string]*record.Ask{}
+	requests := map[string]*record.Request{}
 	for i := range j.book.Asks {
-		asks[j.book.Asks[i].ID] = &j.book.Asks[i]
+		requests[j.book.Asks[i].ID] = &j.book.Asks[i]
 	}
 	withdrawn, starts := j.withdrawals(), j.starts()
 	for i := range j.book.Executions {
 		e := &j.book.Executions[i]
-		a, w := asks[e.ID], withdrawn[e.Host]
+		a, w := requests[e.ID], withdrawn[e.Host]
 		if a == nil || !w.contains(e.Sent) {
 			continue
 		}
-		knew := slices.ContainsFunc(heard[pair{e.Proxy, e.Host}], func(h record.Heard) bool {
+		knew := slices.ContainsFunc(acks[pair{e.Proxy, e.Host}], func(h record.WithdrawalAck) bool {
 			restarted := slices.ContainsFunc(starts[e.Proxy], func(at time.Duration) bool { return at >= h.At })
 			return h.Changed >= w.from && h.At < a.Began && !restarted
 		})
--- a/internal/lab/judge/shares.go
+++ b/internal/lab/judge/shares.go
@@ -103,7 +103,7 @@
 		}
 	}
 	for _, e := range b.Events {
-		if e.Kind == record.Fell && (f == nil || e.At >= f.From && e.At < f.To) {
+		if e.Kind == record.HostOverloaded && (f == nil || e.At >= f.From && e.At < f.To) {
 			c.HostsOverloaded++
 		}
 	}
--- a/internal/lab/list/list.go
+++ b/internal/lab/list/list.go
@@ -311,14 +311,14 @@
 // host must stop.
 func (s *Service) recordTold(proxy, version int) {
 	s.forEachNewStop(s.told, proxy, version, func(c change) {
-		s.book.Add(record.Told{Proxy: proxy, Host: c.host, Changed: c.at, At: s.book.Now()})
+		s.book.Add(record.WithdrawalNotice{Proxy: proxy, Host: c.host, Changed: c.at, At: s.book.Now()})
 	})
 }
 
 // recordHeard records that a proxy has acknowledged these changes, by asking for changes after a version.
 func (s *Service) recordHeard(proxy, version int) {
 	s.forEachNewStop(s.heard, proxy, version, func(c change) {
-		s.book.Add(record.Heard{Proxy: proxy, Host: c.host, Changed: c.at, At: s.book.Now()})
+		s.book.Add(record.WithdrawalAck{Proxy: proxy, Host: c.host, Changed: c.at, At: s.book.Now()})
 	})
 }
 
--- a/internal/lab/node/node.go
+++ b/internal/lab/node/node.go
@@ -127,7 +127,7 @@
 		firstCrash := !n.crashed
 		n.crashed = true
 		n.mu.Unlock()
-		e.How, e.Began = record.Pushed, e.Arrived
+		e.How, e.Began = record.Overloaded, e.Arrived
 		n.book.Add(e)
 		if firstCrash {
 			go func() {
@@ -138,7 +138,7 @@
 		return false
 	}
 	if !n.awaitCore(clientGone, generation) {
-		e.How = record.Moot
+		e.How = record.Abandoned
 		n.mu.Unlock()
 		n.book.Add(e)
 		return false
--- a/internal/lab/node/node_test.go
+++ b/internal/lab/node/node_test.go
@@ -67,7 +67,7 @@
 			t.Errorf("%+v", e)
 		}
 	}
-	if how["runs"] != record.Ran || how["leaves"] != record.Moot || how["full"] != record.TurnedAway {
+	if how["runs"] != record.Ran || how["leaves"] != record.Abandoned || how["full"] != record.TurnedAway {
 		t.Errorf("%v", how)
 	}
 }
--- a/internal/lab/rig/faults.go
+++ b/internal/lab/rig/faults.go
@@ -218,7 +218,7 @@
 	warmth := 0.0
 	now := r.book.Now()
 	r.nodes[h].Change(func(m *node.Model) { warmth = m.Warmth(now) })
-	r.book.Add(record.Event{At: now, Kind: record.Fell, Proxy: -1, Host: h, Text: fmt.Sprintf("%.2f warm", warmth)})
+	r.book.Add(record.Event{At: now, Kind: record.HostOverloaded, Proxy: -1, Host: h, Text: fmt.Sprintf("%.2f warm", warmth)})
 	r.background.Go(func() {
 		if _, err := r.book.Until(r.ctx, now+r.schedule.Host.Restart.D()); err == nil {
 			r.restartHost(h)
@@ -275,7 +275,7 @@
 		r.recordFailure(r.launch(m))
 	case "stop":
 		r.recordFailure(m.Signal(syscall.SIGCONT))
-		r.book.Add(record.Event{At: r.book.Now(), Kind: record.Going, Proxy: p, Host: -1})
+		r.book.Add(record.Event{At: r.book.Now(), Kind: record.Resumed, Proxy: p, Host: -1})
 	}
 }
 
