--- a/cmd/beechwing-lab/play.go
+++ b/cmd/beechwing-lab/play.go
@@ -87,7 +87,8 @@
 	}
 	v := judge.Judge(s, book)
 	if p.out != "" {
-		if err := writeFile(filepath.Join(p.out, "seconds.jsonl"), func(w io.Writer) error { return report.Lines(w, s, book) }); err != nil {
+		if err := writeFile(filepath.Join(p.out, "seconds.jsonl"),
+			func(w io.Writer) error { return report.JSONLines(w, s, book) }); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -13,20 +13,21 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
-// panels are the figures that a plot shows by second, each summed over zones and averaged over runs.
+// panels are the figures of a plot, each as a sum over zones for each second, averaged over runs.
 var panels = []struct {
-	name string
-	of   func(Second) int
+	name  string
+	value func(Second) int
 }{
 	{"served", func(s Second) int { return s.Served }},
 	{"refused", func(s Second) int { return s.Refused }},
 	{"failed or lost", func(s Second) int { return s.Failed + s.Lost }},
-	{"attempts in another zone", func(s Second) int { return s.Crossed }},
+	{"attempts in another zone", func(s Second) int { return s.CrossZone }},
 	{"calls on the list service", func(s Second) int { return s.Calls }},
-	{"new connections to hosts", func(s Second) int { return s.Conns }},
+	{"new connections to hosts", func(s Second) int { return s.Connections }},
 }
 
-// Plot draws what builds did by second as a PNG file: a panel for each figure, a line for each build.
+// Plot writes a PNG file that compares builds second by second, with a panel for each figure and a line for each build. builds
+// holds the runs of each build.
 func Plot(path, title string, builds [][]Run) error {
 	const columns = 2
 	rows := len(panels) / columns
@@ -40,7 +41,7 @@
 		p.X.Label.Text, p.Y.Label.Text = "second", "a second"
 		p.Y.Min = 0
 		for n, runs := range builds {
-			line, err := plotter.NewLine(bySecond(runs, panel.of))
+			line, err := plotter.NewLine(bySecond(runs, panel.value))
 			if err != nil {
 				return fmt.Errorf("plot %s: %w", path, err)
 			}
@@ -69,12 +70,13 @@
 	return nil
 }
 
-func bySecond(runs []Run, of func(Second) int) plotter.XYs {
+// bySecond returns the mean of a figure over runs, for each second.
+func bySecond(runs []Run, value func(Second) int) plotter.XYs {
 	sums := map[int]float64{}
 	last := 0
 	for _, r := range runs {
 		for _, s := range r.Seconds {
-			sums[s.Second] += float64(of(s)) / float64(len(runs))
+			sums[s.Second] += float64(value(s)) / float64(len(runs))
 			last = max(last, s.Second)
 		}
 	}
--- a/internal/lab/report/table.go
+++ b/internal/lab/report/table.go
@@ -9,17 +9,17 @@
 	"beechwing/internal/lab/judge"
 )
 
-// Run is one play of an experiment.
+// Run is the result of one run of an experiment with a build of the program.
 type Run struct {
 	Build   string
 	Verdict *judge.Verdict
 	Seconds []Second
 }
 
-// column is a figure of a run.
+// column is a column of the table: a figure of a run.
 type column struct {
-	name string
-	of   func(*judge.Shares) float64
+	name  string
+	value func(*judge.Shares) float64
 }
 
 var columns = []column{
@@ -30,9 +30,9 @@
 	{"failed", func(s *judge.Shares) float64 { return s.Fraction(s.Failed) }},
 	{"not taken", func(s *judge.Shares) float64 { return s.Fraction(s.Unsent) }},
 	{"tries/r", func(s *judge.Shares) float64 { return s.Fraction(s.Attempts) }},
-	{"crossed", func(s *judge.Shares) float64 { return share(s.CrossZone, s.Attempts) }},
-	{"abroad", func(s *judge.Shares) float64 { return share(s.CrossRegion, s.Attempts) }},
-	{"p99 ms", func(s *judge.Shares) float64 { return ms(s.P99) }},
+	{"crossed", func(s *judge.Shares) float64 { return ratio(s.CrossZone, s.Attempts) }},
+	{"abroad", func(s *judge.Shares) float64 { return ratio(s.CrossRegion, s.Attempts) }},
+	{"p99 ms", func(s *judge.Shares) float64 { return milliseconds(s.P99) }},
 	{"calls", func(s *judge.Shares) float64 { return float64(s.Calls) }},
 	{"conns", func(s *judge.Shares) float64 { return float64(s.Connections) }},
 	{"most open", func(s *judge.Shares) float64 { return float64(s.MaxOpen) }},
@@ -40,10 +40,10 @@
 	{"fell", func(s *judge.Shares) float64 { return float64(s.HostsOverloaded) }},
 }
 
-// Table prints rows as experiments end, in the form of Markdown.
+// Table prints a Markdown table that compares builds. Rows are printed as experiments end.
 type Table struct{ out io.Writer }
 
-// NewTable prints the head.
+// NewTable prints the head of a table to out.
 func NewTable(out io.Writer) *Table {
 	names := []string{"experiment", "build"}
 	for _, c := range columns {
@@ -54,14 +54,14 @@
 	return &Table{out: out}
 }
 
-// Add prints a row for each build's runs of an experiment.
+// Add prints the rows of an experiment, one for the runs of each build.
 func (t *Table) Add(experiment string, builds [][]Run) error {
 	for _, runs := range builds {
 		cells := []string{experiment, runs[0].Build}
 		for _, c := range columns {
-			cells = append(cells, spread(runs, c.of))
+			cells = append(cells, formatRange(runs, c.value))
 		}
-		cells = append(cells, troubles(runs))
+		cells = append(cells, describeFailures(runs))
 		if _, err := fmt.Fprintf(t.out, "| %s |\n", strings.Join(cells, " | ")); err != nil {
 			return err
 		}
@@ -69,29 +69,29 @@
 	return nil
 }
 
-// spread is the median of a figure over runs, with the lowest and highest where they differ.
-func spread(runs []Run, of func(*judge.Shares) float64) string {
+// formatRange returns the median of a figure over runs, with the lowest and highest values if they differ.
+func formatRange(runs []Run, value func(*judge.Shares) float64) string {
 	var all []float64
 	for _, r := range runs {
-		all = append(all, of(&r.Verdict.Totals))
+		all = append(all, value(&r.Verdict.Totals))
 	}
 	slices.Sort(all)
-	low, mid, high := figure(all[0]), figure(all[len(all)/2]), figure(all[len(all)-1])
+	low, mid, high := formatNumber(all[0]), formatNumber(all[len(all)/2]), formatNumber(all[len(all)-1])
 	if low == high {
 		return mid
 	}
 	return fmt.Sprintf("%s (%s..%s)", mid, low, high)
 }
 
-func figure(x float64) string {
+func formatNumber(x float64) string {
 	if x >= 10 || x == float64(int(x)) {
 		return fmt.Sprintf("%.0f", x)
 	}
 	return fmt.Sprintf("%.3f", x)
 }
 
-// troubles names the rules that runs broke, and how many were void.
-func troubles(runs []Run) string {
+// describeFailures returns the number of violations of each rule over all runs, and the number of void runs.
+func describeFailures(runs []Run) string {
 	count := map[string]int{}
 	void := 0
 	for _, r := range runs {
