--- a/cmd/beechwing-lab/compare.go
+++ b/cmd/beechwing-lab/compare.go
@@ -17,31 +17,33 @@
 	"beechwing/internal/lab/rig"
 )
 
-// compare plays experiments with several builds, alternating on the same seeds.
+// compare runs experiments with several builds in alternation, on the same seeds.
 type compare struct {
 	builds  []string // name=path
-	sites   []string // name=path of an operator's file
+	sites   []string // name=path of the operators' configuration file for a build
 	repeats int
 	seed    uint64
 	out     io.Writer // the table
-	notes   io.Writer // what was broken, run by run
+	notes   io.Writer // violations of each run that did not pass
 	plots   string
 }
 
 func compareCommand() *cobra.Command {
 	c := &compare{}
 	cmd := &cobra.Command{Use: "compare EXPERIMENT...", Args: cobra.MinimumNArgs(1),
-		Short: "Plays experiments with several builds side by side, on the same seeds",
-		Long: "Each experiment is played with each build in turn, seed after seed. A row gives the median over the seeds and, where they\n" +
-			"differ, the lowest and highest; the last column counts runs that broke a rule or were void.",
+		Short: "Runs experiments with several builds in turn, on the same seeds",
+		Long: "Each experiment is run with each build in turn, seed after seed. A row gives the median over the seeds and, where they\n" +
+			"differ, the lowest and highest; the last column counts the violations of each rule and the void runs.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c.out, c.notes = cmd.OutOrStdout(), cmd.ErrOrStderr()
 			return c.run(cmd.Context(), args)
 		}}
-	cmd.Flags().StringArrayVar(&c.builds, "build", []string{"now=" + besideMe("beechwing")}, "a build, as NAME=PATH; may be given again")
-	cmd.Flags().StringArrayVar(&c.sites, "site", nil, "an operator's file for the build of that name, as NAME=PATH; may be given again")
-	cmd.Flags().IntVar(&c.repeats, "repeats", 3, "seeds played")
-	cmd.Flags().Uint64Var(&c.seed, "seed", 1, "the first of them")
+	cmd.Flags().StringArrayVar(&c.builds, "build", []string{"now=" + siblingBinary("beechwing")},
+		"a build, as NAME=PATH; may be repeated")
+	cmd.Flags().StringArrayVar(&c.sites, "site", nil,
+		"operators' configuration file for the build of that name, as NAME=PATH; may be repeated")
+	cmd.Flags().IntVar(&c.repeats, "repeats", 3, "number of seeds")
+	cmd.Flags().Uint64Var(&c.seed, "seed", 1, "first seed")
 	cmd.Flags().StringVar(&c.plots, "plots", "", "folder for a plot of each experiment, by second")
 	return cmd
 }
@@ -87,7 +89,7 @@
 	return nil
 }
 
-// variant is a program with an operator's file for it.
+// variant is a build of the program with the operators' configuration file for it.
 type variant struct{ name, binary, site string }
 
 func (c *compare) parse() ([]variant, error) {
--- a/cmd/beechwing-lab/fleet_test.go
+++ b/cmd/beechwing-lab/fleet_test.go
@@ -18,7 +18,7 @@
 	"beechwing/internal/lab/standin"
 )
 
-// TestMain lets this binary be the stand-in proxy too, as beechwing-lab is.
+// TestMain lets the test binary also run as the stand-in proxy, as beechwing-lab does.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "standin" {
 		if err := standin.Run(os.Args[2]); err != nil {
@@ -30,11 +30,11 @@
 	os.Exit(m.Run())
 }
 
-// slowest is how many times as slow as an idle machine one may be on which these tests still hold.
-const slowest = 8
+// maxSlowdown is how many times as slow as an idle machine a machine may be for these tests to pass.
+const maxSlowdown = 8
 
-// TestJudgeOnRecordedHistories: of runs that were recorded on a machine with time to spare, the judge names each planted defect and
-// nothing else, and accuses a right proxy of nothing.
+// TestJudgeOnRecordedHistories guards against a judge that misses a defect or reports one that is not there. It uses histories
+// that were recorded on a lightly loaded machine. A run on a busy machine must be void.
 func TestJudgeOnRecordedHistories(t *testing.T) {
 	f, err := plan.Parse("selftest", []byte(selftestText))
 	if err != nil {
@@ -42,12 +42,12 @@
 	}
 	for _, defect := range append([]string{standin.None}, standin.Defects...) {
 		book := readHistory(t, defect)
-		if n := found(defect, judge.Judge(f.Draw(f.Seed), book)); !n.right() {
+		if n := newFinding(defect, judge.Judge(f.Draw(f.Seed), book)); !n.asExpected() {
 			t.Errorf("%s: %s", defect, n)
 		}
 		book.Machine.Busy = 1
 		if v := judge.Judge(f.Draw(f.Seed), book); v.Void == "" || v.OK() {
-			t.Errorf("%s: the machine was the limit, and the run is not void", defect)
+			t.Errorf("%s: the run is not void although the machine was busy", defect)
 		}
 	}
 }
@@ -70,13 +70,14 @@
 	return book
 }
 
-// paced is how the tests play: the schedule waits for answers, and everything has the time that a slow machine takes.
-func paced(binary string, seed uint64) rig.Options {
-	return rig.Options{Binary: binary, Seed: seed, MaxInFlight: 48, SlowdownFactor: slowest}
+// slowMachineOptions returns options with which runs pass on a slow machine: the schedule pauses for answers, and timeouts are
+// longer.
+func slowMachineOptions(binary string, seed uint64) rig.Options {
+	return rig.Options{Binary: binary, Seed: seed, MaxInFlight: 48, SlowdownFactor: maxSlowdown}
 }
 
-// TestSelftest: at any load the judge names each defect of a stand-in that is played now, and accuses it of no other break that
-// counts at any speed.
+// TestSelftest guards against a judge that misses a defect of the stand-in proxy in a live run, or reports another violation
+// that does not depend on the machine's speed. It must pass under any load.
 func TestSelftest(t *testing.T) {
 	me, err := os.Executable()
 	if err != nil {
@@ -89,30 +90,30 @@
 	f.Traffic.RPS = 60
 	f.Host.FallMultiple = 0.2
 	for i := range f.Classes {
-		f.Classes[i].Deadline *= slowest
+		f.Classes[i].Deadline *= maxSlowdown
 	}
 	for _, defect := range append([]string{standin.None}, standin.Defects...) {
 		t.Run(defect, func(t *testing.T) {
 			t.Parallel()
-			n, book := plant(t.Context(), f, paced(me, f.Seed), defect)
+			n, book := playDefect(t.Context(), f, slowMachineOptions(me, f.Seed), defect)
 			if n.err != nil {
 				t.Fatal(n.err)
 			}
-			want := planted[defect]
+			want := expectedRules[defect]
 			if want != "" && !slices.Contains(n.rules, want) {
-				t.Errorf("%q is not named in %v", want, n.rules)
+				t.Errorf("%q is not among the reported rules %v", want, n.rules)
 			}
 			for _, b := range judge.Judge(f.Draw(f.Seed), book).UntimedViolations() {
 				if b.Rule != want && !(want == judge.Crashed && b.Rule == judge.LostRequest) {
-					t.Errorf("accused of %q at %v: %s", b.Rule, b.At, b.Text)
+					t.Errorf("unexpected violation of %q at %v: %s", b.Rule, b.At, b.Text)
 				}
 			}
 		})
 	}
 }
 
-// TestAcknowledgedDrainCounts: a request that begins once its proxy has acknowledged a drain and goes there all the same counts at any
-// speed; one that began before, or by a process that was started since, does not.
+// TestAcknowledgedDrainCounts checks that a request sent to a draining host is an untimed violation if it began after its proxy
+// had acknowledged the drain. It is none if it began before that, or if the proxy's process was restarted in between.
 func TestAcknowledgedDrainCounts(t *testing.T) {
 	f, err := plan.Parse("selftest", []byte(selftestText))
 	if err != nil {
@@ -125,8 +126,8 @@
 		broken         bool
 	}{
 		{"begun after the acknowledgement", 40 * ms, 0, true},
-		{"begun before", 20 * ms, 0, false},
-		{"by the next process", 40 * ms, 35 * ms, false},
+		{"begun before the acknowledgement", 20 * ms, 0, false},
+		{"process restarted after the acknowledgement", 40 * ms, 35 * ms, false},
 	} {
 		book := record.NewBook()
 		book.Add(record.Event{Kind: record.Start}, record.Event{Kind: record.Withdrawn, At: 10 * ms, Host: 1},
@@ -143,8 +144,8 @@
 	}
 }
 
-// build makes the program as it stands.
-func build(t *testing.T) string {
+// buildProgram builds the program from the present source and returns its path.
+func buildProgram(t *testing.T) string {
 	binary := filepath.Join(t.TempDir(), "beechwing")
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "beechwing/cmd/beechwing").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
@@ -152,10 +153,10 @@
 	return binary
 }
 
-// TestSmallExperiments plays the experiments that are small enough for CI on the program as it stands: what it has to keep at any speed.
-// Figures of time, and what the experiments expect, are measured by make fleet.
+// TestSmallExperiments runs the experiments that are small enough for CI on the program, and checks the rules that hold at any
+// speed of the machine. Timed rules and the expectations of the experiments are checked by make fleet.
 func TestSmallExperiments(t *testing.T) {
-	binary := build(t)
+	binary := buildProgram(t)
 	files, err := filepath.Glob("../../examples/experiments/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
@@ -172,7 +173,7 @@
 		}
 		t.Run(f.Name, func(t *testing.T) {
 			t.Parallel()
-			book, err := rig.Play(t.Context(), s, paced(binary, f.Seed))
+			book, err := rig.Play(t.Context(), s, slowMachineOptions(binary, f.Seed))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -181,13 +182,13 @@
 				t.Errorf("%q at %v: %s", b.Rule, b.At, b.Text)
 			}
 			if v.Totals.Served == 0 {
-				t.Errorf("nothing is served: %+v", v.Totals)
+				t.Errorf("no request was served: %+v", v.Totals)
 			}
 		})
 	}
 }
 
-// TestSchedule: the same file and seed give the same schedule to the byte, another seed another one.
+// TestSchedule checks that the same file and seed give the same schedule byte for byte, and another seed a different one.
 func TestSchedule(t *testing.T) {
 	draw := func(seed uint64) string {
 		f, err := plan.Load("../../examples/experiments/silent-link.toml")
@@ -202,11 +203,11 @@
 	}
 	first, again, other := draw(1), draw(1), draw(2)
 	if first != again || first == other || strings.Count(first, "\n") < 500 {
-		t.Error("a schedule is not its seed's alone")
+		t.Error("schedules of the same seed differ, those of different seeds are the same, or they are too short")
 	}
 }
 
-// TestMistakes: every mistake of a file is named at once, by line and field.
+// TestMistakes checks that all mistakes in a file are reported at once, each with its line and field.
 func TestMistakes(t *testing.T) {
 	_, err := plan.Parse("x.toml", []byte(`name = "x"
 span = "0s"
@@ -226,7 +227,7 @@
 to = "hosts@b"
 `))
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("a file with mistakes was accepted")
 	}
 	for _, want := range []string{"x.toml:2: span: ", "x.toml:9: class.0.effect: ", "x.toml:15: fault.0.at: ", `x.toml:16: fault.0.to: "b"`} {
 		if !strings.Contains(err.Error(), want) {
--- a/cmd/beechwing-lab/idle.go
+++ b/cmd/beechwing-lab/idle.go
@@ -14,75 +14,77 @@
 	"beechwing/internal/lab/process"
 )
 
-// idle is the experiment on idle connections of callers.
-type idle struct {
-	binary   string
-	held     []int
-	beside   int
-	nodes    int
-	rate     float64
-	span     time.Duration
-	repeats  int
-	memoryMB int
-	wave     time.Duration
-	settle   time.Duration
-	expire   time.Duration
-	out      io.Writer
+// idleExperiment measures what idle connections of callers cost the proxy.
+type idleExperiment struct {
+	binary      string
+	idleCounts  []int // idle connections for measureMemory
+	idleCount   int   // idle connections for the other measurements
+	nodes       int
+	rate        float64
+	span        time.Duration
+	repeats     int
+	memoryMB    int
+	wakeWithin  time.Duration
+	settle      time.Duration
+	idleTimeout time.Duration
+	out         io.Writer
 }
 
-// Operators' files. site lets each source address be a caller of its own, and lets connections stay.
+// Operators' configuration files. In both, each source address counts as a caller of its own. With longIdleSite, idle
+// connections stay open for the whole run. With shortIdleSite, the proxy closes them after the given time.
 const (
-	site      = "[connections]\ncallers = \"address\"\nidle = \"1h\"\nidle_full = \"1m\"\n"
-	shortSite = "[connections]\ncallers = \"address\"\nidle = \"%v\"\nidle_full = \"%[1]v\"\n"
+	longIdleSite  = "[connections]\ncallers = \"address\"\nidle = \"1h\"\nidle_full = \"1m\"\n"
+	shortIdleSite = "[connections]\ncallers = \"address\"\nidle = \"%v\"\nidle_full = \"%[1]v\"\n"
 )
 
 const (
-	sockets   = 40_000           // descriptors that the proxy is told; the process has those that the shell grants
-	work      = time.Millisecond // of a node for each request
-	gatherers = 32
+	maxDescriptors = 40_000           // limit in the proxy's settings; the system's limit is the one of the shell
+	nodeWork       = time.Millisecond // of a node for each request
+	connectWorkers = 32               // connections that are opened at the same time
 )
 
 func idleCommand() *cobra.Command {
-	e := &idle{}
-	c := &cobra.Command{Use: "idle", Short: "What idle connections cost: memory, CPU, latency beside them, and all waking at once",
-		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+	e := &idleExperiment{}
+	c := &cobra.Command{Use: "idle",
+		Short: "Measures what idle connections cost: memory, CPU, the latency of other traffic, and the load when all wake at once",
+		Args:  cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			e.out = c.OutOrStdout()
 			return e.run(c.Context())
 		}}
 	f := c.Flags()
 	f.StringVar(&e.binary, "binary", "bin/beechwing", "the proxy to measure")
-	f.IntSliceVar(&e.held, "held", []int{1000, 3000, 9000, 18000}, "idle connections held, for the table of bytes")
-	f.IntVar(&e.beside, "beside", 9000, "idle connections beside steady traffic and in the wave")
-	f.IntVar(&e.nodes, "nodes", 8, "stand-in nodes")
-	f.Float64Var(&e.rate, "rate", 1000, "requests a second of the steady traffic")
-	f.DurationVar(&e.span, "span", 8*time.Second, "of steady traffic, each time")
-	f.IntVar(&e.repeats, "repeats", 3, "times that steady traffic runs with and without idle connections, in turn")
+	f.IntSliceVar(&e.idleCounts, "held", []int{1000, 3000, 9000, 18000}, "numbers of idle connections for which memory is measured")
+	f.IntVar(&e.idleCount, "beside", 9000, "number of idle connections beside steady traffic, and of those that wake")
+	f.IntVar(&e.nodes, "nodes", 8, "number of simulated nodes")
+	f.Float64Var(&e.rate, "rate", 1000, "steady traffic, in requests a second")
+	f.DurationVar(&e.span, "span", 8*time.Second, "duration of each run of steady traffic")
+	f.IntVar(&e.repeats, "repeats", 3, "number of runs of steady traffic, each with and without idle connections")
 	f.IntVar(&e.memoryMB, "memory", 192, "the proxy's memory limit in MB")
-	f.DurationVar(&e.settle, "settle", 10*time.Second, "before memory is read, and then for the CPU")
-	f.DurationVar(&e.expire, "expire", 8*time.Second, "idle time that is over for all connections; at least 2s")
-	f.DurationVar(&e.wave, "wave", time.Second, "within which all idle connections wake")
+	f.DurationVar(&e.settle, "settle", 10*time.Second, "time to wait before memory is read, and time over which CPU is measured")
+	f.DurationVar(&e.idleTimeout, "expire", 8*time.Second, "idle timeout of all connections when their expiry is measured; at least 2s")
+	f.DurationVar(&e.wakeWithin, "wave", time.Second, "time within which all idle connections wake")
 	return c
 }
 
-func (e *idle) run(ctx context.Context) error {
-	if err := e.bytes(ctx); err != nil {
+func (e *idleExperiment) run(ctx context.Context) error {
+	if err := e.measureMemory(ctx); err != nil {
 		return err
 	}
-	if err := e.steady(ctx); err != nil {
+	if err := e.measureSteady(ctx); err != nil {
 		return err
 	}
-	if err := e.expiring(ctx); err != nil {
+	if err := e.measureExpiry(ctx); err != nil {
 		return err
 	}
-	return e.waking(ctx)
+	return e.measureWakeup(ctx)
 }
 
-// with runs f on a fresh proxy before a few nodes.
-func (e *idle) with(ctx context.Context, site string, f func(*process.Proxy, []*fleet.Node) error) error {
+// withProxy runs f with a newly started proxy and simulated nodes.
+func (e *idleExperiment) withProxy(ctx context.Context, site string, f func(*process.Proxy, []*fleet.Node) error) error {
 	var nodes []*fleet.Node
 	var entries []fleet.Entry
 	for i := range e.nodes {
-		node, err := fleet.NewNode(fmt.Sprint("h", i), work)
+		node, err := fleet.NewNode(fmt.Sprint("h", i), nodeWork)
 		if err != nil {
 			return err
 		}
@@ -95,7 +97,7 @@
 	}
 	defer list.Close()
 	p, err := process.Start(ctx, process.Config{Binary: e.binary, Discovery: list.Addr(), Cores: 1, MemoryMB: e.memoryMB,
-		Sockets: sockets, Site: site})
+		Sockets: maxDescriptors, Site: site})
 	if err != nil {
 		return err
 	}
@@ -103,14 +105,14 @@
 	return f(p, nodes)
 }
 
-// bytes measures resident memory and CPU of a proxy that holds idle connections and does nothing else.
-func (e *idle) bytes(ctx context.Context) error {
+// measureMemory measures the resident memory and CPU of a proxy that holds idle connections and does nothing else.
+func (e *idleExperiment) measureMemory(ctx context.Context) error {
 	fmt.Fprintf(e.out, "idle connections of callers, each used once (resident memory; CPU over %v)\n", e.settle)
 	fmt.Fprintf(e.out, "%10s %10s %12s %12s %12s\n", "held", "standing", "MB", "bytes each", "CPU ms/s")
 	var base int64
-	for _, n := range append([]int{0}, e.held...) {
-		err := e.with(ctx, site, func(p *process.Proxy, _ []*fleet.Node) error {
-			crowd, err := load.OpenIdle(p.Addr, n, gatherers)
+	for _, n := range append([]int{0}, e.idleCounts...) {
+		err := e.withProxy(ctx, longIdleSite, func(p *process.Proxy, _ []*fleet.Node) error {
+			crowd, err := load.OpenIdle(p.Addr, n, connectWorkers)
 			if err != nil {
 				return err
 			}
@@ -137,29 +139,29 @@
 			return nil
 		})
 		if err != nil {
-			return fmt.Errorf("%d held: %w", n, err)
+			return fmt.Errorf("memory with %d idle connections: %w", n, err)
 		}
 	}
 	return nil
 }
 
-// steady measures what idle connections add to steady traffic beside them.
-func (e *idle) steady(ctx context.Context) error {
+// measureSteady measures the latency and CPU of steady traffic with and without idle connections beside it.
+func (e *idleExperiment) measureSteady(ctx context.Context) error {
 	fmt.Fprintf(e.out, "\nsteady traffic of %.0f requests a second for %v on one core, beside idle connections\n", e.rate, e.span)
 	fmt.Fprintf(e.out, "%10s %10s %9s %9s %9s %9s %12s\n", "beside", "served", "refused", "p50 us", "p99 us", "p99.9 us",
 		"CPU us/req")
-	if err := e.direct(); err != nil {
+	if err := e.measureDirect(); err != nil {
 		return err
 	}
 	for run := range e.repeats {
-		for _, n := range []int{0, e.beside} {
-			err := e.with(ctx, site, func(p *process.Proxy, _ []*fleet.Node) error {
-				crowd, err := load.OpenIdle(p.Addr, n, gatherers)
+		for _, n := range []int{0, e.idleCount} {
+			err := e.withProxy(ctx, longIdleSite, func(p *process.Proxy, _ []*fleet.Node) error {
+				crowd, err := load.OpenIdle(p.Addr, n, connectWorkers)
 				if err != nil {
 					return err
 				}
 				defer crowd.Close()
-				if _, err := load.SendSteady(p.Addr, e.rate, time.Second, 99); err != nil { // pools fill, the heap settles
+				if _, err := load.SendSteady(p.Addr, e.rate, time.Second, 99); err != nil { // fills the pools, lets the heap settle
 					return err
 				}
 				before, err := p.Usage()
@@ -180,16 +182,16 @@
 				return nil
 			})
 			if err != nil {
-				return fmt.Errorf("steady beside %d: %w", n, err)
+				return fmt.Errorf("steady traffic beside %d idle connections: %w", n, err)
 			}
 		}
 	}
 	return nil
 }
 
-// direct measures the same traffic without a proxy.
-func (e *idle) direct() error {
-	node, err := fleet.NewNode("h0", work)
+// measureDirect measures the same traffic without a proxy.
+func (e *idleExperiment) measureDirect() error {
+	node, err := fleet.NewNode("h0", nodeWork)
 	if err != nil {
 		return err
 	}
@@ -203,9 +205,9 @@
 	return nil
 }
 
-// expiring lets all idle times be over within a few seconds, and then SIGTERM end all idle connections at once, under steady
-// traffic: nothing may go unanswered, and the latencies show whether anything stood still.
-func (e *idle) expiring(ctx context.Context) error {
+// measureExpiry measures steady traffic while idle connections end: none for comparison, all by their idle timeout within a few
+// seconds, and all at once by SIGTERM. No request may go unanswered, and the latencies show whether the proxy stalled.
+func (e *idleExperiment) measureExpiry(ctx context.Context) error {
 	fmt.Fprintf(e.out, "\nidle connections end under steady traffic of %.0f requests a second\n", e.rate)
 	fmt.Fprintf(e.out, "%10s %10s %10s %9s %9s %9s %9s %9s %11s\n", "held", "by", "left", "served", "refused", "silent", "p99 us",
 		"p99.9 us", "slowest us")
@@ -214,15 +216,16 @@
 		held   int
 		site   string
 		signal bool
-	}{{"nothing", 0, site, false}, {"idle-time", e.beside, fmt.Sprintf(shortSite, e.expire), false}, {"SIGTERM", e.beside, site, true}} {
-		err := e.with(ctx, c.site, func(p *process.Proxy, _ []*fleet.Node) error {
-			crowd, err := load.OpenIdle(p.Addr, c.held, gatherers)
+	}{{"nothing", 0, longIdleSite, false}, {"idle-time", e.idleCount, fmt.Sprintf(shortIdleSite, e.idleTimeout), false},
+		{"SIGTERM", e.idleCount, longIdleSite, true}} {
+		err := e.withProxy(ctx, c.site, func(p *process.Proxy, _ []*fleet.Node) error {
+			crowd, err := load.OpenIdle(p.Addr, c.held, connectWorkers)
 			if err != nil {
 				return err
 			}
 			defer crowd.Close()
-			held, span := crowd.CountOpen(), e.expire+2*time.Second
-			if c.signal { // new connections go on being taken for half a second
+			held, span := crowd.CountOpen(), e.idleTimeout+2*time.Second
+			if c.signal { // the proxy accepts new connections for half a second after SIGTERM
 				span = min(span, 3*time.Second)
 				timer := time.AfterFunc(span-200*time.Millisecond, func() { p.Signal(syscall.SIGTERM) })
 				defer timer.Stop()
@@ -236,20 +239,20 @@
 			return nil
 		})
 		if err != nil {
-			return fmt.Errorf("ended by %s: %w", c.by, err)
+			return fmt.Errorf("idle connections ended by %s: %w", c.by, err)
 		}
 	}
 	return nil
 }
 
-// waking lets every idle connection bring a request within the same second, or all at once.
-func (e *idle) waking(ctx context.Context) error {
+// measureWakeup measures the load when every idle connection sends a request, within the configured time and then all at once.
+func (e *idleExperiment) measureWakeup(ctx context.Context) error {
 	fmt.Fprintf(e.out, "\nall idle connections wake, with %d MB\n", e.memoryMB)
 	fmt.Fprintf(e.out, "%10s %10s %9s %9s %9s %9s %9s %9s %11s %8s %8s\n", "woken", "within", "served", "refused", "failed",
 		"silent", "p50 ms", "p99 ms", "slowest ms", "peak MB", "doubled")
-	for _, within := range []time.Duration{e.wave, 0} {
-		err := e.with(ctx, site, func(p *process.Proxy, nodes []*fleet.Node) error {
-			crowd, err := load.OpenIdle(p.Addr, e.beside, gatherers)
+	for _, within := range []time.Duration{e.wakeWithin, 0} {
+		err := e.withProxy(ctx, longIdleSite, func(p *process.Proxy, nodes []*fleet.Node) error {
+			crowd, err := load.OpenIdle(p.Addr, e.idleCount, connectWorkers)
 			if err != nil {
 				return err
 			}
@@ -279,7 +282,7 @@
 			return nil
 		})
 		if err != nil {
-			return fmt.Errorf("wave: %w", err)
+			return fmt.Errorf("waking idle connections: %w", err)
 		}
 	}
 	return nil
--- a/cmd/beechwing-lab/idle_test.go
+++ b/cmd/beechwing-lab/idle_test.go
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// TestIdle plays the experiment in small on the proxy as it is built: what is gathered stands, is served beside steady
-// traffic and when all wake, ends when its time is over, and nothing is left unanswered or runs twice.
+// TestIdle runs a small version of the experiment on the program as built. It checks that idle connections stay open beside
+// steady traffic, end at their idle timeout and at SIGTERM, and that no request goes unanswered or runs twice.
 func TestIdle(t *testing.T) {
 	var out bytes.Buffer
-	e := &idle{binary: build(t), held: []int{40}, beside: 60, nodes: 2, rate: 100, span: 500 * time.Millisecond, repeats: 1,
-		memoryMB: 64, wave: 100 * time.Millisecond, settle: 50 * time.Millisecond, expire: 2 * time.Second, out: &out}
+	e := &idleExperiment{binary: buildProgram(t), idleCounts: []int{40}, idleCount: 60, nodes: 2, rate: 100,
+		span: 500 * time.Millisecond, repeats: 1,
+		memoryMB: 64, wakeWithin: 100 * time.Millisecond, settle: 50 * time.Millisecond, idleTimeout: 2 * time.Second, out: &out}
 	if err := e.run(t.Context()); err != nil {
 		t.Fatalf("%v\n%s", err, &out)
 	}
-	var rows [][]string // of numbers
+	var rows [][]string // rows of figures; headings are left out
 	for line := range strings.Lines(out.String()) {
 		if f := strings.Fields(line); len(f) > 4 && regexp.MustCompile(`^\d+$`).MatchString(f[0]) {
 			rows = append(rows, f)
--- a/cmd/beechwing-lab/play.go
+++ b/cmd/beechwing-lab/play.go
@@ -17,9 +17,9 @@
 	"beechwing/internal/lab/rig"
 )
 
-var errFailed = errors.New("not passed")
+var errNotPassed = errors.New("at least one experiment did not pass")
 
-// play is one experiment with one seed.
+// play holds the flags of the play command.
 type play struct {
 	binary, site, out, log string
 	seed                   uint64
@@ -28,7 +28,7 @@
 func playCommand() *cobra.Command {
 	p := &play{}
 	c := &cobra.Command{Use: "play EXPERIMENT...", Args: cobra.MinimumNArgs(1),
-		Short: "Plays experiments of many processes with faults between them, and judges them by records",
+		Short: "Runs fleet experiments with faults, and evaluates them by the records of hosts, list service and callers",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			failed := false
 			for _, path := range args {
@@ -39,20 +39,20 @@
 				failed = failed || !v.OK()
 			}
 			if failed {
-				return errFailed
+				return errNotPassed
 			}
 			return nil
 		}}
-	c.Flags().StringVar(&p.binary, "binary", besideMe("beechwing"), "the program under test")
-	c.Flags().StringVar(&p.site, "site", "", "an operator's file, in place of the experiment's")
-	c.Flags().StringVar(&p.out, "out", "", "folder for the report and the processes' logs")
-	c.Flags().StringVar(&p.log, "log", "", "level of the processes' logs")
-	c.Flags().Uint64Var(&p.seed, "seed", 0, "in place of the experiment's")
+	c.Flags().StringVar(&p.binary, "binary", siblingBinary("beechwing"), "the program under test")
+	c.Flags().StringVar(&p.site, "site", "", "operators' configuration file, instead of the experiment's")
+	c.Flags().StringVar(&p.out, "out", "", "folder for the figures by second and the processes' files and logs")
+	c.Flags().StringVar(&p.log, "log", "", "log level of the processes")
+	c.Flags().Uint64Var(&p.seed, "seed", 0, "seed, instead of the experiment's")
 	return c
 }
 
-// besideMe is a program in this one's folder.
-func besideMe(name string) string {
+// siblingBinary returns the path of a program in the folder of this one, or its bare name if that folder is unknown.
+func siblingBinary(name string) string {
 	me, err := os.Executable()
 	if err != nil {
 		return name
--- a/cmd/beechwing-lab/selftest.go
+++ b/cmd/beechwing-lab/selftest.go
@@ -22,15 +22,16 @@
 	"beechwing/internal/lab/standin"
 )
 
-// planted is the break that the judge has to name for each defect of the stand-in proxy.
-var planted = map[string]string{
+// expectedRules maps each defect of the stand-in proxy to the rule whose violation the judge must report.
+var expectedRules = map[string]string{
 	standin.Twice: judge.RanTwice, standin.TwoAnswers: judge.TwoAnswers, standin.Late: judge.LateAnswer,
 	standin.Nobody: judge.UnknownOrigin, standin.AfterDrain: judge.SentAfterDrain, standin.PushCold: judge.ColdHostOverloaded,
 	standin.Lose: judge.LostRequest, standin.Leak: judge.ResourceGrowth, standin.RefuseRan: judge.RefusedAndRan,
 	standin.SendAfter: judge.SentAfterAnswer, standin.Crash: judge.Crashed, standin.Hoard: judge.ResourceGrowth,
 }
 
-// selftestText is played once for each defect: a host fails what it runs, one drains, one crashes and comes back cold.
+// selftestText is the experiment that is run once for each defect. One host fails half of its requests, one drains, and one
+// crashes and restarts cold.
 const selftestText = `
 name = "selftest"
 seed = 5
@@ -84,24 +85,24 @@
 func selftestCommand() *cobra.Command {
 	var histories string
 	c := &cobra.Command{Use: "selftest", Args: cobra.NoArgs,
-		Short: "Finds out whether the judge names each defect planted in a stand-in proxy, and accuses a right one of none",
+		Short: "Checks that the judge reports each defect of a stand-in proxy, and reports nothing for a correct one",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return selftest(cmd.Context(), cmd.OutOrStdout(), histories)
 		}}
-	c.Flags().StringVar(&histories, "record", "", "folder in which the history of each play that proves something is kept")
+	c.Flags().StringVar(&histories, "record", "", "folder in which to store the history of each run with the expected verdict")
 	return c
 }
 
-// standinCommand is the stand-in proxy, which selftest starts as processes of their own.
+// standinCommand runs the stand-in proxy. The command selftest starts it in separate processes.
 func standinCommand() *cobra.Command {
 	return &cobra.Command{Use: "standin DEFECT", Args: cobra.ExactArgs(1), Hidden: true,
 		RunE: func(_ *cobra.Command, args []string) error { return standin.Run(args[0]) }}
 }
 
-// playsMost is how often something is played while the machine is too busy for a verdict.
-const playsMost = 3
+// maxPlays is how often a defect is run at most while the machine is too busy for a verdict.
+const maxPlays = 3
 
-// finding is what the judge said of one defect.
+// finding is the verdict of the judge on a run with a defect.
 type finding struct {
 	defect string
 	rules  []string
@@ -109,7 +110,7 @@
 	err    error
 }
 
-// selftest plays every defect by the clock, on a machine that has to be idle enough for it.
+// selftest runs every defect in real time and checks the verdicts, so the machine must be idle enough.
 func selftest(ctx context.Context, out io.Writer, histories string) error {
 	me, err := os.Executable()
 	if err != nil {
@@ -124,10 +125,10 @@
 	var wg sync.WaitGroup
 	for i, defect := range defects {
 		wg.Go(func() {
-			for n := 0; n == 0 || findings[i].void != "" && n < playsMost; n++ {
+			for n := 0; n == 0 || findings[i].void != "" && n < maxPlays; n++ {
 				var book *record.Book
-				findings[i], book = plant(ctx, f, rig.Options{Binary: me, Seed: f.Seed}, defect)
-				if histories != "" && findings[i].right() {
+				findings[i], book = playDefect(ctx, f, rig.Options{Binary: me, Seed: f.Seed}, defect)
+				if histories != "" && findings[i].asExpected() {
 					findings[i].err = writeHistory(historyPath(histories, defect), book)
 				}
 			}
@@ -137,7 +138,7 @@
 	wrong := 0
 	for _, n := range findings {
 		word := "right"
-		if !n.right() {
+		if !n.asExpected() {
 			word = "WRONG"
 			wrong++
 		}
@@ -149,19 +150,19 @@
 	return nil
 }
 
-// plant plays the stand-in with a defect.
-func plant(ctx context.Context, f *plan.File, o rig.Options, defect string) (finding, *record.Book) {
+// playDefect runs the experiment on the stand-in proxy with a defect.
+func playDefect(ctx context.Context, f *plan.File, o rig.Options, defect string) (finding, *record.Book) {
 	s := f.Draw(f.Seed)
 	o.Args = []string{"standin", defect}
 	book, err := rig.Play(ctx, s, o)
 	if err != nil {
 		return finding{defect: defect, err: err}, nil
 	}
-	return found(defect, judge.Judge(s, book)), book
+	return newFinding(defect, judge.Judge(s, book)), book
 }
 
-// found puts a verdict down to a defect.
-func found(defect string, v *judge.Verdict) finding {
+// newFinding returns the finding for a verdict on a defect, with each violated rule once.
+func newFinding(defect string, v *judge.Verdict) finding {
 	n := finding{defect: defect, void: v.Void}
 	for _, b := range v.Violations {
 		if !slices.Contains(n.rules, b.Rule) {
@@ -171,10 +172,10 @@
 	return n
 }
 
-// historyPath is where the history of a defect is kept.
+// historyPath returns the path of the file with the history of a defect.
 func historyPath(dir, defect string) string { return filepath.Join(dir, defect+".json.gz") }
 
-// writeHistory keeps what a run has recorded.
+// writeHistory writes the records of a run as compressed JSON.
 func writeHistory(path string, book *record.Book) error {
 	return writeFile(path, func(w io.Writer) error {
 		z := gzip.NewWriter(w)
@@ -182,12 +183,12 @@
 	})
 }
 
-// right: the planted break is named. A crash takes requests with it, which are lost too; nothing else may be named.
-func (n *finding) right() bool {
+// asExpected reports whether the judge named the rule that the defect violates and no other. A crash may also lose requests.
+func (n *finding) asExpected() bool {
 	if n.err != nil || n.void != "" {
 		return false
 	}
-	want := planted[n.defect]
+	want := expectedRules[n.defect]
 	if want == "" {
 		return len(n.rules) == 0
 	}
@@ -203,7 +204,7 @@
 	case n.void != "":
 		return "void: " + n.void
 	case len(n.rules) == 0:
-		return "nothing is broken"
+		return "no violations"
 	}
 	return strings.Join(n.rules, ", ")
 }
--- a/cmd/beechwing-lab/tally.go
+++ b/cmd/beechwing-lab/tally.go
@@ -11,7 +11,7 @@
 func tallyCommand() *cobra.Command {
 	var hosts bool
 	c := &cobra.Command{Use: "tally FOLDER", Args: cobra.ExactArgs(1),
-		Short: "Counts by second what the debug logs of a whole fleet tell",
+		Short: "Counts by second the events in the debug logs of a whole fleet",
 		Long: "Reads all files of a folder that end in .log, one of each proxy, written with BEECHWING_LOG=debug, and prints one row\n" +
 			"a second, counted over all proxies.",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -20,13 +20,13 @@
 				return err
 			}
 			if t.Skipped > 0 {
-				fmt.Fprintf(cmd.ErrOrStderr(), "%d lines are no log lines\n", t.Skipped)
+				fmt.Fprintf(cmd.ErrOrStderr(), "skipped %d lines that are not log lines\n", t.Skipped)
 			}
 			if hosts {
 				return t.WriteHosts(cmd.OutOrStdout())
 			}
 			return t.Write(cmd.OutOrStdout())
 		}}
-	c.Flags().BoolVar(&hosts, "hosts", false, "attempts, timeouts and median time by host and second instead")
+	c.Flags().BoolVar(&hosts, "hosts", false, "print attempts, timeouts and median time by host and second instead")
 	return c
 }
