--- a/cmd/beechwing-lab/fleet_test.go
+++ b/cmd/beechwing-lab/fleet_test.go
@@ -123,7 +123,7 @@
 	for _, c := range []struct {
 		name           string
 		began, started time.Duration
-		broken         bool
+		violation      bool
 	}{
 		{"begun after the acknowledgement", 40 * ms, 0, true},
 		{"begun before the acknowledgement", 20 * ms, 0, false},
@@ -137,9 +137,9 @@
 		if c.started > 0 {
 			book.Add(record.Event{Kind: record.Start, At: c.started})
 		}
-		breaks := judge.Judge(f.Draw(f.Seed), book).UntimedViolations()
-		if named := len(breaks) == 1 && breaks[0].Rule == judge.SentAfterDrain; named != c.broken || len(breaks) > 1 {
-			t.Errorf("%s: %v", c.name, breaks)
+		violations := judge.Judge(f.Draw(f.Seed), book).UntimedViolations()
+		if named := len(violations) == 1 && violations[0].Rule == judge.SentAfterDrain; named != c.violation || len(violations) > 1 {
+			t.Errorf("%s: %v", c.name, violations)
 		}
 	}
 }
--- a/cmd/beechwing-lab/idle.go
+++ b/cmd/beechwing-lab/idle.go
@@ -61,7 +61,8 @@
 	f.IntVar(&e.repeats, "repeats", 3, "number of runs of steady traffic, each with and without idle connections")
 	f.IntVar(&e.memoryMB, "memory", 192, "the proxy's memory limit in MB")
 	f.DurationVar(&e.settle, "settle", 10*time.Second, "time to wait before memory is read, and time over which CPU is measured")
-	f.DurationVar(&e.idleTimeout, "expire", 8*time.Second, "idle timeout of all connections when their expiry is measured; at least 2s")
+	f.DurationVar(&e.idleTimeout, "expire", 8*time.Second,
+		"idle timeout of all connections when their expiry is measured; at least 2s")
 	f.DurationVar(&e.wakeWithin, "wave", time.Second, "time within which all idle connections wake")
 	return c
 }
@@ -112,11 +113,11 @@
 	var base int64
 	for _, n := range append([]int{0}, e.idleCounts...) {
 		err := e.withProxy(ctx, longIdleSite, func(p *process.Proxy, _ []*fleet.Node) error {
-			crowd, err := load.OpenIdle(p.Addr, n, connectWorkers)
+			connections, err := load.OpenIdle(p.Addr, n, connectWorkers)
 			if err != nil {
 				return err
 			}
-			defer crowd.Close()
+			defer connections.Close()
 			time.Sleep(e.settle)
 			before, err := p.Usage()
 			if err != nil {
@@ -134,7 +135,7 @@
 			if n > 0 {
 				each = fmt.Sprint((after.RSS - base) / int64(n))
 			}
-			fmt.Fprintf(e.out, "%10d %10d %12.1f %12s %12.2f\n", n, crowd.CountOpen(), float64(after.RSS)/(1<<20), each,
+			fmt.Fprintf(e.out, "%10d %10d %12.1f %12s %12.2f\n", n, connections.CountOpen(), float64(after.RSS)/(1<<20), each,
 				1000*(after.CPU-before.CPU).Seconds()/e.settle.Seconds())
 			return nil
 		})
@@ -156,11 +157,11 @@
 	for run := range e.repeats {
 		for _, n := range []int{0, e.idleCount} {
 			err := e.withProxy(ctx, longIdleSite, func(p *process.Proxy, _ []*fleet.Node) error {
-				crowd, err := load.OpenIdle(p.Addr, n, connectWorkers)
+				connections, err := load.OpenIdle(p.Addr, n, connectWorkers)
 				if err != nil {
 					return err
 				}
-				defer crowd.Close()
+				defer connections.Close()
 				if _, err := load.SendSteady(p.Addr, e.rate, time.Second, 99); err != nil { // fills the pools, lets the heap settle
 					return err
 				}
@@ -176,7 +177,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(e.out, "%10d %10d %9d %9d %9d %9d %12.1f\n", crowd.CountOpen(), r.Served, r.Refused,
+				fmt.Fprintf(e.out, "%10d %10d %9d %9d %9d %9d %12.1f\n", connections.CountOpen(), r.Served, r.Refused,
 					r.Quantile(50).Microseconds(), r.Quantile(99).Microseconds(), r.Quantile(99.9).Microseconds(),
 					float64((after.CPU-before.CPU).Microseconds())/float64(max(1, r.Sent)))
 				return nil
@@ -219,12 +220,12 @@
 	}{{"nothing", 0, longIdleSite, false}, {"idle-time", e.idleCount, fmt.Sprintf(shortIdleSite, e.idleTimeout), false},
 		{"SIGTERM", e.idleCount, longIdleSite, true}} {
 		err := e.withProxy(ctx, c.site, func(p *process.Proxy, _ []*fleet.Node) error {
-			crowd, err := load.OpenIdle(p.Addr, c.held, connectWorkers)
+			connections, err := load.OpenIdle(p.Addr, c.held, connectWorkers)
 			if err != nil {
 				return err
 			}
-			defer crowd.Close()
-			held, span := crowd.CountOpen(), e.idleTimeout+2*time.Second
+			defer connections.Close()
+			held, span := connections.CountOpen(), e.idleTimeout+2*time.Second
 			if c.signal { // the proxy accepts new connections for half a second after SIGTERM
 				span = min(span, 3*time.Second)
 				timer := time.AfterFunc(span-200*time.Millisecond, func() { p.Signal(syscall.SIGTERM) })
@@ -234,7 +235,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(e.out, "%10d %10s %10d %9d %9d %9d %9d %9d %11d\n", held, c.by, crowd.CountOpen(), r.Served, r.Refused,
+			fmt.Fprintf(e.out, "%10d %10s %10d %9d %9d %9d %9d %9d %11d\n", held, c.by, connections.CountOpen(), r.Served, r.Refused,
 				r.Unanswered, r.Quantile(99).Microseconds(), r.Quantile(99.9).Microseconds(), r.Slowest.Microseconds())
 			return nil
 		})
@@ -252,15 +253,15 @@
 		"silent", "p50 ms", "p99 ms", "slowest ms", "peak MB", "doubled")
 	for _, within := range []time.Duration{e.wakeWithin, 0} {
 		err := e.withProxy(ctx, longIdleSite, func(p *process.Proxy, nodes []*fleet.Node) error {
-			crowd, err := load.OpenIdle(p.Addr, e.idleCount, connectWorkers)
+			connections, err := load.OpenIdle(p.Addr, e.idleCount, connectWorkers)
 			if err != nil {
 				return err
 			}
-			defer crowd.Close()
+			defer connections.Close()
 			for _, n := range nodes {
 				n.TakeRuns()
 			}
-			r := crowd.SendAll(within, time.Second)
+			r := connections.SendAll(within, time.Second)
 			u, err := p.Usage()
 			if err != nil {
 				return err
--- a/cmd/beechwing-lab/main.go
+++ b/cmd/beechwing-lab/main.go
@@ -15,7 +15,8 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	root := &cobra.Command{Use: "beechwing-lab", Short: "Tests and measures the proxy against simulated hosts and callers, on loopback",
+	root := &cobra.Command{Use: "beechwing-lab",
+		Short:        "Tests and measures the proxy against simulated hosts and callers, on loopback",
 		SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(compareCommand(), idleCommand(), playCommand(), selftestCommand(), standinCommand(), tallyCommand())
 	if err := root.ExecuteContext(ctx); err != nil {
