--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -324,6 +324,7 @@
 	return withdrawn
 }
 
+// contains reports whether the interval contains a time. The zero interval contains none.
 func (s interval) contains(at time.Duration) bool { return s.from <= at && at <= s.to && s.to > 0 }
 
 // starts returns the times at which each proxy was started.
--- a/internal/lab/judge/shares.go
+++ b/internal/lab/judge/shares.go
@@ -23,6 +23,7 @@
 	BadSeconds                            int // seconds in which less than goodSecondShare of the requests was served in time
 }
 
+// goodSecondShare is the share of a second's requests that must be served in time for the second not to count as bad.
 const goodSecondShare = 0.95
 
 // Fraction returns n as a fraction of all requests.
@@ -34,6 +35,7 @@
 	From, To time.Duration
 }
 
+// matches reports whether the filter selects a record of a proxy's callers at a time.
 func (f *Filter) matches(s *plan.Schedule, proxy int, at time.Duration) bool {
 	if f == nil {
 		return at >= 0
@@ -155,6 +157,7 @@
 	}[what]
 }
 
+// checkExpectations adds the expectations of the experiment that the counts do not meet.
 func (j *judge) checkExpectations() {
 	for _, e := range j.schedule.Expect {
 		f := &Filter{Zone: -1, From: e.From.D(), To: e.To.D()}
--- a/internal/lab/plan/file.go
+++ b/internal/lab/plan/file.go
@@ -221,6 +221,7 @@
 
 const maxProxies, maxHosts = 400, 250
 
+// check returns all mistakes in the file.
 func (f *File) check() []strict.Fault {
 	c := &strict.Checker{}
 	c.Add(f.Name == "", "name", "is missing")
@@ -334,10 +335,12 @@
 	c.Add(fault.From != "" && kind.target != "links" && kind.target != "peers", at+"from", "does not apply to this kind of fault")
 }
 
+// zone returns the index of the named zone, or -1.
 func (f *File) zone(name string) int {
 	return slices.IndexFunc(f.Zones, func(z Zone) bool { return z.Name == name })
 }
 
+// class returns the index of the named class, or -1.
 func (f *File) class(name string) int {
 	return slices.IndexFunc(f.Classes, func(k Class) bool { return k.Name == name })
 }
--- a/internal/lab/plan/schedule.go
+++ b/internal/lab/plan/schedule.go
@@ -250,6 +250,7 @@
 	return s, nil
 }
 
+// check returns an error unless the selector selects at least one host, proxy or list service of the experiment.
 func (s selector) check(f *File) error {
 	if s.kind == "list" && (s.zoneOrRegion != "" || s.share != 1 || s.index >= 0) {
 		return errors.New("list takes no zone, share or index")
--- a/internal/lab/rig/faults.go
+++ b/internal/lab/rig/faults.go
@@ -26,6 +26,7 @@
 	}
 }
 
+// applyStep records a step and starts or ends its fault.
 func (r *rig) applyStep(s *plan.Step) {
 	f := &r.schedule.Faults[s.Fault]
 	kind := record.Fault
@@ -58,6 +59,7 @@
 	}
 }
 
+// setListFault turns a fault of the list service on or off.
 func setListFault(l *list.Faults, f *plan.Fault, on bool) {
 	switch f.Kind {
 	case "list_down":
@@ -76,6 +78,7 @@
 	}
 }
 
+// applyLinkFault starts or ends a fault of the links from proxies to hosts or to the list service.
 func (r *rig) applyLinkFault(f *plan.Fault, s *plan.Step) {
 	var targets []int
 	for _, h := range s.Hosts {
@@ -188,6 +191,7 @@
 	r.list.Set(h, e)
 }
 
+// errorShares returns the share of requests that a host fails, by class; all are 0 if heal is set.
 func errorShares(s *plan.Schedule, f *plan.Fault, heal bool) []float64 {
 	shares := make([]float64, len(s.Classes))
 	for i, k := range s.Classes {
@@ -207,6 +211,7 @@
 	r.listAsRestarted(h)
 }
 
+// listAsRestarted lists a host as ready, with the present time as its start.
 func (r *rig) listAsRestarted(h int) {
 	e := r.list.Entry(h)
 	e.State, e.Started = list.Ready, time.Now().UnixMilli()
@@ -260,6 +265,7 @@
 	}
 }
 
+// endProcessFault launches a killed or terminated process again, or resumes a stopped one.
 func (r *rig) endProcessFault(f *plan.Fault, p int) {
 	m := r.processes[p]
 	switch f.Kind {
--- a/internal/lab/rig/machine.go
+++ b/internal/lab/rig/machine.go
@@ -68,6 +68,7 @@
 	l.h.RecordValue(min(60_000_000, max(1, late.Microseconds())))
 }
 
+// p99AndMax returns the 99th percentile and the maximum of the delays.
 func (l *delayHistogram) p99AndMax() (p99, most time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,6 +96,7 @@
 	return u
 }
 
+// since returns the usage of the machine from u to now. Busy stays 0 if /proc/stat could not be read.
 func (u machineUsage) since() (m record.Machine) {
 	now := readMachineUsage()
 	if d := now.all - u.all; u.err == nil && now.err == nil && d > 0 {
--- a/internal/lab/rig/pace.go
+++ b/internal/lab/rig/pace.go
@@ -17,6 +17,7 @@
 	paused time.Duration // total time for which the schedule has paused
 }
 
+// newPacer returns a pacer that allows maxInFlight requests in flight; with 0 the schedule never pauses.
 func newPacer(book *record.Book, maxInFlight int) *pacer {
 	p := &pacer{book: book}
 	if maxInFlight > 0 {
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -109,6 +109,7 @@
 	}
 }
 
+// setUp creates the simulated hosts, the list service, the proxies' processes and their callers. It launches no process yet.
 func (r *rig) setUp() error {
 	classes := make([]string, len(r.schedule.Classes))
 	for i, k := range r.schedule.Classes {
@@ -164,6 +165,7 @@
 	}
 }
 
+// addProcess prepares the process of a proxy and its caller.
 func (r *rig) addProcess(p int, site string) error {
 	c := process.Config{Binary: r.Binary, Args: r.Args, Name: fmt.Sprintf("p%03d", p), Listen: proxyAddr(p), Discovery: r.list.Addr(p),
 		Seed: r.Seed + uint64(p), Cores: r.schedule.Proxy.Cores, MemoryMB: r.schedule.Proxy.MemoryMB, Sockets: r.schedule.Proxy.Sockets,
@@ -231,6 +233,7 @@
 
 const readyTimeout = 60 * time.Second
 
+// play launches the processes, runs the schedule and stops the processes. Processes start before the traffic or along with it.
 func (r *rig) play() error {
 	before := r.schedule.Proxy.Start == "before"
 	if before {
