--- a/internal/mesh/listener/closed.go
+++ b/internal/mesh/listener/closed.go
@@ -80,7 +80,7 @@
 // the end of the stream itself.
 func (c *conn) hasEnded(events int16) bool {
 	if events&unix.POLLIN != 0 && events&closedEvents == 0 {
-		_, ended := wire.Arrived(c.Conn)
+		_, ended := wire.Pending(c.Conn)
 		return ended
 	}
 	return events&closedEvents != 0
--- a/internal/mesh/listener/listener.go
+++ b/internal/mesh/listener/listener.go
@@ -82,7 +82,7 @@
 // conn is a connection of a client.
 type conn struct {
 	net.Conn
-	meter    wire.Meter
+	meter    wire.LimitedReader
 	br       *bufio.Reader
 	busy     bool   // a request is being read or served; guarded by Listener.mu
 	fd       int32  // 0: not determined yet; guarded by Listener.mu
@@ -133,8 +133,8 @@
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		nc = wire.Quicken(nc)
-		c := &conn{Conn: nc, meter: wire.Meter{R: nc}}
+		nc = wire.NewDirectConn(nc)
+		c := &conn{Conn: nc, meter: wire.LimitedReader{R: nc}}
 		l.mu.Lock()
 		if l.closing {
 			l.mu.Unlock()
@@ -172,7 +172,7 @@
 	}()
 	for {
 		limits := l.limits()
-		c.meter.Allow(maxHeadBytes)
+		c.meter.SetLimit(maxHeadBytes)
 		if !l.setBusy(c, false, limits.IdleTimeout) {
 			return
 		}
@@ -220,7 +220,7 @@
 		err = wire.CheckHead(head, singleHeaders)
 	}
 	if err == nil {
-		err = wire.CheckText(head)
+		err = wire.CheckControlChars(head)
 	}
 	var r *http.Request
 	if err == nil {
@@ -268,7 +268,7 @@
 	}
 	c.SetReadDeadline(time.Now().Add(bodyTimeout))
 	const maxOverhead = 2 // of chunked encoding; bodies in chunks of few bytes exceed it and are rejected
-	c.meter.Allow(int(min(maxOverhead*limits.BodyBytes+maxHeadBytes, 1<<30)))
+	c.meter.SetLimit(int(min(maxOverhead*limits.BodyBytes+maxHeadBytes, 1<<30)))
 	var body []byte
 	var err error
 	if r.ContentLength > 0 {
@@ -317,6 +317,6 @@
 		half.CloseWrite()
 	}
 	c.SetReadDeadline(time.Now().Add(lingerTimeout))
-	c.meter.Allow(lingerBytes)
+	c.meter.SetLimit(lingerBytes)
 	io.Copy(io.Discard, c.br)
 }
--- a/internal/mesh/transport/link.go
+++ b/internal/mesh/transport/link.go
@@ -109,7 +109,7 @@
 		return
 	}
 	setTimeouts(c)
-	c = wire.Quicken(c)
+	c = wire.NewDirectConn(c)
 	hello, _ := AppendFrame(nil, &meshpb.Message{Hello: &meshpb.Hello{From: l.net.self}})
 	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.Write(hello); err != nil {
--- a/internal/mesh/transport/net.go
+++ b/internal/mesh/transport/net.go
@@ -264,7 +264,7 @@
 // anything else is closed.
 func (n *Net) handshake(c net.Conn) {
 	setTimeouts(c)
-	c = wire.Quicken(c)
+	c = wire.NewDirectConn(c)
 	c.SetReadDeadline(time.Now().Add(writeTimeout))
 	br := bufio.NewReaderSize(c, 8<<10)
 	p, err := NewReader(br, nil).Read()
--- a/internal/mesh/upstream/upstream.go
+++ b/internal/mesh/upstream/upstream.go
@@ -54,7 +54,7 @@
 // conn is a connection to the host.
 type conn struct {
 	net.Conn
-	meter     wire.Meter
+	meter     wire.LimitedReader
 	br        *bufio.Reader
 	bufs      *wire.Pool
 	expiresAt time.Time // the connection is not reused after that
@@ -99,7 +99,7 @@
 	for n := len(h.idle); n > 0; n = len(h.idle) {
 		c := h.idle[n-1]
 		h.idle = h.idle[:n-1]
-		hasData, ended := wire.Arrived(c.Conn)
+		hasData, ended := wire.Pending(c.Conn)
 		if !hasData && !ended && c.br.Buffered() == 0 && time.Now().Before(c.expiresAt) && !slices.Contains(c.servedIDs, id) {
 			return c
 		}
@@ -135,8 +135,8 @@
 	h.mu.Lock()
 	h.opened++
 	h.mu.Unlock()
-	nc = wire.Quicken(nc)
-	c := &conn{Conn: nc, meter: wire.Meter{R: nc}}
+	nc = wire.NewDirectConn(nc)
+	c := &conn{Conn: nc, meter: wire.LimitedReader{R: nc}}
 	c.br = h.bufs.Reader(&c.meter)
 	c.bufs = h.bufs
 	return c, nil
@@ -313,7 +313,7 @@
 
 // readOne reads one response, which may be an informational one, and decides whether its connection can be kept.
 func (c *conn) readOne(method string) (resp response, res *http.Response, err error) {
-	c.meter.Allow(maxHeadBytes)
+	c.meter.SetLimit(maxHeadBytes)
 	head, err := wire.PeekHead(c.br, maxHeadBytes-1)
 	if err == nil {
 		err = wire.CheckHead(head, singleHeaders)
@@ -331,7 +331,7 @@
 	if res.ContentLength < 0 && len(res.TransferEncoding) == 0 {
 		return resp, nil, errors.New("an answer without a length may be cut short anywhere")
 	}
-	c.meter.Allow(2 * maxBodyBytes)
+	c.meter.SetLimit(2 * maxBodyBytes)
 	var body []byte
 	if res.ContentLength > maxBodyBytes {
 		return resp, nil, wire.ErrTooLarge
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -86,7 +86,7 @@
 		return wire.ErrTooLarge
 	}
 	c.conn.SetWriteDeadline(time.Now().Add(c.front.times.responseTimeout))
-	parts := a.body.Parts(net.Buffers{w.Buf})
+	parts := a.body.AppendTo(net.Buffers{w.Buf})
 	_, err := parts.WriteTo(c.conn)
 	return err
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -97,7 +97,7 @@
 		return context.DeadlineExceeded
 	}
 	tail := fmt.Appendf(nil, "%s: %du\r\n\r\n", headerRemaining, left.Microseconds())
-	parts := q.body.Parts(net.Buffers{q.head[:q.headLen], tail})
+	parts := q.body.AppendTo(net.Buffers{q.head[:q.headLen], tail})
 	end := len(parts) - 1
 	most, last := parts[end][:len(parts[end])-1], parts[end][len(parts[end])-1:]
 	parts[end] = most
@@ -184,7 +184,7 @@
 		return ctx.Err()
 	case <-wait.C:
 	}
-	if _, ended := wire.Arrived(c.conn); ended { // the reading goroutine may not have run yet
+	if _, ended := wire.Pending(c.conn); ended { // the reading goroutine may not have run yet
 		return errBroken
 	}
 	return nil
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -24,7 +24,7 @@
 	front        *frontend
 	conn         net.Conn
 	accepted     time.Time
-	meter        wire.Meter
+	meter        wire.LimitedReader
 	br           *bufio.Reader   // nil while the connection is parked
 	hasRequested bool            // a complete request has been received
 	graceUsed    bool            // the deadline of the current request has been extended by the grace time
@@ -51,7 +51,7 @@
 	if n > 0 || c.graceUsed || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
 	}
-	if bytes, _ := wire.Arrived(c.conn); !bytes {
+	if bytes, _ := wire.Pending(c.conn); !bytes {
 		return n, err
 	}
 	c.graceUsed = true
@@ -156,7 +156,7 @@
 
 // awaitRequest waits for the first byte of a request.
 func (c *clientConn) awaitRequest() bool {
-	c.meter.Allow(maxHeadBytes)
+	c.meter.SetLimit(maxHeadBytes)
 	_, err := c.br.Peek(1)
 	return err == nil
 }
@@ -193,13 +193,13 @@
 
 // readHead reads the head of a request and checks it.
 func (c *clientConn) readHead() (*http.Request, error) {
-	c.meter.Allow(maxHeadBytes)
+	c.meter.SetLimit(maxHeadBytes)
 	head, err := wire.PeekHead(c.br, maxHeadBytes)
 	if err == nil {
 		err = wire.CheckHead(head, singleInRequests)
 	}
 	if err == nil {
-		err = wire.CheckText(head)
+		err = wire.CheckControlChars(head)
 	}
 	if err != nil {
 		return nil, err
@@ -219,7 +219,7 @@
 	if q.upload != nil && !c.pumpBody(q) {
 		return <-written && false
 	}
-	c.meter.Allow(maxHeadBytes)
+	c.meter.SetLimit(maxHeadBytes)
 	_, err := c.br.Peek(1)
 	var keepOpen bool
 	select {
@@ -284,7 +284,7 @@
 // the client might lose the response.
 func (c *clientConn) linger() {
 	c.updateState(c.front.connTable.Linger, c.front.times.lingerTimeout)
-	c.meter.Allow(maxLingerBytes)
+	c.meter.SetLimit(maxLingerBytes)
 	for {
 		if _, err := c.br.Discard(wire.BufferSize); err != nil {
 			return
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -334,7 +334,7 @@
 // discoveryConn is a connection to the discovery service.
 type discoveryConn struct {
 	net.Conn
-	wire.Meter
+	wire.LimitedReader
 	bufs       *wire.Pool
 	br         *bufio.Reader
 	stopCancel func() bool
@@ -348,8 +348,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	c := &discoveryConn{Conn: nc, Meter: wire.Meter{R: nc}, bufs: d.bufs}
-	c.br = c.bufs.Reader(&c.Meter)
+	c := &discoveryConn{Conn: nc, LimitedReader: wire.LimitedReader{R: nc}, bufs: d.bufs}
+	c.br = c.bufs.Reader(&c.LimitedReader)
 	c.stopCancel = context.AfterFunc(ctx, func() { nc.Close() })
 	return c, nil
 }
@@ -367,7 +367,7 @@
 // get makes an HTTP request and returns the body of the response, which must arrive within the given time.
 func (c *discoveryConn) get(addr, path string, timeout time.Duration) ([]byte, error) {
 	c.SetDeadline(time.Now().Add(timeout))
-	c.Allow(maxListBytes)
+	c.SetLimit(maxListBytes)
 	if _, err := fmt.Fprintf(c.Conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, addr); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -33,10 +33,10 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		bufs := wire.NewPool()
 		c := &clientConn{front: &frontend{bufs: bufs, times: testTiming()}, conn: silentConn{},
-			meter: wire.Meter{R: bytes.NewReader(in)}}
+			meter: wire.LimitedReader{R: bytes.NewReader(in)}}
 		c.front.names.Store(n)
 		c.br = bufio.NewReaderSize(&c.meter, wire.BufferSize)
-		c.meter.Allow(maxHeadBytes)
+		c.meter.SetLimit(maxHeadBytes)
 		r, err := http.ReadRequest(c.br)
 		var q *request
 		bad := c.readError(err)
@@ -76,7 +76,7 @@
 		of := &hostPool{bufs: bufs}
 		of.settings.Store(&hostSettings{reportColumns: []string{"cpu"}})
 		c := &hostConn{upstream: &upstream{pool: of}, conn: near,
-			meter: wire.Meter{R: bytes.NewReader(in)}}
+			meter: wire.LimitedReader{R: bytes.NewReader(in)}}
 		c.br = bufio.NewReaderSize(&c.meter, wire.BufferSize)
 		call := newCall()
 		read, over := make(chan struct{}), make(chan struct{})
--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -99,7 +99,7 @@
 // closeParked closes a parked connection that the table has selected. A request that has arrived meanwhile is served
 // first.
 func (f *frontend) closeParked(c *clientConn) {
-	if bytes, _ := wire.Arrived(c.conn); bytes {
+	if bytes, _ := wire.Pending(c.conn); bytes {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.serveOrQueue(f.now(), c)
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -188,7 +188,7 @@
 	held := f.connTable.Oldest(places.StateIdleOnce)
 	io.WriteString(c, requestText("write", "x"))
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if bytes, _ := wire.Arrived(held.Value().(*clientConn).conn); bytes {
+		if bytes, _ := wire.Pending(held.Value().(*clientConn).conn); bytes {
 			break
 		}
 	}
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -90,7 +90,7 @@
 // end: a client might not read the response before it has sent everything, and closing the connection would reset it
 // and lose the response.
 func (c *clientConn) pumpBody(q *request) bool {
-	err := q.upload.fill(wire.WholeBody{Reader: q.upload.source}, func() {})
+	err := q.upload.fill(wire.TruncationReader{Reader: q.upload.source}, func() {})
 	switch {
 	case err == nil && c.br.Buffered() > 0:
 		q.upload.end(errAbandoned)
@@ -113,7 +113,7 @@
 	switch {
 	case errors.Is(err, wire.ErrTooLarge):
 		early.response = badRequest{http.StatusRequestEntityTooLarge, "body is too large"}.response()
-	case !errors.Is(err, wire.ErrCut) && c.meter.Err == nil:
+	case !errors.Is(err, wire.ErrTruncated) && c.meter.Err == nil:
 		early.response = badRequest{http.StatusBadRequest, "malformed body"}.response()
 	}
 	c.front.owner.post(early)
@@ -159,7 +159,7 @@
 	if err := w.send(net.Buffers{q.head[:q.headLen], tail}); err != nil {
 		return err
 	}
-	for _, part := range q.body.Parts(nil) {
+	for _, part := range q.body.AppendTo(nil) {
 		if err := w.write(part); err != nil {
 			return err
 		}
@@ -248,7 +248,7 @@
 	} else {
 		defer time.AfterFunc(bodies.Unhurried(), begin).Stop()
 	}
-	err := s.fill(wire.WholeBody{Reader: stallReader{c.conn, r.Body}}, begin)
+	err := s.fill(wire.TruncationReader{Reader: stallReader{c.conn, r.Body}}, begin)
 	c.conn.SetReadDeadline(time.Time{})
 	if out.err = err; !claimed.CompareAndSwap(false, true) {
 		s.end(err)
--- a/internal/proxy/parse.go
+++ b/internal/proxy/parse.go
@@ -211,14 +211,14 @@
 			return &badRequest{}
 		}
 	}
-	c.meter.Allow(2 * bodies.Longest) // twice the limit, to leave room for chunk framing
+	c.meter.SetLimit(2 * bodies.Longest) // twice the limit, to leave room for chunk framing
 	src := &pacedReader{client: c, r: r.Body, startedAt: time.Now()}
 	got, more, err := c.front.bufs.ReadBody(src)
 	var ne net.Error
 	switch {
 	case errors.Is(err, wire.ErrTooLarge):
 		return &badRequest{http.StatusRequestEntityTooLarge, "body is too large"}
-	case errors.Is(err, wire.ErrCut), errors.As(err, &ne):
+	case errors.Is(err, wire.ErrTruncated), errors.As(err, &ne):
 		return &badRequest{}
 	case err != nil:
 		return &badRequest{http.StatusBadRequest, "malformed body"}
--- a/internal/proxy/reply.go
+++ b/internal/proxy/reply.go
@@ -36,7 +36,7 @@
 }
 
 func (c *hostConn) readFinalResponse(call *call) hostResponse {
-	c.meter.Allow(maxHeadBytes)
+	c.meter.SetLimit(maxHeadBytes)
 	for {
 		head, err := wire.PeekHead(c.br, maxHeadBytes)
 		if err == nil {
@@ -64,7 +64,7 @@
 	case r.ContentLength < 0 && len(r.TransferEncoding) == 0 && !closes:
 		return hostResponse{err: errNoLength}
 	}
-	c.meter.Allow(2 * bodies.Longest) // twice the limit, to leave room for chunk framing
+	c.meter.SetLimit(2 * bodies.Longest) // twice the limit, to leave room for chunk framing
 	columns := c.upstream.pool.settings.Load().reportColumns
 	out := hostResponse{status: r.StatusCode, result: resultOf(r), contentType: r.Header.Get("Content-Type"),
 		loadReport: parseReport(r.Header.Get(headerReport), columns), contentLength: r.ContentLength}
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -165,7 +165,7 @@
 		u.pool.budget.releaseHost()
 		return nil, fmt.Errorf("host: %w", err)
 	}
-	c := &hostConn{upstream: u, addr: addr, conn: nc, meter: wire.Meter{R: nc}}
+	c := &hostConn{upstream: u, addr: addr, conn: nc, meter: wire.LimitedReader{R: nc}}
 	c.br = u.pool.bufs.Reader(&c.meter)
 	go c.read()
 	return c, nil
@@ -265,7 +265,7 @@
 	upstream *upstream
 	addr     string
 	conn     net.Conn
-	meter    wire.Meter
+	meter    wire.LimitedReader
 	br       *bufio.Reader
 	reused   bool // it has carried a call before
 
@@ -314,7 +314,7 @@
 func (c *hostConn) startCall(call *call) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if bytes, ended := wire.Arrived(c.conn); c.dead || bytes || ended {
+	if bytes, ended := wire.Pending(c.conn); c.dead || bytes || ended {
 		c.dead = true
 		c.conn.Close()
 		return false
@@ -342,7 +342,7 @@
 
 // readOne waits for the next response and reports whether the connection stays open.
 func (c *hostConn) readOne() bool {
-	c.meter.Allow(maxHeadBytes)
+	c.meter.SetLimit(maxHeadBytes)
 	_, err := c.br.Peek(1)
 	call := c.currentCall()
 	switch {
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -45,7 +45,7 @@
 			}
 			close(ready)
 			for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-				bytes, ended := wire.Arrived(conn)
+				bytes, ended := wire.Pending(conn)
 				if bytes == c.bytes && ended == c.ended {
 					break
 				}
--- a/internal/wire/head.go
+++ b/internal/wire/head.go
@@ -1,5 +1,7 @@
-// Package wire holds what both data planes need to read HTTP/1.1 messages off connections: whole heads, what a head may not
-// hold, and how much one message may read. It knows no protocol of the platform's.
+// Package wire provides the HTTP/1.1 connection handling that the proxy and the sidecar share. PeekHead, CheckHead and
+// CheckControlChars read and validate a message head (the start line and the headers), LimitedReader limits the bytes that one
+// message may read, Pool reuses buffers, and DirectConn makes socket calls cheaper. The package contains nothing that is
+// specific to the platform's protocols.
 package wire
 
 import (
@@ -12,24 +14,25 @@
 )
 
 var (
-	errFolded  = errors.New("folded header line")
-	errName    = errors.New("header name that is none")
-	errControl = errors.New("control character in the head")
-	errFraming = errors.New("Content-Length beside Transfer-Encoding")
+	errFolded  = errors.New("folded header line in the message head")
+	errName    = errors.New("invalid header name")
+	errControl = errors.New("control character in the message head")
+	errFraming = errors.New("both Content-Length and Transfer-Encoding are present")
 )
 
-// ErrTooLarge tells of a message beyond its bound.
-var ErrTooLarge = errors.New("message is too large")
+// ErrTooLarge is returned for a message that exceeds its size limit.
+var ErrTooLarge = errors.New("message exceeds its size limit")
 
-// PeekHead waits until a message's whole head has come, of at most so many bytes. It stays in br, for the library to read.
-func PeekHead(br *bufio.Reader, most int) ([]byte, error) {
+// PeekHead waits until the complete message head has been received and returns it. A head longer than maxBytes gives
+// ErrTooLarge. The head stays in br, so that net/http can parse it.
+func PeekHead(br *bufio.Reader, maxBytes int) ([]byte, error) {
 	for seen := 0; ; {
 		if _, err := br.Peek(seen + 1); err != nil {
 			return nil, err
 		}
 		b, _ := br.Peek(br.Buffered())
 		switch n := headLength(b); {
-		case n > most, n == 0 && len(b) >= most:
+		case n > maxBytes, n == 0 && len(b) >= maxBytes:
 			return nil, ErrTooLarge
 		case n > 0:
 			return b[:n], nil
@@ -38,7 +41,7 @@
 	}
 }
 
-// headLength is where the head that b begins with ends, after its empty line; 0: not in b.
+// headLength returns the length of the head at the start of b, including its empty line, or 0 if b does not hold all of it.
 func headLength(b []byte) int {
 	for at := 0; ; {
 		n := bytes.IndexByte(b[at:], '\n')
@@ -53,10 +56,11 @@
 	}
 }
 
-// CheckHead refuses what the library would settle without a word, by dropping one of two lengths or passing on a name
-// that the next reader takes for another: a message may hide a second one behind it. The headers of single may stand there once
-// only: the library would take the first of several, and the next reader of the same bytes might take another. The list begins
-// with the two ways to tell a length.
+// CheckHead rejects heads that net/http would accept silently although another parser may read them differently: net/http
+// drops one of two lengths, or passes on a name that the next parser takes for another name. Such ambiguity allows request
+// smuggling, where one message hides a second one. Each header in single may occur only once, because net/http would use the
+// first of several and the next parser might use another. The first two elements of single must be the two headers that frame
+// a body, Content-Length and Transfer-Encoding in either order.
 func CheckHead(head []byte, single []string) error {
 	seen := make([]bool, len(single))
 	first := true
@@ -73,24 +77,24 @@
 			return errName
 		}
 		text := string(name)
-		i := slices.IndexFunc(single, func(once string) bool { return strings.EqualFold(text, once) })
+		i := slices.IndexFunc(single, func(header string) bool { return strings.EqualFold(text, header) })
 		if i < 0 {
 			continue
 		}
 		if seen[i] {
-			return fmt.Errorf("%s twice", single[i])
+			return fmt.Errorf("%s occurs twice in the message head", single[i])
 		}
 		seen[i] = true
 	}
-	if seen[0] && seen[1] { // the two ways to tell a length
+	if seen[0] && seen[1] { // Content-Length and Transfer-Encoding
 		return errFraming
 	}
 	return nil
 }
 
-// AnnouncesClose says whether a host tells that its answer ends with the connection. Where it does not, an answer without a
-// length is rather one whose head was spoilt. (The library's Close is also set for want of a length, and it drops the
-// header.)
+// AnnouncesClose reports whether the head contains "Connection: close", which means that the response ends with the connection.
+// A response with neither a length nor this header most likely has a damaged head. http.Response.Close cannot tell the two
+// cases apart: net/http also sets Close when the length is missing, and it removes the header.
 func AnnouncesClose(head []byte) bool {
 	for line := range bytes.Lines(head) {
 		name, value, _ := bytes.Cut(line, []byte(":"))
@@ -101,8 +105,8 @@
 	return false
 }
 
-// CheckText refuses control characters in a client's head: its other headers go on to hosts as they are.
-func CheckText(head []byte) error {
+// CheckControlChars rejects control characters in a client's head, because most headers are forwarded to hosts unchanged.
+func CheckControlChars(head []byte) error {
 	for i, b := range head {
 		lineEnd := b == '\n' || b == '\r' && i+1 < len(head) && head[i+1] == '\n'
 		if (b < ' ' && b != '\t' || b == 0x7f) && !lineEnd {
--- a/internal/wire/pool.go
+++ b/internal/wire/pool.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// BufferSize is the one size of all buffers: a message's head fits into one, a body takes as many as it needs.
+	// BufferSize is the size of every buffer. A message head fits into one buffer; a body uses as many as it needs.
 	BufferSize = 16 << 10
-	// MaxBody is how many bytes of a body are read at once.
+	// MaxBody is the maximum number of body bytes that ReadBody holds in memory.
 	MaxBody = bodies.Kept
 )
 
-// Pool hands out buffers and bufio.Readers of BufferSize and takes them back. Live counts what is out: a number
-// that does not come back to zero when all connections are closed is a leak.
+// Pool reuses buffers and bufio.Readers of BufferSize. Live counts those in use: if the count does not return to zero when all
+// connections are closed, there is a leak.
 type Pool struct {
 	buffers, readers sync.Pool
 	live             atomic.Int64
 }
 
-// Live is how many buffers and readers are out.
+// Live returns the number of buffers and readers in use.
 func (p *Pool) Live() int64 { return p.live.Load() }
 
-// NewPool makes a pool.
+// NewPool returns an empty pool.
 func NewPool() *Pool {
 	return &Pool{
 		buffers: sync.Pool{New: func() any { return new([BufferSize]byte) }},
@@ -37,19 +37,19 @@
 	}
 }
 
-// Buffer gives a buffer, whose content is of no account.
+// Buffer returns a buffer with undefined content.
 func (p *Pool) Buffer() *[BufferSize]byte {
 	p.live.Add(1)
 	return p.buffers.Get().(*[BufferSize]byte)
 }
 
-// PutBuffer takes a buffer back.
+// PutBuffer returns a buffer to the pool.
 func (p *Pool) PutBuffer(b *[BufferSize]byte) {
 	p.live.Add(-1)
 	p.buffers.Put(b)
 }
 
-// Reader gives a reader of r.
+// Reader returns a buffered reader of r.
 func (p *Pool) Reader(r io.Reader) *bufio.Reader {
 	p.live.Add(1)
 	br := p.readers.Get().(*bufio.Reader)
@@ -57,30 +57,30 @@
 	return br
 }
 
-// PutReader takes a reader back.
+// PutReader returns a reader to the pool.
 func (p *Pool) PutReader(br *bufio.Reader) {
 	p.live.Add(-1)
 	br.Reset(nil) // a pooled reader must not keep its connection alive
 	p.readers.Put(br)
 }
 
-// Body is a message body held in buffers of the pool. The zero body is empty.
+// Body is a message body held in pool buffers. Its zero value is an empty body.
 type Body struct {
 	Bufs []*[BufferSize]byte
 	Size int
 }
 
-// ReadBody takes all of a message's body, at most MaxBody bytes. more says that it may not be all. On an error nothing
-// stays taken from the pool.
+// ReadBody reads a message body of at most MaxBody bytes. If more is true, the limit was reached and the body may continue.
+// On an error all buffers have been returned to the pool.
 func (p *Pool) ReadBody(r io.Reader) (b Body, more bool, err error) {
-	r = WholeBody{r}
+	r = TruncationReader{r}
 	for b.Size < MaxBody {
 		buf := p.Buffer()
 		b.Bufs = append(b.Bufs, buf)
 		n, err := io.ReadFull(r, buf[:])
 		b.Size += n
 		switch {
-		case err == io.EOF || err == io.ErrUnexpectedEOF: // the end, as ReadFull words it
+		case err == io.EOF || err == io.ErrUnexpectedEOF: // both mean the end of the body here
 			if n == 0 {
 				p.PutBuffer(buf)
 				b.Bufs = b.Bufs[:len(b.Bufs)-1]
@@ -94,22 +94,22 @@
 	return b, true, nil
 }
 
-// ErrCut tells of a body that ended before its announced length.
-var ErrCut = errors.New("cut short")
+// ErrTruncated is returned for a body that ended before its announced length.
+var ErrTruncated = errors.New("message body truncated before its announced length")
 
-// WholeBody marks an end that came before the body's announced length. It would come as io.ErrUnexpectedEOF, which is
-// also what ReadFull makes of a buffer that the end leaves half full.
-type WholeBody struct{ io.Reader }
+// TruncationReader returns ErrTruncated for a body that ends before its announced length. net/http reports this as
+// io.ErrUnexpectedEOF, which io.ReadFull also returns when a complete body fills only a part of the buffer.
+type TruncationReader struct{ io.Reader }
 
-func (w WholeBody) Read(b []byte) (int, error) {
-	n, err := w.Reader.Read(b)
+func (t TruncationReader) Read(b []byte) (int, error) {
+	n, err := t.Reader.Read(b)
 	if err == io.ErrUnexpectedEOF {
-		err = ErrCut
+		err = ErrTruncated
 	}
 	return n, err
 }
 
-// FreeBody takes a body's buffers back.
+// FreeBody returns a body's buffers to the pool and makes the body empty.
 func (p *Pool) FreeBody(b *Body) {
 	for _, buf := range b.Bufs {
 		p.PutBuffer(buf)
@@ -117,18 +117,18 @@
 	*b = Body{}
 }
 
-// Parts appends the body's bytes to v for one gathered write.
-func (b *Body) Parts(v net.Buffers) net.Buffers {
-	left := b.Size
+// AppendTo appends the body's buffers to v, so that one vectored write can send them.
+func (b *Body) AppendTo(v net.Buffers) net.Buffers {
+	remaining := b.Size
 	for _, buf := range b.Bufs {
-		n := min(left, BufferSize)
+		n := min(remaining, BufferSize)
 		v = append(v, buf[:n])
-		left -= n
+		remaining -= n
 	}
 	return v
 }
 
-// FixedWriter fills a buffer and notes when it does not suffice.
+// FixedWriter writes into Buf up to its capacity and sets Full when a write does not fit.
 type FixedWriter struct {
 	Buf  []byte
 	Full bool
