--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the JSON object that tells an instance how its site works. The simulator's first message
-// and the configuration of a client proxy hold the same one.
+// Package settings reads the JSON object that describes a deployment to a balancer: request classes, limits, rules and load
+// reports. The simulator's first message and the configuration file of a proxy contain the same object. Parse reads the
+// object into Settings, and Settings.Config converts it to a balancer.Config.
 package settings
 
 import (
@@ -9,7 +10,8 @@
 	"beechwing/balancer"
 )
 
-// Settings is the part of the object that beechwing knows. Other keys are ignored.
+// Settings is the part of the JSON object that beechwing uses. Other keys are ignored. The field names are the JSON keys; a
+// field whose name ends in S is in seconds.
 type Settings struct {
 	Balancers  int
 	Classes    []Class
@@ -37,13 +39,13 @@
 	Zone                int
 }
 
-// Class is one kind of request.
+// Class describes one class of requests.
 type Class struct {
 	AimS, AimStretch, Credit, DeadlineS, DedupWindowS, LateWorth float64
 	Effect, Group, Name                                          string
 }
 
-// Tenant is a customer sharing the service.
+// Tenant describes one customer of the service.
 type Tenant struct {
 	Name            string
 	QuotaRps, Share float64
@@ -62,8 +64,8 @@
 	"avg_ms": balancer.LoadLatency, "rps": balancer.LoadRate, "err_rps": balancer.LoadErrors,
 }
 
-// Parse reads the object. What is left out keeps its zero value, except that work over a tenant's share then
-// counts in full.
+// Parse reads the JSON object. A missing field keeps its zero value. The exception is OverShareWorth, which defaults to 1, so
+// that requests beyond a tenant's share count in full.
 func Parse(text []byte) (*Settings, error) {
 	s := &Settings{OverShareWorth: 1}
 	if err := json.Unmarshal(text, s); err != nil {
@@ -72,17 +74,18 @@
 	return s, nil
 }
 
-// number is a setting, and whether it is a share.
-type number struct {
-	field string
-	value float64
-	share bool
+// numericField is a numeric setting; isShare marks a value that must be between 0 and 1.
+type numericField struct {
+	name    string
+	value   float64
+	isShare bool
 }
 
-// check finds the first number that makes no sense: one that is negative, or a share above one.
+// check returns an error for the first number that is negative, or that is a share and greater than 1, and for a Zone that is
+// not an index into Dcs.
 func (s *Settings) check() error {
 	l, r := &s.Limits, &s.Rules
-	all := []number{
+	all := []numericField{
 		{"Balancers", float64(s.Balancers), false}, {"Zone", float64(s.Zone), false}, {"Me", float64(s.Me), false},
 		{"Goal.Punctual", s.Goal.Punctual, false}, {"Goal.MissAllowed", s.Goal.MissAllowed, true},
 		{"Limits.MaxAttempts", float64(l.MaxAttempts), false}, {"Limits.ConnIdleS", l.ConnIdleS, false},
@@ -94,13 +97,13 @@
 	}
 	for i, k := range s.Classes {
 		at := fmt.Sprintf("class %d: ", i)
-		all = append(all, number{at + "AimS", k.AimS, false}, number{at + "AimStretch", k.AimStretch, false},
-			number{at + "DeadlineS", k.DeadlineS, false}, number{at + "Credit", k.Credit, false},
-			number{at + "LateWorth", k.LateWorth, true}, number{at + "DedupWindowS", k.DedupWindowS, false})
+		all = append(all, numericField{at + "AimS", k.AimS, false}, numericField{at + "AimStretch", k.AimStretch, false},
+			numericField{at + "DeadlineS", k.DeadlineS, false}, numericField{at + "Credit", k.Credit, false},
+			numericField{at + "LateWorth", k.LateWorth, true}, numericField{at + "DedupWindowS", k.DedupWindowS, false})
 	}
 	for _, n := range all {
-		if n.value < 0 || n.share && n.value > 1 {
-			return fmt.Errorf("%s is %v, out of range", n.field, n.value)
+		if n.value < 0 || n.isShare && n.value > 1 {
+			return fmt.Errorf("%s is %v, out of range", n.name, n.value)
 		}
 	}
 	if len(s.Dcs) > 0 && s.Zone >= len(s.Dcs) {
@@ -109,7 +112,7 @@
 	return nil
 }
 
-// Config translates the settings into what a Balancer is told at start.
+// Config converts the settings to the configuration of a Balancer.
 func (s *Settings) Config(seed uint64) (balancer.Config, error) {
 	c := balancer.Config{
 		Seed: seed, Me: s.Me, Balancers: s.Balancers, Zone: s.Zone,
@@ -145,7 +148,7 @@
 	return c, nil
 }
 
-// Columns names the values of a load report; there are none where hosts do not report.
+// Columns returns the names of a load report's values. It returns nil if hosts do not report their load.
 func (s *Settings) Columns() []string {
 	if s.Report.How == "none" {
 		return nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,6 +17,7 @@
  "StopSendingWithinS": 0.75, "TipAfterS": 1.0}, "Tenants": [{"Name": "t", "QuotaRps": 33.0, "Share": 0.45}], "Prices": {"CrossZone": 0.03},
  "Goal": {"Punctual": 0.4, "MissAllowed": 0.02}}`
 
+// TestConfig checks the conversion of a complete settings object.
 func TestConfig(t *testing.T) {
 	s, err := Parse([]byte(example))
 	if err != nil {
@@ -28,7 +29,8 @@
 	}
 	k := c.Classes[0]
 	if c.Seed != 5 || c.Me != 1 || c.Zone != 1 || !c.AskForList || !c.WorthByWork || !c.Weighted ||
-		c.MaxCoolDown != 2 || c.Punctual != 0.4 || c.MissAllowed != 0.02 || c.OverShareWorth != 1 || c.Prices.CrossZone != 0.03 || c.Tenants[0].Share != 0.45 {
+		c.MaxCoolDown != 2 || c.Punctual != 0.4 || c.MissAllowed != 0.02 || c.OverShareWorth != 1 ||
+		c.Prices.CrossZone != 0.03 || c.Tenants[0].Share != 0.45 {
 		t.Errorf("settings %+v", c)
 	}
 	if k.Effect != balancer.Keyed || k.Group != balancer.GroupCell || k.Window != 4 || k.Worth != 2 {
@@ -40,6 +42,7 @@
 	}
 }
 
+// TestBadSettings checks that invalid settings give an error that names the field.
 func TestBadSettings(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"not an object", `4`, "settings"},
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -1,4 +1,6 @@
-// Package simwire speaks the simulator's wire and hosts balancer instances on it: bytes and translation only.
+// Package simwire connects the simulator to the balancer. Serve reads batches of events from the simulator, passes each event
+// to the balancer instance that it names, and replies with the actions that the instances request. The package only encodes,
+// decodes and translates; it makes no balancing decisions.
 package simwire
 
 import (
@@ -13,7 +15,7 @@
 	"beechwing/internal/settings"
 )
 
-// Serve answers batches from in on out until in ends. Each reply is flushed once.
+// Serve reads batches from in and writes one reply for each to out until in ends. It flushes out after every reply.
 func Serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
 	var (
@@ -49,7 +51,7 @@
 	}
 }
 
-// readBody reads n bytes into buf, growing it only as bytes arrive: a damaged length must not claim memory.
+// readBody reads n bytes into buf and grows buf only as bytes arrive, so that a corrupt length cannot allocate much memory.
 func readBody(r io.Reader, buf []byte, n int) ([]byte, error) {
 	const step = 1 << 20
 	buf = buf[:0]
@@ -67,22 +69,22 @@
 	return buf, nil
 }
 
-// instance is one hosted balancer; it is also the Actions of that balancer.
+// instance is one balancer of this process. It implements balancer.Actions for that balancer by writing action records.
 type instance struct {
 	proxy uint32
 	out   *writer
 	bal   *balancer.Balancer
 }
 
-// server holds what belongs to the process: the numbered lists, the instances and the reply being written.
+// server is the state of the process: the numbered host lists, the instances and the reply in progress.
 type server struct {
-	lists     [censusSlots][]balancer.Host
+	lists     [listSlots][]balancer.Host
 	instances map[uint32]*instance
 	out       writer
-	gauge     []float32
+	report    []float32 // memory for decoded load reports, reused
 }
 
-// batch plays one batch and returns the reply, valid until the next call.
+// batch processes one batch and returns the reply, which is valid until the next call.
 func (s *server) batch(now float64, body []byte) ([]byte, error) {
 	s.out.buf = append(s.out.buf[:0], 0, 0, 0, 0)
 	r := reader{buf: body}
@@ -101,6 +103,7 @@
 	return s.out.buf, nil
 }
 
+// event processes one event record.
 func (s *server) event(now float64, code uint16, r *reader) error {
 	if code == evCensus {
 		return s.census(r)
@@ -126,16 +129,17 @@
 	return s.deliver(now, in.bal, code, r)
 }
 
+// census stores a numbered host list.
 func (s *server) census(r *reader) error {
 	list, n := r.u8(), int(r.u32())
 	if r.err != nil {
 		return r.err
 	}
-	if int(list) >= censusSlots {
+	if int(list) >= listSlots {
 		return fmt.Errorf("list number %d is out of range", list)
 	}
 	if n > (len(r.buf)-r.at)/entrySize {
-		return fmt.Errorf("a list of %d entries: %w", n, errShort)
+		return fmt.Errorf("list of %d entries: %w", n, errShort)
 	}
 	hosts := make([]balancer.Host, n)
 	for i := range hosts {
@@ -145,17 +149,18 @@
 	return r.err
 }
 
+// init starts an instance, or restarts one that has the same number.
 func (s *server) init(now float64, proxy uint32, r *reader) error {
 	seed := r.u64()
 	text := r.take(int(r.u32()))
 	if r.err != nil {
 		return r.err
 	}
-	told, err := settings.Parse(text)
+	parsed, err := settings.Parse(text)
 	if err != nil {
 		return err
 	}
-	cfg, err := told.Config(seed)
+	cfg, err := parsed.Config(seed)
 	if err != nil {
 		return err
 	}
@@ -168,7 +173,7 @@
 	return nil
 }
 
-// deliver reads the rest of an instance's event and hands it to the balancer.
+// deliver decodes the rest of an instance's event and passes it to the balancer.
 func (s *server) deliver(now float64, b *balancer.Balancer, code uint16, r *reader) error {
 	switch code {
 	case evSync:
@@ -188,8 +193,8 @@
 	case evCompleted:
 		o := balancer.Outcome{ID: balancer.RequestID(r.u64()), Attempt: int(r.u8()), Took: r.f64()}
 		o.Host, o.Result, o.Final = r.host(), r.result(), r.u8() != 0
-		s.gauge = r.report(s.gauge)
-		if o.Report = s.gauge; r.err == nil {
+		s.report = r.report(s.report)
+		if o.Report = s.report; r.err == nil {
 			b.Outcome(now, o)
 		}
 	case evAbandoned:
@@ -202,8 +207,8 @@
 		}
 	case evChecked:
 		p := balancer.ProbeResult{Host: r.host(), Result: r.result(), Took: r.f64()}
-		s.gauge = r.report(s.gauge)
-		if p.Report = s.gauge; r.err == nil {
+		s.report = r.report(s.report)
+		if p.Report = s.report; r.err == nil {
 			b.Probed(now, p)
 		}
 	case evWhisper:
@@ -215,9 +220,10 @@
 	return r.err
 }
 
+// sync passes a host list, a change to it, or the failure to fetch it to an instance.
 func (s *server) sync(now float64, b *balancer.Balancer, r *reader) error {
 	scope := r.u8()
-	r.u64() // the list's version: events come in order and omit nothing
+	r.u64() // the list's version is not needed: events arrive in order and without gaps
 	list := r.u8()
 	if r.err != nil {
 		return r.err
@@ -229,26 +235,27 @@
 		b.UpdateHosts(now, balancer.ListFailed, nil)
 		return nil
 	}
-	if int(list) >= censusSlots {
+	if int(list) >= listSlots {
 		return fmt.Errorf("list number %d is out of range", list)
 	}
 	b.UpdateHosts(now, balancer.ListKind(scope), s.lists[list])
 	return nil
 }
 
+// readRequest decodes a client request.
 func readRequest(r *reader) (balancer.Request, error) {
 	q := balancer.Request{ID: balancer.RequestID(r.u64())}
 	opts := r.u16()
 	q.Budget, q.Work = r.f64(), r.f64()
 	q.Tenant, q.Class, q.Key = int(r.u32()), int(r.u8()), r.u64()
-	if opts&optHint == 0 {
+	if opts&optWorkHint == 0 {
 		q.Work = 0
 	}
 	q.Repeat = opts&optRepeat != 0
 	return q, r.err
 }
 
-// Send implements balancer.Actions, as do the methods below.
+// Send sends an attempt to a host. Like the methods below, it implements balancer.Actions.
 func (in *instance) Send(id balancer.RequestID, host balancer.HostID, timeout float64) {
 	in.out.action(actCallOut, in.proxy)
 	in.out.u64(uint64(id))
@@ -256,56 +263,56 @@
 	in.out.f64(timeout)
 }
 
-// Refuse answers that trying again is harmless.
+// Refuse rejects a request with a response that tells the client that a retry is safe.
 func (in *instance) Refuse(id balancer.RequestID, coolDown float64) {
 	in.out.action(actBounce, in.proxy)
 	in.out.u64(uint64(id))
 	in.out.f64(coolDown)
 }
 
-// Fail answers that nothing is promised.
+// Fail ends a request with an error that does not say whether the request was executed.
 func (in *instance) Fail(id balancer.RequestID) {
 	in.out.action(actEndFailed, in.proxy)
 	in.out.u64(uint64(id))
 }
 
-// Cancel stops waiting for an attempt.
+// Cancel abandons an attempt.
 func (in *instance) Cancel(id balancer.RequestID, attempt int) {
 	in.out.action(actUndoSend, in.proxy)
 	in.out.u64(uint64(id))
 	in.out.buf = append(in.out.buf, byte(attempt))
 }
 
-// Probe asks a host for its state.
+// Probe checks a host.
 func (in *instance) Probe(host balancer.HostID) {
 	in.out.action(actCheck, in.proxy)
 	in.out.host(host)
 }
 
-// Timer asks for an event. The wire takes no longer wait than maxTimerWait.
+// Timer requests a timer event. The protocol limits the delay to maxTimerWait.
 func (in *instance) Timer(after float64, token uint64) {
 	in.out.action(actTimer, in.proxy)
 	in.out.f64(min(after, maxTimerWait))
 	in.out.u64(token)
 }
 
-// Watch asks for the list and its changes.
+// Watch requests the host list and all later changes to it.
 func (in *instance) Watch() {
 	in.out.action(actKeepInformed, in.proxy)
 	in.out.buf = append(in.out.buf, 1)
 }
 
-// Fetch asks for the list once.
+// Fetch requests the host list once.
 func (in *instance) Fetch() { in.out.action(actResolve, in.proxy) }
 
-// Broadcast sends a message to every peer, cut to what the wire carries.
+// Broadcast sends a message to every peer, truncated to the protocol's limit of maxPostBytes.
 func (in *instance) Broadcast(data []byte) {
 	in.out.action(actPost, in.proxy)
-	in.out.buf = binary.LittleEndian.AppendUint16(in.out.buf, everyPeer)
-	in.out.text(data[:min(len(data), maxPost)])
+	in.out.buf = binary.LittleEndian.AppendUint16(in.out.buf, allPeers)
+	in.out.text(data[:min(len(data), maxPostBytes)])
 }
 
-// Log adds a line to the report.
+// Log writes a line to the simulator's trace.
 func (in *instance) Log(text string) {
 	in.out.action(actTrace, in.proxy)
 	in.out.text([]byte(text[:min(len(text), math.MaxUint16)]))
--- a/internal/simwire/serve_test.go
+++ b/internal/simwire/serve_test.go
@@ -18,7 +18,7 @@
  "Rules": {"AskWithinS": 10.0, "ColdFrom": 0.3, "ColdS": 9.0, "FallMultiple": 3.0, "StopSendingWithinS": 0.75,
  "TipAfterS": 1.0}, "Tenants": [{"QuotaRps": 33.0, "Share": 0.45}], "Prices": {"CrossZone": 0.03}}`
 
-// hexBytes joins spaced hexadecimal, as the wire's page prints it.
+// hexBytes decodes hexadecimal text that may contain white space, the form of the protocol specification's examples.
 func hexBytes(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
@@ -28,14 +28,14 @@
 	return b
 }
 
-// frame puts a header before the records of a batch.
+// frame builds a batch from its records by adding the header.
 func frame(now float64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	head := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
 	return append(binary.LittleEndian.AppendUint64(head, math.Float64bits(now)), body...)
 }
 
-// record starts a record for an instance.
+// record encodes a record for an instance.
 func record(code uint16, proxy uint32, rest ...any) []byte {
 	var b bytes.Buffer
 	for _, v := range append([]any{code, proxy}, rest...) {
@@ -57,7 +57,7 @@
 	return out.Bytes(), err
 }
 
-// The examples of the wire's page.
+// The examples of the protocol specification.
 const (
 	exampleCensus = `0a01 00 02000000
  0000000000000000 0a124a07 c32b 0000803f 0000 01 00 0000
@@ -68,6 +68,7 @@
 	exampleCompleted = `0401 03000000 c4913a5d35790b00 00 8b6ce7fba9f1923f 0a124a07 c32b 0100 01 02 0000684152b81e3f`
 )
 
+// TestDecodeExamples decodes the events of the protocol specification's examples.
 func TestDecodeExamples(t *testing.T) {
 	r := reader{buf: hexBytes(t, exampleCensus)[7:]}
 	first, second := r.entry(), r.entry()
@@ -91,12 +92,12 @@
 	}
 }
 
-// TestEncodeExamples writes the page's actions and compares the bytes.
+// TestEncodeExamples encodes the actions of the protocol specification's examples and compares the bytes.
 func TestEncodeExamples(t *testing.T) {
 	host := (&reader{buf: hexBytes(t, "0a124a07 c32b")}).host()
 	for _, c := range []struct {
 		name, want string
-		do         func(balancer.Actions)
+		act        func(balancer.Actions)
 	}{
 		{"call_out", "4801 03000000 c4913a5d35790b00 0a124a07 c32b 7b14ae47e17ab43f",
 			func(a balancer.Actions) { a.Send(0x0b79355d3a91c4, host, 0.08) }},
@@ -116,7 +117,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var w writer
-			c.do(&instance{proxy: 3, out: &w})
+			c.act(&instance{proxy: 3, out: &w})
 			if want := hexBytes(t, c.want); !bytes.Equal(w.buf, want) {
 				t.Fatalf("got %x, want %x", w.buf, want)
 			}
@@ -124,14 +125,14 @@
 	}
 }
 
-// TestSession plays a list, a request, its answer and a restart within one batch.
+// TestSession covers a host list, a request, its response, and a shutdown and restart within one batch.
 func TestSession(t *testing.T) {
-	boot := func(proxy uint32) []byte { return initRecord(proxy, 9, testSettings) }
+	start := func(proxy uint32) []byte { return initRecord(proxy, 9, testSettings) }
 	in := bytes.Join([][]byte{
 		frame(10),
-		frame(11, boot(3), hexBytes(t, exampleCensus), hexBytes(t, exampleSync), hexBytes(t, exampleReq)),
+		frame(11, start(3), hexBytes(t, exampleCensus), hexBytes(t, exampleSync), hexBytes(t, exampleReq)),
 		frame(11.02, hexBytes(t, exampleCompleted), hexBytes(t, exampleTimer)),
-		frame(11.5, record(evShutdown, 3), boot(3), hexBytes(t, exampleSync)),
+		frame(11.5, record(evShutdown, 3), start(3), hexBytes(t, exampleSync)),
 	}, nil)
 	out, err := serve(t, in)
 	if err != nil {
@@ -148,7 +149,7 @@
 	}
 }
 
-// TestReusedList: a later list under a number holds from there on, also within one batch.
+// TestReusedList checks that a new list replaces an earlier one with the same number, also within one batch.
 func TestReusedList(t *testing.T) {
 	var s server
 	later := bytes.Replace(hexBytes(t, exampleCensus), hexBytes(t, "0a124a07"), hexBytes(t, "0a0b0c0d"), 1)
@@ -162,9 +163,9 @@
 	}
 }
 
-// TestMalformed: damage is named with its place, and never a crash.
+// TestMalformed checks that corrupt input gives an error that names its position, and never a crash.
 func TestMalformed(t *testing.T) {
-	boot := initRecord(3, 9, testSettings)
+	start := initRecord(3, 9, testSettings)
 	long := frame(1)
 	binary.LittleEndian.PutUint32(long, 1<<31)
 	for _, c := range []struct {
@@ -172,11 +173,11 @@
 		in         []byte
 	}{
 		{"cut header", "batch 0: header", frame(1)[:5]},
-		{"cut body", "batch 0: body of", frame(1, boot)[:40]},
+		{"cut body", "batch 0: body of", frame(1, start)[:40]},
 		{"length beyond sense", "header: length", long},
 		{"clock not a number", "clock", frame(math.NaN())},
 		{"unknown code", "code 999", frame(1, record(999, 3))},
-		{"cut record", "cut short", frame(1, boot, hexBytes(t, exampleReq)[:20])},
+		{"cut record", "cut short", frame(1, start, hexBytes(t, exampleReq)[:20])},
 		{"list longer than the batch", "entries", frame(1, hexBytes(t, "0a01 00 ffffffff"))},
 		{"list number out of range", "out of range", frame(1, hexBytes(t, "0a01 10 00000000"))},
 		{"unknown status", "status", frame(1, bytes.Replace(hexBytes(t, exampleCensus),
@@ -184,9 +185,9 @@
 		{"bad settings", "settings", frame(1, initRecord(3, 9, `{"Classes": 4}`))},
 		{"unknown effect", "effect", frame(1, initRecord(3, 9, `{"Classes": [{"Effect": "maybe"}]}`))},
 		{"instance not started", "never started", frame(1, record(evShutdown, 8))},
-		{"unknown ending", "ending", frame(1, boot, bytes.Replace(hexBytes(t, exampleCompleted),
+		{"unknown ending", "unknown result 9", frame(1, start, bytes.Replace(hexBytes(t, exampleCompleted),
 			hexBytes(t, "c32b 0100"), hexBytes(t, "c32b 0900"), 1))},
-		{"unknown list scope", "scope", frame(1, boot, hexBytes(t, "0101 03000000 07 2900000000000000 00"))},
+		{"unknown list scope", "scope", frame(1, start, hexBytes(t, "0101 03000000 07 2900000000000000 00"))},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := serve(t, c.in); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -196,7 +197,7 @@
 	}
 }
 
-// TestSpread: an instance acts alike whether it shares its process or not.
+// TestSpread checks that an instance behaves the same whether or not it shares its process with other instances.
 func TestSpread(t *testing.T) {
 	script := func(proxies ...uint32) []byte {
 		var in []byte
@@ -224,18 +225,18 @@
 	}
 }
 
-// FuzzServe: whatever comes in, the reply is an answer or a plain error.
+// FuzzServe checks that no input crashes Serve and that every error has a text.
 func FuzzServe(f *testing.F) {
-	boot := initRecord(3, 9, testSettings)
+	start := initRecord(3, 9, testSettings)
 	f.Add(frame(1))
-	f.Add(frame(1, boot, hexBytes(f, exampleCensus), hexBytes(f, exampleSync), hexBytes(f, exampleReq)))
-	f.Add(append(frame(1, boot, hexBytes(f, exampleCensus), hexBytes(f, exampleSync), hexBytes(f, exampleReq)),
+	f.Add(frame(1, start, hexBytes(f, exampleCensus), hexBytes(f, exampleSync), hexBytes(f, exampleReq)))
+	f.Add(append(frame(1, start, hexBytes(f, exampleCensus), hexBytes(f, exampleSync), hexBytes(f, exampleReq)),
 		frame(1.1, hexBytes(f, exampleCompleted), hexBytes(f, exampleTimer))...))
 	f.Add(frame(1, initRecord(3, 9, `{}`), hexBytes(f, exampleReq), record(evWhisper, 3, uint32(1), uint16(0))))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var out bytes.Buffer
 		if err := Serve(bytes.NewReader(in), &out); err != nil && err.Error() == "" {
-			t.Fatal("an error without words")
+			t.Fatal("error without a text")
 		}
 	})
 }
