--- a/internal/ops/who.go
+++ b/internal/ops/host.go
@@ -8,21 +8,22 @@
 	"io"
 )
 
-const mostID = 256
+const maxIDBytes = 256
 
-var errNoObject = errors.New(`the body has to be one JSON object: {"who":"ID"}`)
+var errNotObject = errors.New(`the body has to be one JSON object: {"who":"ID"}`)
 
-// parseWho reads {"who":"ID"}. encoding/json alone would take the last of several ids, and field names in any case.
-func parseWho(body []byte) (string, error) {
+// parseHostID parses a body of the form {"who":"ID"}. It does not use json.Unmarshal, which accepts duplicate fields, keeping the
+// last one, and ignores the case of field names.
+func parseHostID(body []byte) (string, error) {
 	d := json.NewDecoder(bytes.NewReader(body))
 	if t, err := d.Token(); err != nil || t != json.Delim('{') {
-		return "", errNoObject
+		return "", errNotObject
 	}
 	id, seen := "", false
 	for d.More() {
 		t, err := d.Token()
 		if err != nil {
-			return "", errNoObject
+			return "", errNotObject
 		}
 		switch name, _ := t.(string); {
 		case name != "who":
@@ -31,7 +32,7 @@
 			return "", errors.New(`field "who" stands twice`)
 		}
 		if t, err = d.Token(); err != nil {
-			return "", errNoObject
+			return "", errNotObject
 		}
 		var text bool
 		if id, text = t.(string); !text {
@@ -40,15 +41,15 @@
 		seen = true
 	}
 	if _, err := d.Token(); err != nil { // the closing brace
-		return "", errNoObject
+		return "", errNotObject
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return "", errNoObject
+		return "", errNotObject
 	}
 	switch {
 	case !seen || id == "":
 		return "", errors.New(`field "who" is missing`)
-	case len(id) > mostID:
+	case len(id) > maxIDBytes:
 		return "", errors.New(`field "who" is too long`)
 	}
 	return id, nil
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,5 +1,6 @@
-// Package ops is the operators' door: a few calls over HTTP at an address of its own, one to a connection. It decides
-// nothing of the proxy; what a call does or shows is behind Calls.
+// Package ops is the admin server of a proxy: a few HTTP calls for operators at a separate address, with one call per
+// connection. Server accepts connections, reads calls and writes responses. A Backend, which the proxy implements, carries
+// out the calls.
 package ops
 
 import (
@@ -17,194 +18,196 @@
 	"go.uber.org/zap"
 )
 
-// Calls is what the door asks of the proxy. All of it may be called from many goroutines at once.
-type Calls interface {
-	Ready() error                                                   // nil: this process serves; else why not
-	Figures() []byte                                                // never waits
-	Plan() []byte                                                   // which zones count; nil: there is no such plan. Never waits
-	Zone(ctx context.Context, o ZoneOrder) (said string, err error) // where there is a plan
-	TakeOut(ctx context.Context, id string) (said string, err error)
-	PutBack(ctx context.Context, id string) (said string, err error)
+// Backend is implemented by the proxy to carry out the calls. Its methods may be called from many goroutines at once.
+type Backend interface {
+	Ready() error                                                        // nil if this process serves; otherwise the reason
+	Stats() []byte                                                       // the statistics as text; never blocks
+	Plan() []byte                                                        // the zone plan as text; nil: there is none. Never blocks
+	Zone(ctx context.Context, o ZoneOrder) (message string, err error)   // drains or restores a zone; called only if there is a plan
+	Cordon(ctx context.Context, id string) (message string, err error)   // stops sending requests to a host
+	Uncordon(ctx context.Context, id string) (message string, err error) // reverses Cordon
 }
 
-// ErrUnknown is a call's answer to a host that nobody knows; ErrForce to one that would leave too little without its second
-// word.
+// The errors of a Backend that have a status code of their own.
 var (
-	ErrUnknown = errors.New("unknown host")
-	ErrForce   = errors.New("needs force")
+	ErrUnknown    = errors.New("unknown host") // the host, zone or region does not exist
+	ErrNeedsForce = errors.New("needs force")  // too little capacity would be left, and the call does not set "force"
 )
 
 const (
-	// Most is how many connections the door holds at once, one descriptor each.
-	Most = 16
+	// MaxConns is the maximum number of open connections. Each of them needs one file descriptor.
+	MaxConns = 16
 
-	callTime   = 2 * time.Second        // for a call to come whole
-	workTime   = 800 * time.Millisecond // for what it asks for; operators are owed an answer in 1 s
-	answerTime = 2 * time.Second        // to take the answer
-	lingerTime = 250 * time.Millisecond // for the rest of a call that was refused before it had come whole
-	mostHead   = 4 << 10
-	mostBody   = 4 << 10
+	readTimeout    = 2 * time.Second        // to receive a complete call
+	backendTimeout = 800 * time.Millisecond // to carry it out; operators are promised a response within 1 s
+	writeTimeout   = 2 * time.Second        // to write the response
+	lingerTimeout  = 250 * time.Millisecond // to receive the rest of a call that was rejected before it was complete
+	maxHeadBytes   = 4 << 10
+	maxBodyBytes   = 4 << 10
 )
 
-// Door serves operators at a listener.
-type Door struct {
-	ln    net.Listener
-	calls Calls
-	log   *zap.Logger
-	ctx   context.Context
-	end   context.CancelFunc
-	wg    sync.WaitGroup
+// Server serves the admin calls of one listener.
+type Server struct {
+	ln      net.Listener
+	backend Backend
+	log     *zap.Logger
+	ctx     context.Context
+	cancel  context.CancelFunc
+	wg      sync.WaitGroup
 
-	mu    sync.Mutex
-	open  int
-	space chan struct{} // wakes an accept that waits for a place
-	quiet []*visit      // connections that have not brought a whole call, the oldest first
+	mu         sync.Mutex
+	connCount  int           // open connections
+	connEnded  chan struct{} // signals admit that a connection has ended
+	incomplete []*adminConn  // connections that have not sent a complete call, the oldest first
 }
 
-// visit is one connection.
-type visit struct {
+// adminConn is one connection.
+type adminConn struct {
 	conn net.Conn
 	br   *bufio.Reader
 }
 
-// New makes a door; Run opens it.
-func New(ln net.Listener, calls Calls, log *zap.Logger) *Door {
-	d := &Door{ln: ln, calls: calls, log: log, space: make(chan struct{}, 1)}
-	d.ctx, d.end = context.WithCancel(context.Background())
-	return d
+// New returns a server for a listener. Run starts it.
+func New(ln net.Listener, backend Backend, log *zap.Logger) *Server {
+	s := &Server{ln: ln, backend: backend, log: log, connEnded: make(chan struct{}, 1)}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	return s
 }
 
-// Run serves until Close, and returns when no connection is left.
-func (d *Door) Run() {
-	defer d.wg.Wait()
+// Run serves calls until Close is called, and returns when all connections have ended.
+func (s *Server) Run() {
+	defer s.wg.Wait()
 	for {
-		c, err := d.ln.Accept()
+		c, err := s.ln.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			d.log.Warn("operators' door: accept failed", zap.Error(err))
-			if !d.rest(10 * time.Millisecond) {
+			s.log.Warn("operators' door: accept failed", zap.Error(err))
+			if !s.sleep(10 * time.Millisecond) {
 				return
 			}
 			continue
 		}
-		if !d.admit(c) {
+		if !s.admit(c) {
 			c.Close()
 			return
 		}
 	}
 }
 
-// Close ends the door. Calls under way are cut off.
-func (d *Door) Close() {
-	d.end()
-	d.ln.Close()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, v := range d.quiet {
-		v.conn.Close()
+// Close stops the server. It cancels the calls in progress and closes the connections that have not sent a complete call.
+func (s *Server) Close() {
+	s.cancel()
+	s.ln.Close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, c := range s.incomplete {
+		c.conn.Close()
 	}
 }
 
-func (d *Door) rest(long time.Duration) bool {
+// sleep waits, and returns false if the server is closed meanwhile.
+func (s *Server) sleep(delay time.Duration) bool {
 	select {
-	case <-d.ctx.Done():
+	case <-s.ctx.Done():
 		return false
-	case <-time.After(long):
+	case <-time.After(delay):
 		return true
 	}
 }
 
-// admit begins to serve a connection. With all places taken, the one that has said nothing whole for longest gives way:
-// silent callers must not lock out those that have something to ask.
-func (d *Door) admit(c net.Conn) bool {
+// admit starts serving a connection. If the maximum number of connections is open, admit first closes the oldest one that has
+// not sent a complete call, so that silent clients cannot lock out others. It returns false if the server is closed.
+func (s *Server) admit(c net.Conn) bool {
 	for {
-		d.mu.Lock()
-		if d.open < Most {
-			d.open++
-			v := &visit{conn: c, br: bufio.NewReaderSize(c, mostHead)}
-			d.quiet = append(d.quiet, v)
-			d.wg.Go(func() { d.serve(v) })
-			d.mu.Unlock()
+		s.mu.Lock()
+		if s.connCount < MaxConns {
+			s.connCount++
+			admitted := &adminConn{conn: c, br: bufio.NewReaderSize(c, maxHeadBytes)}
+			s.incomplete = append(s.incomplete, admitted)
+			s.wg.Go(func() { s.serve(admitted) })
+			s.mu.Unlock()
 			return true
 		}
-		if len(d.quiet) > 0 {
-			d.quiet[0].conn.Close()
-			d.quiet = d.quiet[1:]
+		if len(s.incomplete) > 0 {
+			s.incomplete[0].conn.Close()
+			s.incomplete = s.incomplete[1:]
 		}
-		d.mu.Unlock()
+		s.mu.Unlock()
 		select {
-		case <-d.ctx.Done():
+		case <-s.ctx.Done():
 			return false
-		case <-d.space:
+		case <-s.connEnded:
 		}
 	}
 }
 
-// heard takes a connection out of those that may give way.
-func (d *Door) heard(v *visit) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for i, other := range d.quiet {
-		if other == v {
-			d.quiet = append(d.quiet[:i], d.quiet[i+1:]...)
+// completed removes a connection from those that admit may close.
+func (s *Server) completed(c *adminConn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for i, other := range s.incomplete {
+		if other == c {
+			s.incomplete = append(s.incomplete[:i], s.incomplete[i+1:]...)
 			return
 		}
 	}
 }
 
-func (d *Door) leave(v *visit) {
-	v.conn.Close()
-	d.heard(v)
-	d.mu.Lock()
-	d.open--
-	d.mu.Unlock()
+// release closes a connection.
+func (s *Server) release(c *adminConn) {
+	c.conn.Close()
+	s.completed(c)
+	s.mu.Lock()
+	s.connCount--
+	s.mu.Unlock()
 	select {
-	case d.space <- struct{}{}:
+	case s.connEnded <- struct{}{}:
 	default:
 	}
 }
 
-// serve takes the one call of a connection.
-func (d *Door) serve(v *visit) {
-	defer d.leave(v)
-	v.conn.SetReadDeadline(time.Now().Add(callTime))
-	r, body, bad := v.read()
-	d.heard(v)
-	if bad != nil && bad.status == 0 {
+// serve handles the one call of a connection.
+func (s *Server) serve(c *adminConn) {
+	defer s.release(c)
+	c.conn.SetReadDeadline(time.Now().Add(readTimeout))
+	r, body, failure := c.read()
+	s.completed(c)
+	if failure != nil && failure.status == 0 {
 		return
 	}
-	a := bad
-	if a == nil {
-		a = d.answer(r, body)
+	response := failure
+	if response == nil {
+		response = s.answer(r, body)
 	}
-	v.conn.SetWriteDeadline(time.Now().Add(answerTime))
-	if a.write(v.conn, r != nil && r.Method == http.MethodHead) != nil || bad == nil {
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if response.write(c.conn, r != nil && r.Method == http.MethodHead) != nil || failure == nil {
 		return
 	}
-	if hc, ok := v.conn.(interface{ CloseWrite() error }); ok { // closing at once could reset the answer away
+	// Closing both directions at once could reset the connection before the client has read the response.
+	if hc, ok := c.conn.(interface{ CloseWrite() error }); ok {
 		hc.CloseWrite()
 	}
-	v.conn.SetReadDeadline(time.Now().Add(lingerTime))
-	io.Copy(io.Discard, io.LimitReader(v.br, 1<<20))
+	c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.Copy(io.Discard, io.LimitReader(c.br, 1<<20))
 }
 
-// reply is what a call is answered. A status of 0 closes the connection without a word.
+// reply is the response to a call. Status 0 closes the connection without a response.
 type reply struct {
 	status int
 	text   string
-	allow  string
+	allow  string // the allowed method, with status 405
 }
 
-func refuse(status int, text string) *reply { return &reply{status: status, text: text} }
+func errorReply(status int, text string) *reply { return &reply{status: status, text: text} }
 
-func (a *reply) write(c net.Conn, headOnly bool) error {
-	text := strings.TrimSuffix(a.text, "\n") + "\n"
+func (r *reply) write(c net.Conn, headOnly bool) error {
+	text := strings.TrimSuffix(r.text, "\n") + "\n"
 	var b strings.Builder
-	b.WriteString("HTTP/1.1 " + strconv.Itoa(a.status) + " " + http.StatusText(a.status) + "\r\n")
-	if a.allow != "" {
-		b.WriteString("Allow: " + a.allow + "\r\n")
+	b.WriteString("HTTP/1.1 " + strconv.Itoa(r.status) + " " + http.StatusText(r.status) + "\r\n")
+	if r.allow != "" {
+		b.WriteString("Allow: " + r.allow + "\r\n")
 	}
 	b.WriteString("Content-Type: text/plain; charset=utf-8\r\nContent-Length: " + strconv.Itoa(len(text)) +
 		"\r\nConnection: close\r\n\r\n")
@@ -215,23 +218,23 @@
 	return err
 }
 
-// read takes a call whole.
-func (v *visit) read() (*http.Request, []byte, *reply) {
-	limited := &io.LimitedReader{R: v.br, N: mostHead}
+// read reads a complete call.
+func (c *adminConn) read() (*http.Request, []byte, *reply) {
+	limited := &io.LimitedReader{R: c.br, N: maxHeadBytes}
 	r, err := http.ReadRequest(bufio.NewReaderSize(limited, 1<<10))
 	if err != nil {
-		return nil, nil, readError(err, limited.N <= 0, refuse(http.StatusRequestHeaderFieldsTooLarge, "head is too large"))
+		return nil, nil, readError(err, limited.N <= 0, errorReply(http.StatusRequestHeaderFieldsTooLarge, "head is too large"))
 	}
-	if r.ContentLength > mostBody {
-		return r, nil, refuse(http.StatusRequestEntityTooLarge, "body is too large")
+	if r.ContentLength > maxBodyBytes {
+		return r, nil, errorReply(http.StatusRequestEntityTooLarge, "body is too large")
 	}
 	if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
-		io.WriteString(v.conn, "HTTP/1.1 100 Continue\r\n\r\n")
+		io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
-	limited.N += mostBody + 1<<10 // and the framing of chunks
-	body, err := io.ReadAll(io.LimitReader(r.Body, mostBody+1))
-	if len(body) > mostBody || limited.N <= 0 {
-		return r, nil, refuse(http.StatusRequestEntityTooLarge, "body is too large")
+	limited.N += maxBodyBytes + 1<<10 // plus the framing of chunks
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
+	if len(body) > maxBodyBytes || limited.N <= 0 {
+		return r, nil, errorReply(http.StatusRequestEntityTooLarge, "body is too large")
 	}
 	if err != nil {
 		return r, nil, readError(err, false, nil)
@@ -239,41 +242,41 @@
 	return r, body, nil
 }
 
-// readError words the answer to a call that could not be read; who has left or is silent gets none.
-func readError(err error, over bool, large *reply) *reply {
+// readError returns the response to a call that could not be read. There is none if the client has left or timed out.
+func readError(err error, tooLarge bool, tooLargeReply *reply) *reply {
 	var ne net.Error
 	switch {
-	case over:
-		return large
+	case tooLarge:
+		return tooLargeReply
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &ne):
 		return &reply{}
 	}
-	return refuse(http.StatusBadRequest, "malformed call")
+	return errorReply(http.StatusBadRequest, "malformed call")
 }
 
-// answer carries a call out.
-func (d *Door) answer(r *http.Request, body []byte) *reply {
+// answer finds the handler of a call and runs it.
+func (s *Server) answer(r *http.Request, body []byte) *reply {
 	method, call := http.MethodGet, (func([]byte) *reply)(nil)
 	switch r.URL.Path {
 	case "/admin/health":
-		call = d.health
+		call = s.handleHealth
 	case "/admin/stats":
-		call = func([]byte) *reply { return &reply{status: http.StatusOK, text: string(d.calls.Figures())} }
+		call = func([]byte) *reply { return &reply{status: http.StatusOK, text: string(s.backend.Stats())} }
 	case "/admin/plan":
-		if text := d.calls.Plan(); text != nil {
+		if text := s.backend.Plan(); text != nil {
 			call = func([]byte) *reply { return &reply{status: http.StatusOK, text: string(text)} }
 		}
 	case "/admin/zone":
-		if d.calls.Plan() != nil {
-			method, call = http.MethodPost, d.zone
+		if s.backend.Plan() != nil {
+			method, call = http.MethodPost, s.handleZone
 		}
 	case "/admin/cordon":
-		method, call = http.MethodPost, d.change(d.calls.TakeOut)
+		method, call = http.MethodPost, s.handleHost(s.backend.Cordon)
 	case "/admin/uncordon":
-		method, call = http.MethodPost, d.change(d.calls.PutBack)
+		method, call = http.MethodPost, s.handleHost(s.backend.Uncordon)
 	}
 	if call == nil {
-		return refuse(http.StatusNotFound, "no such call")
+		return errorReply(http.StatusNotFound, "no such call")
 	}
 	if r.Method != method {
 		return &reply{status: http.StatusMethodNotAllowed, text: "this call takes " + method, allow: method}
@@ -281,46 +284,46 @@
 	return call(body)
 }
 
-func (d *Door) health([]byte) *reply {
-	if err := d.calls.Ready(); err != nil {
-		return refuse(http.StatusServiceUnavailable, err.Error())
+func (s *Server) handleHealth([]byte) *reply {
+	if err := s.backend.Ready(); err != nil {
+		return errorReply(http.StatusServiceUnavailable, err.Error())
 	}
 	return &reply{status: http.StatusOK, text: "serving"}
 }
 
-// zone carries out a call on a zone or region.
-func (d *Door) zone(body []byte) *reply {
+// handleZone handles a call on a zone or region.
+func (s *Server) handleZone(body []byte) *reply {
 	o, err := parseZone(body)
 	if err != nil {
-		return refuse(http.StatusBadRequest, err.Error())
+		return errorReply(http.StatusBadRequest, err.Error())
 	}
-	return d.carry(zap.Any("order", o), func(ctx context.Context) (string, error) { return d.calls.Zone(ctx, o) })
+	return s.execute(zap.Any("order", o), func(ctx context.Context) (string, error) { return s.backend.Zone(ctx, o) })
 }
 
-// change carries out a call on a host.
-func (d *Door) change(what func(context.Context, string) (string, error)) func([]byte) *reply {
+// handleHost returns the handler of a call on a host.
+func (s *Server) handleHost(operation func(context.Context, string) (string, error)) func([]byte) *reply {
 	return func(body []byte) *reply {
-		id, err := parseWho(body)
+		id, err := parseHostID(body)
 		if err != nil {
-			return refuse(http.StatusBadRequest, err.Error())
+			return errorReply(http.StatusBadRequest, err.Error())
 		}
-		return d.carry(zap.String("host", id), func(ctx context.Context) (string, error) { return what(ctx, id) })
+		return s.execute(zap.String("host", id), func(ctx context.Context) (string, error) { return operation(ctx, id) })
 	}
 }
 
-// carry has a call carried out in its time, and words what came of it.
-func (d *Door) carry(on zap.Field, what func(context.Context) (string, error)) *reply {
-	ctx, cancel := context.WithTimeout(d.ctx, workTime)
+// execute runs an operation with the timeout for calls, and converts its result to a response.
+func (s *Server) execute(field zap.Field, operation func(context.Context) (string, error)) *reply {
+	ctx, cancel := context.WithTimeout(s.ctx, backendTimeout)
 	defer cancel()
-	said, err := what(ctx)
+	message, err := operation(ctx)
 	switch {
 	case errors.Is(err, ErrUnknown):
-		return refuse(http.StatusNotFound, err.Error())
-	case errors.Is(err, ErrForce):
-		return refuse(http.StatusConflict, err.Error())
+		return errorReply(http.StatusNotFound, err.Error())
+	case errors.Is(err, ErrNeedsForce):
+		return errorReply(http.StatusConflict, err.Error())
 	case err != nil:
-		return refuse(http.StatusServiceUnavailable, err.Error())
+		return errorReply(http.StatusServiceUnavailable, err.Error())
 	}
-	d.log.Info("operators' call", on, zap.String("said", said))
-	return &reply{status: http.StatusOK, text: said}
+	s.log.Info("admin call carried out", field, zap.String("said", message))
+	return &reply{status: http.StatusOK, text: message}
 }
--- a/internal/ops/zone.go
+++ b/internal/ops/zone.go
@@ -8,16 +8,16 @@
 	"io"
 )
 
-// ZoneOrder is a call on a zone or on all zones of a region: out of service for the whole fleet, or back.
+// ZoneOrder is a call that takes a zone, or all zones of a region, out of service for the whole fleet, or back into service.
 type ZoneOrder struct {
 	Zone   string `json:"zone"`
 	Region string `json:"region"`
 	Out    *bool  `json:"out"`
-	Force  bool   `json:"force"` // though less than half of the fleet is left
-	Dry    bool   `json:"dry"`   // say only what would come of it
+	Force  bool   `json:"force"` // carry it out even if less than half of the fleet is left
+	Dry    bool   `json:"dry"`   // report only what the call would do
 }
 
-// parseZone reads an order.
+// parseZone parses and checks a ZoneOrder.
 func parseZone(body []byte) (o ZoneOrder, err error) {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
@@ -30,7 +30,7 @@
 	switch {
 	case (o.Zone == "") == (o.Region == ""):
 		return o, errors.New(`either "zone" or "region" has to be named`)
-	case len(o.Zone) > mostID || len(o.Region) > mostID:
+	case len(o.Zone) > maxIDBytes || len(o.Region) > maxIDBytes:
 		return o, errors.New("the name is too long")
 	case o.Out == nil:
 		return o, errors.New(`field "out" is missing`)
--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -22,7 +22,7 @@
 	hostStatsIntervalSeconds = 0.25                   // between two updates of the host statistics
 )
 
-// adminCalls implements the calls of the admin server (ops.Calls).
+// adminCalls implements the calls of the admin server (ops.Backend).
 type adminCalls struct {
 	p *Proxy
 
@@ -99,8 +99,8 @@
 	return errors.New("not serving")
 }
 
-// Figures returns the statistics as text.
-func (s *adminCalls) Figures() []byte { return s.p.owner.stats.text() }
+// Stats returns the statistics as text.
+func (s *adminCalls) Stats() []byte { return s.p.owner.stats.text() }
 
 // Plan describes the zone plan and its reason. It returns nil without failover.
 func (s *adminCalls) Plan() []byte {
@@ -115,9 +115,9 @@
 	return s.p.zonePlanner.submitOrder(ctx, o)
 }
 
-// TakeOut cordons a host until PutBack. If it returns no error, the cordon is in force and has been saved for later
+// Cordon cordons a host until Uncordon. If it returns no error, the cordon is in force and has been saved for later
 // processes.
-func (s *adminCalls) TakeOut(ctx context.Context, id string) (string, error) {
+func (s *adminCalls) Cordon(ctx context.Context, id string) (string, error) {
 	return s.updateCordoned(ctx, id, func(set cordon.Set, now float64) (cordon.Set, string, error) {
 		if set.Cordoned(id) {
 			return set, "it was out already", nil
@@ -127,8 +127,8 @@
 	})
 }
 
-// PutBack uncordons a host.
-func (s *adminCalls) PutBack(ctx context.Context, id string) (string, error) {
+// Uncordon uncordons a host.
+func (s *adminCalls) Uncordon(ctx context.Context, id string) (string, error) {
 	return s.updateCordoned(ctx, id, func(set cordon.Set, now float64) (cordon.Set, string, error) {
 		if !set.Cordoned(id) {
 			return set, "it was not out", nil
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -93,7 +93,7 @@
 		if c.Site, err = site.Load(path); err != nil {
 			return nil, err
 		}
-		if file := c.Site.Members.KeyFile; c.Site.Failover.Mode == site.Common && file != "" {
+		if file := c.Site.Members.KeyFile; c.Site.Failover.Mode == site.FailoverCommon && file != "" {
 			if c.memberKeys, err = member.LoadKeys(file); err != nil {
 				return nil, err
 			}
--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -23,7 +23,7 @@
 
 // callersByAddress counts each source address as a caller of its own, as sites with desktop tools do, so that the use
 // of one connection does not affect how another is judged.
-func callersByAddress(p *Proxy) { p.cfg.Site.Connections.Callers = site.Address }
+func callersByAddress(p *Proxy) { p.cfg.Site.Connections.Callers = site.CallersAddress }
 
 // openIdleConns opens n connections, each from its own address, sends one request on each, and waits until all are
 // parked.
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -65,7 +65,7 @@
 		registry: newHostRegistry(), stats: newRequestStats(),
 	}
 	o.names = newNameIndex(cfg.Settings, &cfg.Balancer, o.stats)
-	if cfg.Site.Failover.Mode != site.Off {
+	if cfg.Site.Failover.Mode != site.FailoverOff {
 		o.zoneObserver = newZoneObserver(cfg, c.now())
 	}
 	o.discovery = newDiscovery(cfg, bufs, t, log, o.post)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -64,7 +64,7 @@
 	ready           chan struct{} // closed when the proxy can serve
 	stopRequestedAt time.Time     // when the proxy was told to stop
 	serving         atomic.Bool   // reported by the admin health check
-	adminServer     *ops.Door     // nil: no admin address is configured
+	adminServer     *ops.Server   // nil: no admin address is configured
 	zonePlanner     *zonePlanner  // nil: failover between zones is off
 
 	bufs       *wire.Pool
@@ -151,7 +151,7 @@
 func (p *Proxy) frontLimits() frontendLimits {
 	clients, requests := p.cfg.Limits.clientLimits()
 	return frontendLimits{machineMax: clients, maxConns: clientLimit(clients, p.cfg.Site.Connections),
-		byAddress: p.cfg.Site.Connections.Callers == site.Address, maxWarm: max(1, requests/4),
+		byAddress: p.cfg.Site.Connections.Callers == site.CallersAddress, maxWarm: max(1, requests/4),
 		goroutinePerParked: p.cfg.Limits.allowWatchers(clients),
 		admission: places.RequestQueueConfig{MaxServing: requests, MaxRefusing: overflowConns,
 			MaxWait: maxQueueWait(p.cfg.Balancer.Classes),
--- a/internal/proxy/zone_order.go
+++ b/internal/proxy/zone_order.go
@@ -102,7 +102,7 @@
 	case *c.Out && remaining <= 0:
 		c.err = errors.New("nothing would be left")
 	case *c.Out && remaining < minRemainingShare && !c.Force:
-		c.err = fmt.Errorf("%w:\n%s", ops.ErrForce, c.message)
+		c.err = fmt.Errorf("%w:\n%s", ops.ErrNeedsForce, c.message)
 	default:
 		s.agent.IssueOrder(s.p.owner.clock.now(), names, *c.Out)
 		s.saveOrders()
--- a/internal/proxy/zone_planner.go
+++ b/internal/proxy/zone_planner.go
@@ -53,7 +53,7 @@
 // run keeps the zone plan up to date until ctx is cancelled. All calls to the agent are made in this goroutine, except
 // for loadOrders before the start.
 func (s *zonePlanner) run(ctx context.Context) {
-	if s.p.cfg.Site.Failover.Mode == site.Common {
+	if s.p.cfg.Site.Failover.Mode == site.FailoverCommon {
 		s.p.goroutines.Go(func() { s.join(ctx) })
 	}
 	tick := time.NewTicker(planInterval)
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
+// TestParse checks that the fields of a file replace the defaults.
 func TestParse(t *testing.T) {
 	f, err := Parse("site.toml", []byte("[connections]\ncallers = \"address\"\nidle = \"8h\"\nlimit = 9000\n"))
-	if err != nil || f.Connections.Callers != Address || f.Connections.Limit != 9000 ||
+	if err != nil || f.Connections.Callers != CallersAddress || f.Connections.Limit != 9000 ||
 		f.Connections.Idle != Duration(8*time.Hour) || f.Connections.IdleFull != Default().Connections.IdleFull {
 		t.Fatalf("%+v, %v", f, err)
 	}
@@ -18,14 +19,14 @@
 	}
 }
 
-// TestShipped: the file in deploy/ says what the defaults are.
+// TestShipped checks that the file in deploy/ contains exactly the defaults.
 func TestShipped(t *testing.T) {
 	if f, err := Load("../../deploy/site.toml"); err != nil || !reflect.DeepEqual(f, Default()) {
 		t.Fatalf("%+v, %v", f, err)
 	}
 }
 
-// TestFaults: each fault is one line with file, line and field, and all of a kind are told at once.
+// TestFaults checks that each fault is one line with file, line and field, and that all faults of a kind are reported at once.
 func TestFaults(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -43,11 +44,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse("site.toml", []byte(c.text))
 			if err == nil {
-				t.Fatal("taken")
+				t.Fatal("the file was accepted")
 			}
 			lines := strings.Split(err.Error(), "\n")
 			if len(lines) != len(c.want) {
-				t.Fatalf("%d lines: %v", len(lines), err)
+				t.Fatalf("got %d lines of errors: %v", len(lines), err)
 			}
 			for i, want := range c.want {
 				if !strings.HasPrefix(lines[i], want) {
@@ -58,17 +59,17 @@
 	}
 }
 
-// FuzzParse: no text makes it panic.
+// FuzzParse checks that no text makes Parse panic.
 func FuzzParse(f *testing.F) {
 	f.Add("[connections]\nidle = \"8h\"\n")
 	f.Add("connections.limit = -1\nconnections.callers = 'x'")
 	f.Fuzz(func(t *testing.T, text string) { Parse("site.toml", []byte(text)) })
 }
 
-// TestRegions: zones that no region names share one, and a zone is in one region at most.
+// TestRegions checks that zones without a region share one, and that a zone or a region name may occur only once.
 func TestRegions(t *testing.T) {
 	f, err := Parse("site.toml", []byte("[failover]\nmode = \"alone\"\n[[region]]\nname = \"north\"\nzones = [\"a\", \"b\"]\n"))
-	if err != nil || f.Region("b") != "north" || f.Region("c") != f.Region("d") || f.Failover.Mode != Alone {
+	if err != nil || f.Region("b") != "north" || f.Region("c") != f.Region("d") || f.Failover.Mode != FailoverAlone {
 		t.Fatalf("%+v, %v", f, err)
 	}
 	_, err = Parse("site.toml", []byte("[failover]\nmode = \"both\"\n[[region]]\nname = \"north\"\nzones = [\"a\"]\n[[region]]\nname = \"north\"\nzones = [\"a\"]\n"))
--- a/internal/wire/head.go
+++ b/internal/wire/head.go
@@ -13,15 +13,16 @@
 	"strings"
 )
 
+// The texts of these errors are sent to peers, so they must not change.
 var (
-	errFolded  = errors.New("folded header line in the message head")
-	errName    = errors.New("invalid header name")
-	errControl = errors.New("control character in the message head")
-	errFraming = errors.New("both Content-Length and Transfer-Encoding are present")
+	errFolded  = errors.New("folded header line")
+	errName    = errors.New("header name that is none")
+	errControl = errors.New("control character in the head")
+	errFraming = errors.New("Content-Length beside Transfer-Encoding")
 )
 
 // ErrTooLarge is returned for a message that exceeds its size limit.
-var ErrTooLarge = errors.New("message exceeds its size limit")
+var ErrTooLarge = errors.New("message is too large")
 
 // PeekHead waits until the complete message head has been received and returns it. A head longer than maxBytes gives
 // ErrTooLarge. The head stays in br, so that net/http can parse it.
@@ -82,7 +83,7 @@
 			continue
 		}
 		if seen[i] {
-			return fmt.Errorf("%s occurs twice in the message head", single[i])
+			return fmt.Errorf("%s twice", single[i])
 		}
 		seen[i] = true
 	}
