--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -1,5 +1,6 @@
-// Package body decides how long messages pass: whole or in pieces, how far a request may still be sent again, and by when
-// a peer that is slow has to have moved. It does no I/O.
+// Package body contains the rules for forwarding message bodies. ModeOf decides whether a message is buffered or streamed,
+// Binding decides which attempt may consume the rest of a streamed request, and Pace decides when a slow sender is cut off.
+// The package does no I/O.
 package body
 
 import (
@@ -8,62 +9,62 @@
 )
 
 const (
-	// Kept is how much of a message is held, so that it can be sent again or thrown away unseen. A message of this many
-	// bytes at the most is passed on whole.
-	Kept = 64 << 10
-	// Longest is the longest message that is passed on. The platform's have up to 32 MB; what says that it is longer
-	// lies, or is not for this service.
-	Longest = 36 << 20
+	// MaxBuffered is how many bytes of a message are held, so that a request can be sent again and an unfinished response can be
+	// discarded. A message of at most this length is forwarded only when it is complete.
+	MaxBuffered = 64 << 10
+	// MaxLength is the maximum length of a message. The platform's messages have up to 32 MB; a message that announces more
+	// either has a wrong length or is not meant for this service.
+	MaxLength = 36 << 20
 
-	unhurried = 100 * time.Millisecond
+	streamDelay = 100 * time.Millisecond
 )
 
-// Way is how a message is passed on.
-type Way int
+// Mode is the way in which a message is forwarded.
+type Mode int
 
-// The ways.
+// The values of Mode.
 const (
-	Whole    Way = iota // held until it has ended
-	Pieces              // from its first bytes on
-	Open                // its length is not told: in pieces once more than Kept has come, or it takes long
-	Refusing            // not at all
+	Buffered      Mode = iota // held until it is complete
+	Streamed                  // forwarded as it arrives
+	UnknownLength             // buffered at first; streamed once it exceeds MaxBuffered or takes long
+	Rejected                  // not forwarded
 )
 
-// Of decides by the length that a message tells; negative: it tells none.
-func Of(length int64) Way {
+// ModeOf returns the mode for the announced length of a message; negative: the length is unknown.
+func ModeOf(length int64) Mode {
 	switch {
 	case length < 0:
-		return Open
-	case length <= Kept:
-		return Whole
-	case length <= Longest:
-		return Pieces
+		return UnknownLength
+	case length <= MaxBuffered:
+		return Buffered
+	case length <= MaxLength:
+		return Streamed
 	}
-	return Refusing
+	return Rejected
 }
 
-// Unhurried is how long an answer of unknown length may take to end before its first bytes go on.
-func Unhurried() time.Duration { return unhurried }
+// StreamDelay returns how long a response of unknown length is buffered before it is streamed.
+func StreamDelay() time.Duration { return streamDelay }
 
-// Pace tells a slow peer from a dead one by what it has moved.
+// Pace is the minimum speed of a sender. It distinguishes a slow sender from one that has stopped.
 type Pace struct {
-	Grace time.Duration // for the first byte
-	Rate  float64       // bytes a second that it has to keep up on the whole
+	Grace time.Duration // time until the first byte
+	Rate  float64       // minimum average in bytes per second
 }
 
-// Limit is how long after its begin a message of which got bytes have come may go without another.
-func (p Pace) Limit(got int64) time.Duration {
-	return p.Grace + time.Duration(float64(got)/p.Rate*float64(time.Second))
+// Timeout returns the time after the start of a message by which the next byte must arrive, if received bytes have arrived.
+func (p Pace) Timeout(received int64) time.Duration {
+	return p.Grace + time.Duration(float64(received)/p.Rate*float64(time.Second))
 }
 
-// Binding ties the rest of a request's body to the one attempt that takes it. Its zero value is free.
-type Binding struct{ to atomic.Int64 }
+// Binding records which attempt consumes the rest of a streamed request's body. The zero value is not bound.
+type Binding struct{ owner atomic.Int64 } // the number of the attempt plus 1; 0: not bound
 
-// Take binds the rest to an attempt, and says whether it is that attempt's.
-func (b *Binding) Take(attempt int) bool {
+// Bind binds the rest of the body to an attempt unless another attempt has it, and reports whether this attempt has it.
+func (b *Binding) Bind(attempt int) bool {
 	n := int64(attempt) + 1
-	return b.to.CompareAndSwap(0, n) || b.to.Load() == n
+	return b.owner.CompareAndSwap(0, n) || b.owner.Load() == n
 }
 
-// Bound says whether the rest is some attempt's, so that no other can send the request any more.
-func (b *Binding) Bound() bool { return b.to.Load() != 0 }
+// Bound reports whether an attempt has the rest of the body, so that no other attempt can send the request.
+func (b *Binding) Bound() bool { return b.owner.Load() != 0 }
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -9,53 +9,53 @@
 	"pgregory.net/rapid"
 )
 
-// TestOf: each length has one way, and the bounds fall on the right side.
+// TestOf checks the mode for lengths around each limit.
 func TestOf(t *testing.T) {
-	for length, want := range map[int64]Way{-1: Open, 0: Whole, Kept: Whole, Kept + 1: Pieces, 32 << 20: Pieces, Longest: Pieces,
-		Longest + 1: Refusing, 60e6: Refusing, 3e9: Refusing} {
-		if got := Of(length); got != want {
-			t.Errorf("%d bytes: way %d, want %d", length, got, want)
+	for length, want := range map[int64]Mode{-1: UnknownLength, 0: Buffered, MaxBuffered: Buffered, MaxBuffered + 1: Streamed,
+		32 << 20: Streamed, MaxLength: Streamed, MaxLength + 1: Rejected, 60e6: Rejected, 3e9: Rejected} {
+		if got := ModeOf(length); got != want {
+			t.Errorf("%d bytes: mode %d, want %d", length, got, want)
 		}
 	}
 }
 
-// TestPace: who keeps up the rate after a silent grace is never cut off, whatever the size of the pieces; who stops is, and
-// after a time that what has come bounds.
+// TestPace checks that a sender which keeps the minimum rate is never cut off, whatever the size of its pieces, and that a sender
+// which stops is cut off after a time that depends on the bytes received.
 func TestPace(t *testing.T) {
 	p := Pace{Grace: 2 * time.Second, Rate: 48e3}
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(48e3, 1e6).Draw(t, "bytes a second")
-		piece := rapid.Int64Range(1, 90e3).Draw(t, "piece") // 90 kB take the slowest less than the grace
+		piece := rapid.Int64Range(1, 90e3).Draw(t, "piece") // the slowest sender needs less than the grace period for 90 kB
 		for n := int64(0); n < 50; n++ {
 			due := time.Duration(float64((n+1)*piece) / rate * float64(time.Second))
-			if due > p.Limit(n*piece) {
-				t.Fatalf("piece %d comes after %v, cut off after %v", n, due, p.Limit(n*piece))
+			if due > p.Timeout(n*piece) {
+				t.Fatalf("piece %d arrives after %v, but the timeout is %v", n, due, p.Timeout(n*piece))
 			}
 		}
 	})
-	if p.Limit(0) != p.Grace || p.Limit(48e3) != p.Grace+time.Second {
-		t.Errorf("limits %v, %v", p.Limit(0), p.Limit(48e3))
+	if p.Timeout(0) != p.Grace || p.Timeout(48e3) != p.Grace+time.Second {
+		t.Errorf("timeouts %v, %v", p.Timeout(0), p.Timeout(48e3))
 	}
 }
 
-// TestBinding: of attempts that race for the rest of a body one has it, for good.
+// TestBinding checks that exactly one of several concurrent attempts gets the rest of a body, and keeps it.
 func TestBinding(t *testing.T) {
 	var b Binding
-	var had atomic.Int64
+	var winners atomic.Int64
 	var wg sync.WaitGroup
 	for n := range 8 {
 		wg.Go(func() {
-			first, again := b.Take(n), b.Take(n)
+			first, again := b.Bind(n), b.Bind(n)
 			if first != again {
 				t.Errorf("attempt %d: %v, then %v", n, first, again)
 			}
 			if first {
-				had.Add(1)
+				winners.Add(1)
 			}
 		})
 	}
 	wg.Wait()
-	if had.Load() != 1 || !b.Bound() {
-		t.Errorf("%d attempts had the rest", had.Load())
+	if winners.Load() != 1 || !b.Bound() {
+		t.Errorf("%d attempts got the rest of the body", winners.Load())
 	}
 }
--- a/internal/handover/file.go
+++ b/internal/handover/file.go
@@ -15,79 +15,81 @@
 )
 
 const (
-	mostState = 1 << 20 // bytes of a state file; a longer one is none of ours
-	lockRetry = 5 * time.Millisecond
+	maxStateBytes     = 1 << 20 // a longer state file was not written by this package
+	lockRetryInterval = 5 * time.Millisecond
 )
 
-// ErrTorn says that a state file made no sense. It has been set aside under the same name with .bad at its end.
-var ErrTorn = errors.New("state file made no sense and was set aside")
+// ErrCorrupt is returned for a state file that is truncated or invalid. The file has been renamed: its name now ends in .bad.
+var ErrCorrupt = errors.New("state file is corrupt and was set aside")
 
-// File is a state file of one JSON value of type T, which processes share. Its zero value stands for a file that is not
-// there.
+// File is a state file with one JSON value of type T, which several processes of a proxy share. The zero value of T stands for
+// a missing file.
 type File[T any] struct {
 	path  string
 	check func(T) error
-	seen  fs.FileInfo // of the file last read or written here; nil: none
+	known fs.FileInfo // the file that this File last read or wrote; nil: there was none
 }
 
-// NewFile names a state file. check refuses values that make no sense.
+// NewFile returns a File for a path, without opening it. check returns an error for an invalid value.
 func NewFile[T any](path string, check func(T) error) *File[T] {
 	return &File[T]{path: path, check: check}
 }
 
-// state is the form of a file.
-type state[T any] struct {
+// envelope is the JSON format of a state file.
+type envelope[T any] struct {
 	Version int `json:"version"`
 	State   T   `json:"state"`
 }
 
 const stateVersion = 1
 
-// Read gives what the file holds. A file that makes no sense is set aside, and counts as none.
+// Read returns the value in the file, or the zero value if there is no file. It renames a corrupt file and returns ErrCorrupt
+// with the zero value.
 func (f *File[T]) Read() (T, error) {
-	var none T
+	var zero T
 	file, err := os.Open(f.path)
 	if errors.Is(err, fs.ErrNotExist) {
-		f.seen = nil
-		return none, nil
+		f.known = nil
+		return zero, nil
 	}
 	if err != nil {
-		return none, fmt.Errorf("state: %w", err)
+		return zero, fmt.Errorf("state: %w", err)
 	}
 	defer file.Close()
-	if f.seen, err = file.Stat(); err != nil {
-		return none, fmt.Errorf("state: %w", err)
+	if f.known, err = file.Stat(); err != nil {
+		return zero, fmt.Errorf("state: %w", err)
 	}
-	text, err := io.ReadAll(io.LimitReader(file, mostState+1))
+	text, err := io.ReadAll(io.LimitReader(file, maxStateBytes+1))
 	if err != nil {
-		return none, fmt.Errorf("state: %w", err)
+		return zero, fmt.Errorf("state: %w", err)
 	}
 	v, err := f.parse(text)
 	if err != nil {
-		return none, errors.Join(fmt.Errorf("%w: %s: %w", ErrTorn, f.path, err), os.Rename(f.path, f.path+".bad"))
+		return zero, errors.Join(fmt.Errorf("%w: %s: %w", ErrCorrupt, f.path, err), os.Rename(f.path, f.path+".bad"))
 	}
 	return v, nil
 }
 
+// parse decodes and checks the text of a state file.
 func (f *File[T]) parse(text []byte) (T, error) {
-	var s state[T]
-	var none T
-	if len(text) > mostState {
-		return none, errors.New("too long")
+	var s envelope[T]
+	var zero T
+	if len(text) > maxStateBytes {
+		return zero, errors.New("too long")
 	}
 	if err := json.Unmarshal(text, &s); err != nil {
-		return none, err
+		return zero, err
 	}
 	if s.Version != stateVersion {
-		return none, fmt.Errorf("version %d, not %d", s.Version, stateVersion)
+		return zero, fmt.Errorf("version %d, not %d", s.Version, stateVersion)
 	}
 	return s.State, f.check(s.State)
 }
 
-// Write replaces the file whole or not at all.
+// Write replaces the file atomically.
 func (f *File[T]) Write(v T) error {
-	text, err := json.Marshal(state[T]{stateVersion, v})
-	if err == nil && len(text) > mostState {
+	text, err := json.Marshal(envelope[T]{stateVersion, v})
+	if err == nil && len(text) > maxStateBytes {
 		err = errors.New("too long")
 	}
 	if err == nil {
@@ -96,20 +98,21 @@
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
-	f.seen, _ = os.Stat(f.path)
+	f.known, _ = os.Stat(f.path)
 	return nil
 }
 
-// Changed says whether the file is another than the one last read or written here.
+// Changed reports whether the file differs from the one that this File last read or wrote.
 func (f *File[T]) Changed() bool {
-	is, err := os.Stat(f.path)
-	if err != nil || f.seen == nil {
-		return (err == nil) != (f.seen != nil)
+	current, err := os.Stat(f.path)
+	if err != nil || f.known == nil {
+		return (err == nil) != (f.known != nil)
 	}
-	return !os.SameFile(is, f.seen) || !is.ModTime().Equal(f.seen.ModTime()) || is.Size() != f.seen.Size()
+	return !os.SameFile(current, f.known) || !current.ModTime().Equal(f.known.ModTime()) || current.Size() != f.known.Size()
 }
 
-// Lock keeps other processes from changing the file until unlock is called. It waits no longer than ctx.
+// Lock acquires an advisory lock that all processes take before they change the file, and holds it until unlock is called. It
+// waits for the lock until ctx is cancelled.
 func (f *File[T]) Lock(ctx context.Context) (unlock func(), err error) {
 	file, err := os.OpenFile(f.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -128,7 +131,7 @@
 		case <-ctx.Done():
 			file.Close()
 			return nil, fmt.Errorf("state: lock: %w", ctx.Err())
-		case <-time.After(lockRetry):
+		case <-time.After(lockRetryInterval):
 		}
 	}
 }
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -1,5 +1,5 @@
-// Package handover is what one process of a client proxy leaves to the next: the clients' listening socket, inherited by
-// descriptor, and state in files of a common folder.
+// Package handover passes state from one process of a proxy to the next, for example in an upgrade. Listener takes over the
+// clients' listening socket from an inherited file descriptor, and File stores a value in a state file that both processes use.
 package handover
 
 import (
@@ -12,12 +12,13 @@
 	"syscall"
 )
 
-// Listener makes a listener of the descriptor that text names. It has to be a listening TCP socket at addr. The
-// descriptor itself is closed; the listener has one of its own, and the socket lives on with whoever else holds it.
+// Listener returns a listener for the inherited file descriptor whose number is in text. The descriptor must be a listening TCP
+// socket with the address addr. Listener closes it after duplicating it. The socket stays open as long as any process holds a
+// descriptor of it.
 func Listener(text, addr string) (net.Listener, error) {
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < 0 {
-		return nil, fmt.Errorf("descriptor %q is no number", text)
+		return nil, fmt.Errorf("descriptor %q is not a number", text)
 	}
 	listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil {
@@ -40,25 +41,25 @@
 	return ln, nil
 }
 
-// sameAddress refuses a socket of another port or host than clients are told. A socket at no address in particular
-// serves all of them.
+// sameAddress returns an error unless ln listens on addr, the address that clients use. The unspecified address (0.0.0.0 or ::)
+// on either side matches every address.
 func sameAddress(ln net.Listener, addr string) error {
-	at, ok := ln.Addr().(*net.TCPAddr)
+	actual, ok := ln.Addr().(*net.TCPAddr)
 	if !ok {
 		return errors.New("not a TCP socket")
 	}
 	want, err := netip.ParseAddrPort(addr)
-	if err != nil { // a name: its port alone can be told
+	if err != nil { // addr contains a host name, so only the port can be compared
 		_, port, err := net.SplitHostPort(addr)
-		if err != nil || port != strconv.Itoa(at.Port) {
-			return fmt.Errorf("listens on %s, not on %s", at, addr)
+		if err != nil || port != strconv.Itoa(actual.Port) {
+			return fmt.Errorf("listens on %s, not on %s", actual, addr)
 		}
 		return nil
 	}
-	has := at.AddrPort()
-	wild := has.Addr().IsUnspecified() || want.Addr().IsUnspecified()
-	if has.Port() != want.Port() || !wild && has.Addr().Unmap() != want.Addr().Unmap() {
-		return fmt.Errorf("listens on %s, not on %s", at, addr)
+	got := actual.AddrPort()
+	unspecified := got.Addr().IsUnspecified() || want.Addr().IsUnspecified()
+	if got.Port() != want.Port() || !unspecified && got.Addr().Unmap() != want.Addr().Unmap() {
+		return fmt.Errorf("listens on %s, not on %s", actual, addr)
 	}
 	return nil
 }
--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -152,7 +152,7 @@
 	}
 	defer unlock()
 	current, err := s.file.Read() // another process may have changed the file
-	if err != nil && !errors.Is(err, handover.ErrTorn) {
+	if err != nil && !errors.Is(err, handover.ErrCorrupt) {
 		return "", err
 	}
 	now := s.p.owner.clock.now()
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -68,7 +68,7 @@
 	}
 	if now.Sub(p.startedAt) > extendInterval && now.Sub(p.extendedAt) > extendInterval {
 		p.extendedAt = now
-		p.client.extendRead(p.startedAt.Add(bodyPace.Limit(p.received)))
+		p.client.extendRead(p.startedAt.Add(bodyPace.Timeout(p.received)))
 	}
 	n, err := p.r.Read(b)
 	p.received += int64(n)
@@ -104,7 +104,7 @@
 		return true
 	case errors.Is(err, errAbandoned):
 		q.upload.end(err)
-		_, err = io.Copy(io.Discard, io.LimitReader(q.upload.source, bodies.Longest))
+		_, err = io.Copy(io.Discard, io.LimitReader(q.upload.source, bodies.MaxLength))
 		c.setReadTimeout(0)
 		return err == nil
 	}
@@ -164,7 +164,7 @@
 			return err
 		}
 	}
-	if !q.upload.binding.Take(a.number) {
+	if !q.upload.binding.Bind(a.number) {
 		return errBodyTaken
 	}
 	if err := a.relayBody(l, &w); err != nil {
@@ -246,7 +246,7 @@
 	if atOnce {
 		begin()
 	} else {
-		defer time.AfterFunc(bodies.Unhurried(), begin).Stop()
+		defer time.AfterFunc(bodies.StreamDelay(), begin).Stop()
 	}
 	err := s.fill(wire.TruncationReader{Reader: stallReader{c.conn, r.Body}}, begin)
 	c.conn.SetReadDeadline(time.Time{})
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -107,7 +107,7 @@
 				t.Fatalf("the client got %s, want %s", got, want)
 			}
 			// Readers and heads of both sides, the kept part of the request, and a full stream.
-			if limit := int64(8 + bodies.Kept/wire.BufferSize + maxStreamBuffers + 2); most > limit {
+			if limit := int64(8 + bodies.MaxBuffered/wire.BufferSize + maxStreamBuffers + 2); most > limit {
 				t.Fatalf("%d buffers held, want at most %d", most, limit)
 			}
 		})
@@ -168,7 +168,7 @@
 	s.onRequest = sendsOnceTo("h1")
 	g := startProxy(t, newFakeDiscovery(t, entry("h1", h.addr())).addr(), "null", s.install)
 	g.waitReady()
-	for _, sent := range []int64{bodies.Kept + 1, 1 << 20} {
+	for _, sent := range []int64{bodies.MaxBuffered + 1, 1 << 20} {
 		c := g.dial()
 		io.WriteString(c, requestText("write", "", "Content-Length: 2000000"))
 		io.Copy(c, randomBytes(1, sent))
--- a/internal/proxy/parse.go
+++ b/internal/proxy/parse.go
@@ -202,7 +202,7 @@
 // incomplete, so there is no request to answer.
 func (c *clientConn) takeBody(r *http.Request, q *request) *badRequest {
 	q.noChunks = !r.ProtoAtLeast(1, 1)
-	if bodies.Of(r.ContentLength) == bodies.Refusing {
+	if bodies.ModeOf(r.ContentLength) == bodies.Rejected {
 		return &badRequest{http.StatusRequestEntityTooLarge, "body is too large"}
 	}
 	if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
@@ -211,7 +211,7 @@
 			return &badRequest{}
 		}
 	}
-	c.meter.SetLimit(2 * bodies.Longest) // twice the limit, to leave room for chunk framing
+	c.meter.SetLimit(2 * bodies.MaxLength) // twice the limit, to leave room for chunk framing
 	src := &pacedReader{client: c, r: r.Body, startedAt: time.Now()}
 	got, more, err := c.front.bufs.ReadBody(src)
 	var ne net.Error
--- a/internal/proxy/reply.go
+++ b/internal/proxy/reply.go
@@ -57,24 +57,24 @@
 }
 
 func (c *hostConn) receiveResponse(r *http.Response, closes bool, call *call) hostResponse {
-	way := bodies.Of(r.ContentLength)
+	way := bodies.ModeOf(r.ContentLength)
 	switch {
-	case way == bodies.Refusing:
+	case way == bodies.Rejected:
 		return hostResponse{err: wire.ErrTooLarge}
 	case r.ContentLength < 0 && len(r.TransferEncoding) == 0 && !closes:
 		return hostResponse{err: errNoLength}
 	}
-	c.meter.SetLimit(2 * bodies.Longest) // twice the limit, to leave room for chunk framing
+	c.meter.SetLimit(2 * bodies.MaxLength) // twice the limit, to leave room for chunk framing
 	columns := c.upstream.pool.settings.Load().reportColumns
 	out := hostResponse{status: r.StatusCode, result: resultOf(r), contentType: r.Header.Get("Content-Type"),
 		loadReport: parseReport(r.Header.Get(headerReport), columns), contentLength: r.ContentLength}
-	if way == bodies.Whole || out.result != balancer.OK {
+	if way == bodies.Buffered || out.result != balancer.OK {
 		var more bool
 		if out.body, more, out.err = c.upstream.pool.bufs.ReadBody(r.Body); out.err != nil {
 			return hostResponse{err: out.err}
 		}
 		r.Close = r.Close || more && int64(out.body.Size) != r.ContentLength // the rest of an error response is not read
-	} else if out = c.receiveLong(r, out, call, way == bodies.Pieces); out.err != nil {
+	} else if out = c.receiveLong(r, out, call, way == bodies.Streamed); out.err != nil {
 		return out
 	}
 	// Extra bytes after the response belong to no request, and a host that sends them is not trusted with another one.
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -11,7 +11,7 @@
 )
 
 // maxStreamBuffers is the most buffers of a long message that are held at once.
-const maxStreamBuffers = bodies.Kept / wire.BufferSize
+const maxStreamBuffers = bodies.MaxBuffered / wire.BufferSize
 
 var errAbandoned = errors.New("the receiver has stopped reading")
 
@@ -61,7 +61,7 @@
 			return nil
 		case err != nil:
 			return err
-		case total > bodies.Longest:
+		case total > bodies.MaxLength:
 			return wire.ErrTooLarge
 		}
 	}
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -1,5 +1,6 @@
-// Package strict reads TOML files in which every mistake is named by file, line and field, all of them at once where the
-// text can be read at all. It knows nothing of what a file means.
+// Package strict decodes TOML files and reports mistakes by file, line and field. Decode rejects unknown fields and reports all
+// of them at once. If there are none, it reports all invalid values that the caller's check finds; Checker collects them. The
+// package does not depend on what a file contains.
 package strict
 
 import (
@@ -12,16 +13,17 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Fault is a value that makes no sense, and why. A field of the second [[fault]] is "fault.1.at".
+// Fault is an invalid value: the field that holds it, and the reason. Elements of an array of tables are numbered from 0; the
+// field "at" of the second [[fault]] is "fault.1.at".
 type Fault struct{ Field, Why string }
 
-// Decode reads a file's text into v, which holds the defaults. check is then asked for what makes no sense. name stands for
-// the file in errors, which are joined, one a line.
+// Decode decodes a file's text into v, which holds the defaults, and then calls check, which returns the invalid values. Errors
+// use name for the file and are joined, one per line.
 func Decode(name string, text []byte, v any, check func() []Fault) error {
 	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	err := d.Decode(v)
 	var unknown *toml.StrictMissingError
-	var faulty *toml.DecodeError
+	var malformed *toml.DecodeError
 	switch {
 	case errors.As(err, &unknown):
 		var all []error
@@ -30,9 +32,9 @@
 			all = append(all, fmt.Errorf("%s:%d: %s: no such field", name, line, strings.Join(e.Key(), ".")))
 		}
 		return errors.Join(all...)
-	case errors.As(err, &faulty):
-		line, _ := faulty.Position()
-		return fmt.Errorf("%s:%d: %s: %w", name, line, strings.Join(faulty.Key(), "."), err)
+	case errors.As(err, &malformed):
+		line, _ := malformed.Position()
+		return fmt.Errorf("%s:%d: %s: %w", name, line, strings.Join(malformed.Key(), "."), err)
 	case err != nil:
 		return fmt.Errorf("%s: %w", name, err)
 	}
@@ -47,17 +49,17 @@
 	return errors.Join(all...)
 }
 
-// Checker collects faults.
+// Checker collects the faults of a file.
 type Checker struct{ Faults []Fault }
 
-// Add notes a fault if there is one.
+// Add records a fault if bad is true.
 func (c *Checker) Add(bad bool, field, format string, args ...any) {
 	if bad {
 		c.Faults = append(c.Faults, Fault{Field: field, Why: fmt.Sprintf(format, args...)})
 	}
 }
 
-// lineOf is the line of a field, or of the table that lacks it.
+// lineOf returns the line of a field. For a field that is missing, it returns the line of the innermost table that exists, or 1.
 func lineOf(lines map[string]int, field string) int {
 	for field != "" {
 		if n := lines[field]; n > 0 {
@@ -68,7 +70,7 @@
 	return 1
 }
 
-// linesOf finds the line of each field and table in a text that has been decoded without a fault.
+// linesOf returns the line of each field and table of a text that has already been decoded without an error.
 func linesOf(text []byte) map[string]int {
 	lines, count := map[string]int{}, map[string]int{}
 	var p unstable.Parser
--- a/internal/wire/pool.go
+++ b/internal/wire/pool.go
@@ -16,7 +16,7 @@
 	// BufferSize is the size of every buffer. A message head fits into one buffer; a body uses as many as it needs.
 	BufferSize = 16 << 10
 	// MaxBody is the maximum number of body bytes that ReadBody holds in memory.
-	MaxBody = bodies.Kept
+	MaxBody = bodies.MaxBuffered
 )
 
 // Pool reuses buffers and bufio.Readers of BufferSize. Live counts those in use: if the count does not return to zero when all
