--- a/cmd/beechwing-sim/main.go
+++ b/cmd/beechwing-sim/main.go
@@ -1,4 +1,5 @@
-// Command beechwing-sim hosts balancer instances for the simulator's wire on standard input and output.
+// Command beechwing-sim runs balancer instances for the simulator, with which it communicates on standard input and output. See
+// package simwire for the protocol.
 package main
 
 import (
--- a/cmd/beechwing/linked_test.go
+++ b/cmd/beechwing/linked_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// builtProgram names the variable with the path of a program that the deploy file's build made.
-const builtProgram = "BEECHWING_BUILT"
+// builtProgramEnv is the environment variable with the path of the program that the deploy file's build command made.
+const builtProgramEnv = "BEECHWING_BUILT"
 
-// TestBuiltProgramHasALoader guards against a build that links the program statically: the platform loads a library
-// into it on some days, which only a dynamic loader can do.
+// TestBuiltProgramHasALoader guards against a build that links the program statically. The platform sometimes preloads a library
+// into the program, which requires a dynamic loader.
 func TestBuiltProgramHasALoader(t *testing.T) {
-	path := os.Getenv(builtProgram)
+	path := os.Getenv(builtProgramEnv)
 	if path == "" {
-		t.Skip(builtProgram + " is not set; .ci/run sets it after the deploy build")
+		t.Skip(builtProgramEnv + " is not set; .ci/run sets it after the deploy build")
 	}
 	f, err := elf.Open(path)
 	if err != nil {
--- a/cmd/beechwing/main.go
+++ b/cmd/beechwing/main.go
@@ -1,5 +1,6 @@
-// Command beechwing is one client proxy: it takes the requests of the application beside it and balances them over the
-// hosts that discovery lists. PROXY_CONFIG names its configuration; BEECHWING_LOG sets the level of its log.
+// Command beechwing is the client-side proxy. It accepts requests from the application on the same machine and balances them
+// over the hosts that the discovery service lists. The environment variable PROXY_CONFIG names the configuration file, and
+// BEECHWING_LOG sets the log level. SIGHUP reloads the configuration; SIGTERM and SIGINT stop the proxy after a drain.
 package main
 
 import (
@@ -24,9 +25,9 @@
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	hangups := make(chan os.Signal, 1) // from the first on: unheard, the signal would end the program
+	hangups := make(chan os.Signal, 1) // registered first, because an unhandled SIGHUP terminates the process
 	signal.Notify(hangups, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // so would a log that nobody reads any more
+	signal.Ignore(syscall.SIGPIPE) // otherwise a write to a log whose reader has gone would terminate the process
 	level := zapcore.InfoLevel
 	if text := os.Getenv("BEECHWING_LOG"); text != "" {
 		var err error
--- a/cmd/beechwing/main_test.go
+++ b/cmd/beechwing/main_test.go
@@ -18,9 +18,9 @@
 	"time"
 )
 
-const patience = 40 * time.Second
+const testTimeout = 40 * time.Second
 
-// TestMain lets the test binary be the program itself, so that tests can start and signal it.
+// TestMain lets the test binary run as the program itself, so that tests can start it and send it signals.
 func TestMain(m *testing.M) {
 	if os.Getenv("BEECHWING_TEST_MAIN") == "1" {
 		main()
@@ -29,6 +29,7 @@
 	os.Exit(m.Run())
 }
 
+// program returns a command that runs the program with the given environment, and its log.
 func program(t *testing.T, env ...string) (*exec.Cmd, *logText) {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
@@ -38,7 +39,7 @@
 	return cmd, log
 }
 
-// logText is what the program has logged; it may be read while the program runs.
+// logText collects the program's log. It can be read while the program runs.
 type logText struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -56,17 +57,17 @@
 	return l.text.String()
 }
 
-// await waits until the program has logged a text.
+// await waits until the program's log contains a text.
 func (l *logText) await(t *testing.T, text string) {
 	t.Helper()
-	for end := time.Now().Add(patience); !strings.Contains(l.String(), text); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !strings.Contains(l.String(), text); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%q is not in the log: %s", text, l)
+			t.Fatalf("%q did not appear in the log: %s", text, l)
 		}
 	}
 }
 
-// listen takes an address on loopback.
+// listen opens a listener on a loopback address.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,15 +78,16 @@
 	return ln
 }
 
-// vacant is an address for the program to listen on.
-func vacant(t *testing.T) string {
+// freeAddr returns a free address for the program to listen on.
+func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln := listen(t)
 	ln.Close()
 	return ln.Addr().String()
 }
 
-// serve answers each request that comes to an address with answer, which says whether the connection goes on.
+// serve starts a server and returns its address. The server handles each request with answer, which returns false to close the
+// connection.
 func serve(t *testing.T, answer func(net.Conn, *bufio.Reader, *http.Request) bool) string {
 	t.Helper()
 	ln := listen(t)
@@ -113,6 +115,7 @@
 	return ln.Addr().String()
 }
 
+// configFile writes a configuration with one known host and no reachable discovery service.
 func configFile(t *testing.T, listen, host string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -126,7 +129,7 @@
 	return path
 }
 
-// TestBadStart: what stops the program at its start is one plain line and a failing exit.
+// TestBadStart checks that a failure at the start gives one line on standard error and exit code 1.
 func TestBadStart(t *testing.T) {
 	taken := listen(t).Addr().String()
 	broken := filepath.Join(t.TempDir(), "broken.json")
@@ -145,18 +148,18 @@
 			err := cmd.Run()
 			var exit *exec.ExitError
 			if !errors.As(err, &exit) || exit.ExitCode() != 1 {
-				t.Fatalf("ended with %v", err)
+				t.Fatalf("the program ended with %v, want exit code 1", err)
 			}
 			text := log.String()
 			if !strings.HasPrefix(text, "beechwing: ") || strings.Count(text, "\n") != 1 || !strings.Contains(text, c.want) {
-				t.Fatalf("it said %q", text)
+				t.Fatalf("unexpected standard error %q", text)
 			}
 		})
 	}
 }
 
-// TestTerminate: with discovery down the program serves from the list it held before; at SIGTERM it answers what is
-// out and what still comes, and exits cleanly.
+// TestTerminate checks that the program serves from the host list in its configuration while the discovery service is down, and
+// that after SIGTERM it answers the requests in progress and those that still arrive, and exits with code 0.
 func TestTerminate(t *testing.T) {
 	got, release := make(chan bool, 2), make(chan struct{})
 	host := serve(t, func(c net.Conn, _ *bufio.Reader, _ *http.Request) bool {
@@ -165,23 +168,23 @@
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		return err == nil
 	})
-	addr := vacant(t)
+	addr := freeAddr(t)
 	cmd, log := program(t, "PROXY_CONFIG="+configFile(t, addr, host))
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	send := func(id string) (net.Conn, *bufio.Reader) {
 		t.Helper()
-		for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 			c, err := net.Dial("tcp", addr)
 			if err == nil {
-				c.SetDeadline(time.Now().Add(patience))
+				c.SetDeadline(time.Now().Add(testTimeout))
 				fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: "+id+"\r\nX-Lane: write\r\n"+
 					"X-Remaining: 8000m\r\nContent-Length: 1\r\n\r\nx")
 				return c, bufio.NewReader(c)
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%v; the program said %s", err, log)
+				t.Fatalf("%v; log: %s", err, log)
 			}
 		}
 	}
@@ -190,35 +193,35 @@
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	log.await(t, `"from":"serving"`) // else both may be answered before the program has heard of its end
-	_, after := send("b")            // new connections are taken for a while yet
+	log.await(t, `"from":"serving"`) // otherwise both requests may be answered before the program handles the signal
+	_, after := send("b")            // new connections are still accepted while the proxy drains
 	<-got
 	close(release)
 	for name, br := range map[string]*bufio.Reader{"before": before, "after": after} {
 		r, err := http.ReadResponse(br, nil)
 		if err != nil || r.StatusCode != http.StatusOK || !r.Close {
-			t.Errorf("the request sent %s: %v %+v", name, err, r)
+			t.Errorf("the request sent %s SIGTERM: %v %+v", name, err, r)
 		}
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Fatalf("it ended with %v; log: %s", err, log)
+		t.Fatalf("the program ended with %v; log: %s", err, log)
 	}
 	for _, phase := range []string{"serving", "draining", "finishing", "stopped"} {
 		if !strings.Contains(log.String(), `"to":"`+phase+`"`) {
-			t.Errorf("the log does not tell of %s", phase)
+			t.Errorf("the log does not contain the phase %s", phase)
 		}
 	}
 }
 
-// TestHangup: at SIGHUP the program reads its file again and goes to the discovery that it names now, though
-// PROXY_DISCOVERY still names the old one. A broken file and a signal early on do no harm.
+// TestHangup checks that the program reloads its configuration file at SIGHUP and switches to the discovery service named there,
+// although PROXY_DISCOVERY still names the old one. An invalid file and a signal during the start or the drain must do no harm.
 func TestHangup(t *testing.T) {
 	calls := make(chan string, 64)
 	discovery := func(name string) string {
 		return serve(t, func(c net.Conn, br *bufio.Reader, r *http.Request) bool {
 			calls <- name
 			if r.URL.Query().Get("timeout_ms") > "1" {
-				br.Peek(1) // a watch with nothing to tell, until the proxy leaves
+				br.Peek(1) // a watch without changes, until the proxy closes the connection
 				return false
 			}
 			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 38\r\n\r\n"+
@@ -228,18 +231,18 @@
 	}
 	wait := func(name string) {
 		t.Helper()
-		for end := time.After(patience); ; {
+		for end := time.After(testTimeout); ; {
 			select {
 			case got := <-calls:
 				if got == name {
 					return
 				}
 			case <-end:
-				t.Fatalf("no call at the %s discovery", name)
+				t.Fatalf("no call arrived at the %s discovery service", name)
 			}
 		}
 	}
-	addr := vacant(t)
+	addr := freeAddr(t)
 	before, after := discovery("old"), discovery("new")
 	path := configFile(t, addr, before)
 	text, err := os.ReadFile(path)
@@ -277,6 +280,6 @@
 	}
 	hangUp()
 	if err := cmd.Wait(); err != nil {
-		t.Fatalf("it ended with %v; log: %s", err, log)
+		t.Fatalf("the program ended with %v; log: %s", err, log)
 	}
 }
--- a/cmd/beechwing/upgrade_test.go
+++ b/cmd/beechwing/upgrade_test.go
@@ -16,32 +16,34 @@
 	"time"
 )
 
-// successor starts the program at the platform's socket, with an operators' address of its own, and waits for its yes.
-func successor(t *testing.T, socket *os.File, addr, host, tmp string) (*exec.Cmd, *logText, string) {
+// startAtSocket starts the program with an inherited listening socket and an admin address of its own, and waits until it is
+// healthy. It returns the command, its log and the admin address.
+func startAtSocket(t *testing.T, socket *os.File, addr, host, tmp string) (*exec.Cmd, *logText, string) {
 	t.Helper()
-	door := vacant(t)
-	cmd, log := program(t, "PROXY_CONFIG="+configFile(t, addr, host), "PROXY_FD=3", "PROXY_OPS="+door, "TMPDIR="+tmp)
+	admin := freeAddr(t)
+	cmd, log := program(t, "PROXY_CONFIG="+configFile(t, addr, host), "PROXY_FD=3", "PROXY_OPS="+admin, "TMPDIR="+tmp)
 	cmd.ExtraFiles = []*os.File{socket}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
-		if status, _ := operate(door, "/admin/health", ""); status == http.StatusOK {
-			return cmd, log, door
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
+		if status, _ := adminCall(admin, "/admin/health", ""); status == http.StatusOK {
+			return cmd, log, admin
 		}
 		if time.Now().After(end) {
-			t.Fatalf("no yes; the program said %s", log)
+			t.Fatalf("the program did not become healthy; log: %s", log)
 		}
 	}
 }
 
-func operate(door, path, body string) (int, string) {
-	c, err := net.Dial("tcp", door)
+// adminCall makes an admin call: a POST with the body, or a GET if it is empty. It returns status 0 if the call fails.
+func adminCall(admin, path, body string) (int, string) {
+	c, err := net.Dial("tcp", admin)
 	if err != nil {
 		return 0, ""
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	method := "POST"
 	if body == "" {
 		method = "GET"
@@ -55,8 +57,9 @@
 	return r.StatusCode, string(text)
 }
 
-// TestUpgrade: through several upgrades under load no request is lost and none runs twice, though some clients keep their
-// connections and others are ever new; and a host taken out in the middle stays out.
+// TestUpgrade checks that during several upgrades under load no request is lost and none runs twice, for clients that keep their
+// connections and for clients that open a new one for each request. It also checks that a host which an operator has cordoned
+// stays cordoned after an upgrade.
 func TestUpgrade(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]int{}
@@ -75,7 +78,7 @@
 	}
 	defer socket.Close()
 	addr, tmp := ln.Addr().String(), t.TempDir()
-	old, oldLog, _ := successor(t, socket, addr, host, tmp)
+	old, oldLog, _ := startAtSocket(t, socket, addr, host, tmp)
 
 	var served, refused, last atomic.Int64
 	var stop atomic.Bool
@@ -88,17 +91,18 @@
 				if c == nil {
 					var err error
 					if c, err = net.Dial("tcp", addr); err != nil {
-						t.Errorf("not let in: %v", err)
+						t.Errorf("connecting failed: %v", err)
 						return
 					}
-					c.SetDeadline(time.Now().Add(patience))
+					c.SetDeadline(time.Now().Add(testTimeout))
 					br = bufio.NewReader(c)
 				}
 				id := fmt.Sprint("id", last.Add(1))
-				fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Lane: write\r\nX-Remaining: 8000m\r\nContent-Length: 1\r\n\r\nx", id)
+				fmt.Fprintf(c,
+					"POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Lane: write\r\nX-Remaining: 8000m\r\nContent-Length: 1\r\n\r\nx", id)
 				r, err := http.ReadResponse(br, nil)
 				if err != nil {
-					t.Errorf("%s is lost: %v", id, err)
+					t.Errorf("request %s got no response: %v", id, err)
 					return
 				}
 				io.Copy(io.Discard, r.Body)
@@ -108,7 +112,7 @@
 				case r.StatusCode == http.StatusServiceUnavailable && ran[id] == 0:
 					refused.Add(1)
 				default:
-					t.Errorf("%s ran %d times, answered %d", id, ran[id], r.StatusCode)
+					t.Errorf("request %s ran %d times, but its response has status %d", id, ran[id], r.StatusCode)
 				}
 				mu.Unlock()
 				if r.Close || n%2 == 0 {
@@ -121,9 +125,9 @@
 			}
 		})
 	}
-	door := ""
+	admin := ""
 	for n := range 3 {
-		next, log, at := successor(t, socket, addr, host, tmp)
+		next, log, nextAdmin := startAtSocket(t, socket, addr, host, tmp)
 		before := served.Load()
 		if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
@@ -132,9 +136,9 @@
 			t.Fatalf("the old process ended with %v: %s", err, oldLog)
 		}
 		if n == 1 && served.Load() == before {
-			t.Error("nothing was served meanwhile")
+			t.Error("no request was served during the upgrade")
 		}
-		old, oldLog, door = next, log, at
+		old, oldLog, admin = next, log, nextAdmin
 	}
 	stop.Store(true)
 	clients.Wait()
@@ -142,10 +146,10 @@
 		t.Errorf("%d served, %d refused", served.Load(), refused.Load())
 	}
 
-	if status, text := operate(door, "/admin/cordon", `{"who":"h"}`); status != http.StatusOK {
-		t.Fatalf("%d %s", status, text)
+	if status, text := adminCall(admin, "/admin/cordon", `{"who":"h"}`); status != http.StatusOK {
+		t.Fatalf("cordon call: status %d, %s", status, text)
 	}
-	next, log, door := successor(t, socket, addr, host, tmp)
+	next, log, admin := startAtSocket(t, socket, addr, host, tmp)
 	old.Process.Signal(syscall.SIGTERM)
 	if err := old.Wait(); err != nil {
 		t.Fatal(err)
@@ -154,13 +158,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: out\r\nX-Lane: write\r\nX-Remaining: 8000m\r\nContent-Length: 1\r\n\r\nx")
+	io.WriteString(c,
+		"POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: out\r\nX-Lane: write\r\nX-Remaining: 8000m\r\nContent-Length: 1\r\n\r\nx")
 	if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || r.StatusCode != http.StatusServiceUnavailable {
-		t.Fatalf("with its only host out, over an upgrade: %+v, %v; %s", r, err, log)
+		t.Fatalf("with its only host cordoned before an upgrade: %+v, %v; log: %s", r, err, log)
 	}
 	c.Close()
-	if _, text := operate(door, "/admin/stats", ""); !strings.Contains(text, "proxy.shed.write=1\n") {
-		t.Errorf("figures: %s", text)
+	if _, text := adminCall(admin, "/admin/stats", ""); !strings.Contains(text, "proxy.shed.write=1\n") {
+		t.Errorf("proxy.shed.write is not 1 in the statistics: %s", text)
 	}
 	next.Process.Signal(syscall.SIGTERM)
 	if err := next.Wait(); err != nil {
--- a/deploy/packages_test.go
+++ b/deploy/packages_test.go
@@ -1,4 +1,4 @@
-// Package deploy_test checks the deploy files against the machine that builds from them.
+// Package deploy_test checks that the Debian packages listed in a deploy file suffice for its build command.
 package deploy_test
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// systemFile is the part of deploy/system.toml that says how the system is built.
+// systemFile is the part of deploy/system.toml that describes the build.
 type systemFile struct {
 	Build    string   `toml:"build"`
 	Packages []string `toml:"packages"`
@@ -33,10 +33,10 @@
 	return file
 }
 
-// installed is what the package database of this machine says.
+// installed is the content of this machine's package database.
 type installed struct {
-	depends   map[string][]string // by package: the packages that it depends on, all alternatives
-	providers map[string][]string // by virtual package
+	depends   map[string][]string // by package: its dependencies, including all alternatives
+	providers map[string][]string // by virtual package: the packages that provide it
 	essential []string
 }
 
@@ -45,7 +45,7 @@
 	const format = `${Package}\t${Essential}\t${Provides}\t${Pre-Depends}, ${Depends}\n`
 	out, err := exec.Command("dpkg-query", "-W", "-f", format).Output()
 	if err != nil {
-		t.Fatalf("dpkg-query, which says to which package a tool belongs: %v", err)
+		t.Fatalf("reading the package database with dpkg-query: %v", err)
 	}
 	all := &installed{depends: map[string][]string{}, providers: map[string][]string{}}
 	for line := range strings.Lines(string(out)) {
@@ -62,7 +62,7 @@
 	return all
 }
 
-// packageNames are the names in a dependency field such as "libc6 (>= 2.36), default-mta | mail-transport-agent".
+// packageNames returns the names in a dependency field such as "libc6 (>= 2.36), default-mta | mail-transport-agent".
 func packageNames(field string) []string {
 	var names []string
 	for _, entry := range strings.FieldsFunc(field, func(r rune) bool { return r == ',' || r == '|' }) {
@@ -74,7 +74,8 @@
 	return names
 }
 
-// closure is the packages that are there once these are installed on a machine that has nothing else.
+// closure returns the packages that exist on a machine where only these packages, their dependencies and the essential packages
+// are installed.
 func (i *installed) closure(packages []string) map[string]bool {
 	closed := map[string]bool{}
 	open := slices.Concat(packages, i.essential)
@@ -93,14 +94,15 @@
 	return closed
 }
 
-// commands links the commands of some packages, and the go command, into a folder that can serve as the whole PATH.
+// commands creates a directory to use as the only entry of PATH. It links the go command and the commands of the closure of some
+// packages.
 func (i *installed) commands(t *testing.T, packages []string) string {
 	t.Helper()
 	dir := t.TempDir()
 	closed := i.closure(packages)
 	for _, name := range packages {
 		if !closed[name] {
-			t.Errorf("package %s is listed and not installed here", name)
+			t.Errorf("package %s is listed but not installed on this machine", name)
 		}
 	}
 	list, err := exec.Command("dpkg-query", append([]string{"-L"}, slices.Sorted(maps.Keys(closed))...)...).Output()
@@ -128,7 +130,7 @@
 	}
 }
 
-// run gives a command line to a shell at the root of the repository, with the commands of one folder alone and nothing built before.
+// run runs a shell command line at the root of the repository, with the directory commands as PATH and an empty Go build cache.
 func run(t *testing.T, line, commands string) ([]byte, error) {
 	t.Helper()
 	cache := t.TempDir()
@@ -138,8 +140,8 @@
 	return cmd.CombinedOutput()
 }
 
-// TestBuildNeedsListedPackages: the system is built from nothing by the Go toolchain and the tools of the packages that are listed,
-// those that they depend on, and those that every Debian system has. A tool of any other package is not found.
+// TestBuildNeedsListedPackages checks that the build succeeds from scratch with only the Go toolchain and the commands of the
+// listed packages, their dependencies and Debian's essential packages. It fails if the build needs a package that is not listed.
 func TestBuildNeedsListedPackages(t *testing.T) {
 	file := readSystemFile(t)
 	machine := readInstalled(t)
@@ -148,7 +150,8 @@
 	}
 }
 
-// TestUnlistedPackageIsFound: the check fails for each tool that a list lacks.
+// TestUnlistedPackageIsFound checks that the method of the test above detects a missing package: tools of unlisted packages must
+// not be found.
 func TestUnlistedPackageIsFound(t *testing.T) {
 	file := readSystemFile(t)
 	machine := readInstalled(t)
@@ -157,10 +160,10 @@
 			t.Errorf("%s: %v\n%s", tool, err, out)
 		}
 		if out, err := run(t, tool+" --version", machine.commands(t, []string{"ca-certificates"})); err == nil {
-			t.Errorf("%s was found without its package\n%s", tool, out)
+			t.Errorf("%s was found although its package is not listed\n%s", tool, out)
 		}
 	}
 	if out, err := run(t, "git --version && make --version", machine.commands(t, file.Packages)); err == nil {
-		t.Errorf("a tool of no listed package was found\n%s", out)
+		t.Errorf("tools of unlisted packages were found\n%s", out)
 	}
 }
--- a/examples/platform/main.go
+++ b/examples/platform/main.go
@@ -1,6 +1,6 @@
-// Command platform shows an upgrade by hand: it holds the clients' listening socket, starts bin/beechwing at it, and with
-// each line on standard input starts the program once more and ends the one before when the new one says yes. It wants
-// the toy service of `make run` (bin/toyserver) beside it.
+// Command platform demonstrates upgrades. It opens the clients' listening socket and starts bin/beechwing with it. For each line
+// on standard input it starts a new process with the same socket, waits until that process is healthy, and stops the previous
+// one. The discovery service and hosts of bin/toyserver must be running.
 package main
 
 import (
@@ -16,9 +16,9 @@
 )
 
 const (
-	listen   = "127.0.0.1:8080" // as in examples/config.json
-	firstOps = 9601             // the door of the first process; the next one's is one higher
-	patience = 6 * time.Second
+	listen       = "127.0.0.1:8080" // as in examples/config.json
+	firstOps     = 9601             // the port of the first process's admin server; each later process uses the next port
+	startTimeout = 6 * time.Second
 )
 
 func main() {
@@ -50,7 +50,8 @@
 		}
 		end(old)
 		old = next
-		fmt.Printf("serving: process %d, door 127.0.0.1:%d. Enter: upgrade. End of input: end.\n", old.Process.Pid, port)
+		fmt.Printf("serving: process %d, admin server 127.0.0.1:%d. Press Enter to upgrade, end the input to stop.\n",
+			old.Process.Pid, port)
 		if !lines.Scan() {
 			end(old)
 			return lines.Err()
@@ -58,18 +59,18 @@
 	}
 }
 
-// start runs the program and waits for its yes.
+// start starts a process with the socket and waits until it is healthy.
 func start(socket *os.File, port int, tmp string) (*exec.Cmd, error) {
-	door := fmt.Sprintf("127.0.0.1:%d", port)
+	admin := fmt.Sprintf("127.0.0.1:%d", port)
 	cmd := exec.Command("bin/beechwing")
-	cmd.Env = append(os.Environ(), "PROXY_CONFIG=examples/config.json", "PROXY_FD=3", "PROXY_OPS="+door, "TMPDIR="+tmp)
+	cmd.Env = append(os.Environ(), "PROXY_CONFIG=examples/config.json", "PROXY_FD=3", "PROXY_OPS="+admin, "TMPDIR="+tmp)
 	cmd.ExtraFiles = []*os.File{socket} // becomes descriptor 3
 	cmd.Stderr = os.Stderr
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(20 * time.Millisecond) {
-		if r, err := http.Get("http://" + door + "/admin/health"); err == nil {
+	for began := time.Now(); time.Since(began) < startTimeout; time.Sleep(20 * time.Millisecond) {
+		if r, err := http.Get("http://" + admin + "/admin/health"); err == nil {
 			r.Body.Close()
 			if r.StatusCode == http.StatusOK {
 				return cmd, nil
@@ -77,9 +78,10 @@
 		}
 	}
 	end(cmd)
-	return nil, fmt.Errorf("no yes at %s within %v", door, patience)
+	return nil, fmt.Errorf("process not healthy at %s within %v", admin, startTimeout)
 }
 
+// end stops a process and waits until it has exited; nil is ignored.
 func end(cmd *exec.Cmd) {
 	if cmd == nil {
 		return
--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -1,5 +1,5 @@
-// Command toyserver is what beechwing needs round it to be tried: a discovery service with a list of three hosts, and
-// the hosts. It is an example, not a part of the service.
+// Command toyserver provides an environment to try out beechwing: a discovery service that lists three hosts, and the hosts
+// themselves. It is an example and not a part of the service.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// server is an entry of the list, in discovery's form.
+// server is an entry of the host list, in the JSON format of the discovery service.
 type server struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -26,22 +26,22 @@
 	State   string  `json:"state"`
 	Weight  float64 `json:"weight"`
 	Started int64   `json:"started_ms"`
-	version int     // of the list that changed it last
+	version int     // the list version of the entry's last change
 }
 
-// list is the discovery service.
+// list is the discovery service with its host list.
 type list struct {
 	mu      sync.Mutex
 	version int
 	servers []*server
-	changed chan struct{} // closed with the next change
+	changed chan struct{} // closed at the next change of the list
 }
 
 func newList(servers ...*server) *list {
 	return &list{version: 1, servers: servers, changed: make(chan struct{})}
 }
 
-// set changes a host's state.
+// set changes the state of a host and wakes all watches.
 func (l *list) set(id, state string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +57,8 @@
 	return fmt.Errorf("no host %q", id)
 }
 
-// members answers with the whole list, or as a watch with what has changed since a version.
+// members responds with the whole list. A request with the parameter "since" is a watch: its response has the entries that changed
+// after that version. If there are none yet, members waits for a change for at most "timeout_ms".
 func (l *list) members(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.Atoi(r.URL.Query().Get("since"))
 	if full := err != nil; full {
@@ -79,7 +80,7 @@
 	l.write(w, since)
 }
 
-// write sends the entries that are newer than a version; with a negative one, the whole list.
+// write sends the entries that changed after a version, or the whole list if since is negative.
 func (l *list) write(w io.Writer, since int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,6 +97,7 @@
 	json.NewEncoder(w).Encode(out)
 }
 
+// handler returns the handler of the discovery service, with a call that sets the state of a host.
 func (l *list) handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /catalog/members", l.members)
@@ -107,7 +109,7 @@
 	return m
 }
 
-// host answers requests with its name after a little work, and tells its load.
+// host returns the handler of a host. It responds after the time work with the host's name, and reports its load in a header.
 func host(name string, work time.Duration) http.Handler {
 	var inflight atomic.Int64
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -126,13 +128,14 @@
 
 func main() {
 	discovery := flag.String("discovery", "127.0.0.1:8500", "address of the discovery service")
-	work := flag.Duration("work", 20*time.Millisecond, "time that a request takes")
+	work := flag.Duration("work", 20*time.Millisecond, "duration of each request")
 	flag.Parse()
 	if err := serve(*discovery, *work); err != nil {
 		log.Fatal(err)
 	}
 }
 
+// serve runs the discovery service and the hosts until one of them fails.
 func serve(discovery string, work time.Duration) error {
 	failed := make(chan error, 4)
 	var servers []*server
--- a/examples/toyserver/main_test.go
+++ b/examples/toyserver/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestList: the whole list, a watch that a change ends, and one whose time runs out.
+// TestList checks the response with the whole list, a watch that times out and a watch that ends at a change.
 func TestList(t *testing.T) {
 	l := newList(&server{ID: "a", Addr: "127.0.0.1:1", State: "ready"}, &server{ID: "b", Addr: "127.0.0.1:2", State: "ready"})
 	s := httptest.NewServer(l.handler())
@@ -30,10 +30,10 @@
 		return out
 	}
 	if got := get(""); !got.Full || got.Version != 1 || len(got.Servers) != 2 {
-		t.Fatalf("whole list %+v", got)
+		t.Fatalf("whole list: %+v", got)
 	}
 	if got := get("?since=1&timeout_ms=1"); got.Full || len(got.Servers) != 0 {
-		t.Fatalf("with nothing new %+v", got)
+		t.Fatalf("after the timeout of a watch: %+v", got)
 	}
 	r, err := http.Post(s.URL+"/state/b/draining", "", nil)
 	if err != nil || r.StatusCode != http.StatusOK {
@@ -41,14 +41,14 @@
 	}
 	r.Body.Close()
 	if got := get("?since=1&timeout_ms=60000"); got.Version != 2 || len(got.Servers) != 1 || got.Servers[0].State != "draining" {
-		t.Fatalf("after a change %+v", got)
+		t.Fatalf("after a change: %+v", got)
 	}
 	if err := l.set("c", "gone"); err == nil {
-		t.Fatal("an unknown host can be set")
+		t.Fatal("setting the state of an unknown host succeeded")
 	}
 }
 
-// TestHost: a host says what it served and how loaded it is.
+// TestHost checks that a host's response names the request and reports the load.
 func TestHost(t *testing.T) {
 	w := httptest.NewRecorder()
 	host("toy-1", 0).ServeHTTP(w, httptest.NewRequest("POST", "/api?x=1", strings.NewReader("abc")))
