--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// completed removes a connection from those that admit may close.
-func (s *Server) completed(c *adminConn) {
+// markCompleted removes a connection from those that admit may close.
+func (s *Server) markCompleted(c *adminConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, other := range s.incomplete {
@@ -158,7 +158,7 @@
 // release closes a connection.
 func (s *Server) release(c *adminConn) {
 	c.conn.Close()
-	s.completed(c)
+	s.markCompleted(c)
 	s.mu.Lock()
 	s.connCount--
 	s.mu.Unlock()
@@ -173,7 +173,7 @@
 	defer s.release(c)
 	c.conn.SetReadDeadline(time.Now().Add(readTimeout))
 	r, body, failure := c.read()
-	s.completed(c)
+	s.markCompleted(c)
 	if failure != nil && failure.status == 0 {
 		return
 	}
@@ -200,8 +200,10 @@
 	allow  string // the allowed method, with status 405
 }
 
+// errorReply returns a reply that reports a failed call.
 func errorReply(status int, text string) *reply { return &reply{status: status, text: text} }
 
+// write sends the response, without its body if headOnly is true.
 func (r *reply) write(c net.Conn, headOnly bool) error {
 	text := strings.TrimSuffix(r.text, "\n") + "\n"
 	var b strings.Builder
@@ -284,6 +286,7 @@
 	return call(body)
 }
 
+// handleHealth responds with status 200 if the proxy serves, and 503 otherwise.
 func (s *Server) handleHealth([]byte) *reply {
 	if err := s.backend.Ready(); err != nil {
 		return errorReply(http.StatusServiceUnavailable, err.Error())
--- a/internal/simwire/codec.go
+++ b/internal/simwire/codec.go
@@ -41,11 +41,11 @@
 )
 
 const (
-	batchHeader  = 12 // u32 length and f64 clock
-	replyHeader  = 4
-	entrySize    = 24
-	listSlots    = 16 // host lists, numbered from 0
-	allPeers     = 0xffff
+	batchHeader  = 12     // bytes: u32 length and f64 clock
+	replyHeader  = 4      // bytes: u32 length
+	entrySize    = 24     // bytes of an entry of a host list
+	listSlots    = 16     // host lists, numbered from 0
+	allPeers     = 0xffff // the receiver of a message to all peers
 	maxPostBytes = 256
 	maxBatch     = 1 << 30   // a larger length means that the stream is corrupt
 	optWorkHint  = 1         // the request's work field is valid
@@ -62,6 +62,7 @@
 	err error
 }
 
+// take consumes n bytes, or sets err and returns nil if the batch has fewer.
 func (r *reader) take(n int) []byte {
 	if r.err != nil || n < 0 || n > len(r.buf)-r.at {
 		if r.err == nil {
