--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -57,8 +57,8 @@
 	return fmt.Errorf("no host %q", id)
 }
 
-// members responds with the whole list. A request with the parameter "since" is a watch: its response has the entries that changed
-// after that version. If there are none yet, members waits for a change for at most "timeout_ms".
+// members responds with the whole list. A request with the parameter "since" is a watch: its response has the entries that
+// changed after that version. If there are none yet, members waits for a change for at most "timeout_ms".
 func (l *list) members(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.Atoi(r.URL.Query().Get("since"))
 	if full := err != nil; full {
