--- a/internal/wire/pool.go
+++ b/internal/wire/pool.go
@@ -95,7 +95,7 @@
 }
 
 // ErrTruncated is returned for a body that ended before its announced length.
-var ErrTruncated = errors.New("message body truncated before its announced length")
+var ErrTruncated = errors.New("cut short")
 
 // TruncationReader returns ErrTruncated for a body that ends before its announced length. net/http reports this as
 // io.ErrUnexpectedEOF, which io.ReadFull also returns when a complete body fills only a part of the buffer.
