--- a/internal/mesh/control/assignment.go
+++ b/internal/mesh/control/assignment.go
@@ -162,7 +162,7 @@
 // without a known record, because this server or the proxy has just started, stays until it counts as silent.
 func (s *Server) computeTargetMembers(now float64, a *assignment) (members []string) {
 	for source, r := range s.propagation.records {
-		if r.Carrier == a.service && r.Station != "" && r.Condition == meshpb.AtDock && !s.isSilentSource(now, source) {
+		if r.Carrier == a.service && r.Station != "" && r.Condition == meshpb.Serving && !s.isSilentSource(now, source) {
 			members = append(members, source)
 		}
 	}
--- a/internal/mesh/control/ejection.go
+++ b/internal/mesh/control/ejection.go
@@ -62,7 +62,7 @@
 // hostsOf returns the hosts of a service that are listed and not leaving.
 func (s *Server) hostsOf(service string) (hosts []string) {
 	for _, r := range s.propagation.records {
-		if r.Carrier == service && r.Station != "" && r.Condition == meshpb.AtDock {
+		if r.Carrier == service && r.Station != "" && r.Condition == meshpb.Serving {
 			hosts = append(hosts, r.Station)
 		}
 	}
--- a/internal/mesh/meshpb/conditions.go
+++ b/internal/mesh/meshpb/conditions.go
@@ -1,9 +1,9 @@
 package meshpb
 
-// The conditions of a host, as records tell them. They go over the wire: only add at the end.
+// The conditions of a host in its record. Their numbers are sent over the wire: only add new ones at the end.
 const (
-	Unknown   uint32 = iota
-	AtDock           // takes requests
-	Unloading        // leaves, or the proxy beside it does
-	Gone
+	Unknown  uint32 = iota
+	Serving         // accepts requests
+	Draining        // accepts no new requests, because the host or its proxy is shutting down
+	Gone            // has signed off
 )
--- a/internal/mesh/meshpb/kinds.go
+++ b/internal/mesh/meshpb/kinds.go
@@ -1,6 +1,6 @@
 package meshpb
 
-// Kind names what a message says, for logs and metrics.
+// Kind returns the kind of a message, for logs and metrics.
 func Kind(m *Message) string {
 	switch {
 	case m.Claim != nil:
--- a/internal/mesh/meshpb/records_test.go
+++ b/internal/mesh/meshpb/records_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// Of two records of a source the one of the higher version is the newer; of one version, what the source says
-// is newer than a tombstone.
+// The record with the higher version supersedes the other one. At equal versions, the source's own record supersedes a tombstone.
 func TestSupersedes(t *testing.T) {
 	live := func(version uint64) *Record { return &Record{Source: "p", Version: version} }
 	for _, c := range []struct {
@@ -16,10 +15,10 @@
 		{"the same", live(1), live(1), false},
 		{"newer", live(1), live(2), true},
 		{"a tombstone", live(1), NewTombstone("p", 1), true},
-		{"a tombstone of what is older", live(2), NewTombstone("p", 0), false},
-		{"the forgotten record", NewTombstone("p", 1), live(1), false},
-		{"the source of a tombstone's version", NewTombstone("p", 1), live(2), true},
-		{"a tombstone of the source's version", live(2), NewTombstone("p", 1), false},
+		{"a tombstone of an older record", live(2), NewTombstone("p", 0), false},
+		{"the record that the tombstone replaced", NewTombstone("p", 1), live(1), false},
+		{"the source's record at the tombstone's version", NewTombstone("p", 1), live(2), true},
+		{"a tombstone at the version of the source's record", live(2), NewTombstone("p", 1), false},
 		{"the same tombstone", NewTombstone("p", 1), NewTombstone("p", 1), false},
 	} {
 		if got := c.new.Supersedes(c.old); got != c.want {
@@ -28,18 +27,19 @@
 	}
 }
 
-// However often a tombstone is told on, and after however short a time, it does not get younger than it is.
+// A tombstone's age increases with each hop, however short the time at a hop is. Without rounding up, a tombstone that is passed on
+// quickly would never expire.
 func TestTombstoneExpiresThoughItIsToldOn(t *testing.T) {
-	const keptFor = 0.9 // seconds, at each that is told it
+	const hopSeconds = 0.9 // time that each process keeps the tombstone before passing it on
 	r := NewTombstone("p", 7)
-	told := 0
-	for ; !r.Expired(); told++ {
-		r = r.Aged(float64(r.ForgottenFor) + keptFor)
+	hops := 0
+	for ; !r.Expired(); hops++ {
+		r = r.Aged(float64(r.ForgottenFor) + hopSeconds)
 	}
-	if most := TombstoneSeconds / keptFor; float64(told) > most {
-		t.Errorf("told on %d times, %.0f times %.1f s are its time", told, most, keptFor)
+	if maxHops := TombstoneSeconds / hopSeconds; float64(hops) > maxHops {
+		t.Errorf("tombstone expired after %d hops, want at most %.0f hops of %.1f s", hops, maxHops, hopSeconds)
 	}
 	if live := (&Record{Source: "p", Version: 7}); live.Aged(100) != live {
-		t.Error("the record of a source that is there has an age")
+		t.Error("Aged changed a record that is no tombstone")
 	}
 }
--- a/internal/mesh/sidecar/discovery.go
+++ b/internal/mesh/sidecar/discovery.go
@@ -18,8 +18,8 @@
 // The conditions of a host in records. The operators' API calls a serving host at_dock and a draining one unloading.
 const (
 	Unknown  = meshpb.Unknown
-	Serving  = meshpb.AtDock
-	Draining = meshpb.Unloading
+	Serving  = meshpb.Serving
+	Draining = meshpb.Draining
 	Gone     = meshpb.Gone
 )
 
