--- a/cmd/beechwing-control/main.go
+++ b/cmd/beechwing-control/main.go
@@ -14,7 +14,7 @@
 
 // Main runs the command line and gives the exit status.
 func Main() int {
-	return cli.Main(cli.Program{Name: "beechwing-control", Short: "control plane of the mesh", Run: run, Orders: true,
+	return cli.Main(cli.Program{Name: "beechwing-control", Short: "control plane of the mesh", Run: run, EjectionCommands: true,
 		Check: func(text []byte) (string, error) {
 			edition, err := validate.New().Check(text)
 			return fmt.Sprintf("r%d: valid", edition), err
--- a/cmd/beechwing-control/run.go
+++ b/cmd/beechwing-control/run.go
@@ -58,7 +58,7 @@
 	if d.DataDir == "" {
 		return errors.New("settings: dataDir: is missing, and the control plane keeps its promises on disk")
 	}
-	cli.Memory(d)
+	cli.SetMemoryLimit(d)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	disk, err := p.openStore(ctx)
@@ -69,26 +69,26 @@
 	values, found := disk.values, disk.found
 	p.writer = p.newWriter(disk)
 	log.Info("disk read", "found", found, "values", len(values), "first", d.FirstStart)
-	p.server, err = control.New(p.clock.Now(), control.Options{Self: d.Inner(), Seeds: d.Seeds(), Bootstrap: d.FirstStart,
-		Tolerance: d.Tolerance.Machines, RetentionSeconds: d.Bound("passWindowS", 60),
-		LeaseSeconds: sharding.LeaseSeconds(d.Span("holdMaxMs", 0).Seconds()), Life: rand.Uint32() | 1, RandomSeed: rand.Uint64(),
+	p.server, err = control.New(p.clock.Now(), control.Options{Self: d.MeshAddress(), Seeds: d.Seeds(), Bootstrap: d.FirstStart,
+		Tolerance: d.Tolerance.Machines, RetentionSeconds: d.Parameter("passWindowS", 60),
+		LeaseSeconds: sharding.LeaseSeconds(d.DurationParameter("holdMaxMs", 0).Seconds()), Life: rand.Uint32() | 1, RandomSeed: rand.Uint64(),
 		Log: func(e string, args ...any) { log.Info(e, args...) }}, values)
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
-	if p.net, err = transport.ListenAt(cmp.Or(says.ListenInner, d.Inner()), d.Inner(), p.event); err != nil {
+	if p.net, err = transport.ListenAt(cmp.Or(says.ListenAddress, d.MeshAddress()), d.MeshAddress(), p.event); err != nil {
 		p.mu.Unlock()
 		return err
 	}
 	p.mu.Unlock()
 	go p.hear()
 	go p.writer.Run(context.Background()) // calls that are open at the end still get their answers
-	server, err := cli.Serve(ctx, d.Docking.Control, p.calls(), log)
+	server, err := cli.Serve(ctx, d.Listen.Control, p.calls(), log)
 	if err != nil {
 		return err
 	}
-	if err := cli.Metrics(ctx, d, says.Metrics, p.figures, log); err != nil {
+	if err := cli.ServeMetrics(ctx, d, says.MetricsPort, p.figures, log); err != nil {
 		return err
 	}
 	time.AfterFunc(checkAfter, func() { // proxies that start as well need the rest first
@@ -98,10 +98,10 @@
 	})
 	again := make(chan os.Signal, 1)
 	signal.Notify(again, syscall.SIGHUP)
-	go cli.Settings(ctx, os.Getenv(bootstrap.Variable), again, log, func(d *bootstrap.Settings) {
+	go cli.WatchSettings(ctx, os.Getenv(bootstrap.EnvVariable), again, log, func(d *bootstrap.Settings) {
 		p.with(func(float64) { p.server.SetSeeds(d.Seeds()) })
 	})
-	log.Info("listening", "name", d.NodeName, "control", d.Docking.Control, "inner", d.Inner())
+	log.Info("listening", "name", d.NodeName, "control", d.Listen.Control, "inner", d.MeshAddress())
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
 	for {
@@ -165,7 +165,7 @@
 
 // send sends messages; those for this process come back as input. mu is held.
 func (p *program) send(all []transport.Send) {
-	self := p.settings.Inner()
+	self := p.settings.MeshAddress()
 	for _, s := range all {
 		if s.To == self {
 			p.server.HandleMessage(p.clock.Now(), self, s.Message)
--- a/cmd/beechwing-sidecar/main.go
+++ b/cmd/beechwing-sidecar/main.go
@@ -19,6 +19,6 @@
 		if err != nil {
 			return "", err
 		}
-		return fmt.Sprintf("r%d: can be read; beechwing-control check says whether it is valid", t.Edition), nil
+		return fmt.Sprintf("r%d: can be read; beechwing-control check says whether it is valid", t.Version), nil
 	}})
 }
--- a/cmd/beechwing-sidecar/run.go
+++ b/cmd/beechwing-sidecar/run.go
@@ -51,20 +51,20 @@
 }
 
 func run(ctx context.Context, s *bootstrap.Settings, opts cli.Options, log *slog.Logger) error {
-	if s.Docking.Outbound == "" || s.Docking.Ready == "" || s.AppAddress == "" {
+	if s.Listen.Outbound == "" || s.Listen.Ready == "" || s.AppAddress == "" {
 		return errors.New("settings: docking.outboundDock, docking.readyDock and appAddress: all have to be there")
 	}
 	bufs := wire.NewPool()
 	p := &program{log: log, clock: cli.NewClock(), settings: s, host: upstream.New(s.AppAddress, bufs),
 		running: map[uint64]context.CancelFunc{}}
-	o := sidecar.Options{Self: s.Inner(), Zone: s.Zone, Service: s.Carrier, Seeds: s.Seeds(), HeartbeatInterval: float64(s.BeatMs) / 1000,
-		RetryRatio: s.Bound("retryRatio", 0.2), RetrySlack: s.Bound("retrySlack", 0), MaxKeyHold: s.Span("holdMaxMs", 0).Seconds(), RecordVersion: uint64(time.Now().UnixMilli()),
-		Seed: rand.Uint64(), AgreedEjection: opts.Agreed, MaxBodyBytes: max(16, s.Limits.MemoryMB/memoryShare) << 20,
+	o := sidecar.Options{Self: s.MeshAddress(), Zone: s.Zone, Service: s.Service, Seeds: s.Seeds(), HeartbeatInterval: float64(s.HeartbeatMs) / 1000,
+		RetryRatio: s.Parameter("retryRatio", 0.2), RetrySlack: s.Parameter("retrySlack", 0), MaxKeyHold: s.DurationParameter("holdMaxMs", 0).Seconds(), RecordVersion: uint64(time.Now().UnixMilli()),
+		Seed: rand.Uint64(), AgreedEjection: opts.AgreedEjection, MaxBodyBytes: max(16, s.Limits.MemoryMB/memoryShare) << 20,
 		Log: func(e string, args ...any) { log.Info(e, args...) }}
 	if log.Enabled(ctx, slog.LevelDebug) {
 		o.Debug = func(e string, args ...any) { log.Debug(e, args...) }
 	}
-	cli.Memory(s)
+	cli.SetMemoryLimit(s)
 	p.sidecar = sidecar.New(p.clock.Now(), o)
 	term := make(chan os.Signal, 1)
 	signal.Notify(term, syscall.SIGTERM, os.Interrupt)
@@ -72,7 +72,7 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	var err error
 	p.mu.Lock()
-	if p.net, err = transport.ListenAt(cmp.Or(opts.ListenInner, s.Inner()), s.Inner(), p.event); err != nil {
+	if p.net, err = transport.ListenAt(cmp.Or(opts.ListenAddress, s.MeshAddress()), s.MeshAddress(), p.event); err != nil {
 		p.mu.Unlock()
 		return err
 	}
@@ -83,7 +83,7 @@
 	p.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	for addr, h := range map[string]http.Handler{s.Docking.Ready: http.HandlerFunc(p.ready), s.Docking.Control: p.calls()} {
+	for addr, h := range map[string]http.Handler{s.Listen.Ready: http.HandlerFunc(p.ready), s.Listen.Control: p.calls()} {
 		if addr == "" {
 			continue
 		}
@@ -91,18 +91,18 @@
 			return err
 		}
 	}
-	if err := cli.Metrics(ctx, s, opts.Metrics, p.metrics, log); err != nil {
+	if err := cli.ServeMetrics(ctx, s, opts.MetricsPort, p.metrics, log); err != nil {
 		return err
 	}
-	ln, err := cli.Listen(ctx, s.Docking.Outbound)
+	ln, err := cli.Listen(ctx, s.Listen.Outbound)
 	if err != nil {
 		return err
 	}
 	clients := listener.Open(ln, bufs, p.limits, p.serve)
-	go cli.Settings(ctx, os.Getenv(bootstrap.Variable), reload, log, func(s *bootstrap.Settings) {
+	go cli.WatchSettings(ctx, os.Getenv(bootstrap.EnvVariable), reload, log, func(s *bootstrap.Settings) {
 		p.with(func(now float64) { p.sidecar.SetSeeds(now, s.Seeds()) })
 	})
-	log.Info("listening", "name", s.NodeName, "outbound", s.Docking.Outbound, "inner", s.Inner())
+	log.Info("listening", "name", s.NodeName, "outbound", s.Listen.Outbound, "inner", s.MeshAddress())
 	go func() {
 		tick := time.NewTicker(tickEvery)
 		defer tick.Stop()
@@ -124,7 +124,7 @@
 func (p *program) shutdown(clients *listener.Listener) {
 	p.log.Info("ending")
 	told := time.Now()
-	last := told.Add(p.settings.Span("graceS", 6*time.Second) - lastSpare)
+	last := told.Add(p.settings.DurationParameter("graceS", 6*time.Second) - lastSpare)
 	p.with(func(now float64) { p.sidecar.BeginShutdown(now, noticeAfter.Seconds()) })
 	clients.DisableKeepAlives()
 	for time.Now().Before(last) {
@@ -293,8 +293,8 @@
 // calls serves the control address.
 func (p *program) calls() http.Handler {
 	mux := http.NewServeMux()
-	api.Handle(mux, "PUT /-/stations/{id}", api.SmallBody, func(c api.Call, b *api.Beat) (*api.None, error) {
-		s, err := b.Station(c.ID)
+	api.Handle(mux, "PUT /-/stations/{id}", api.SmallBodyBytes, func(c api.Request, b *api.Heartbeat) (*api.Empty, error) {
+		s, err := b.ToSidecar(c.ID)
 		if err != nil {
 			return nil, err
 		}
@@ -307,11 +307,11 @@
 		}
 		return nil, nil
 	})
-	api.Handle(mux, "DELETE /-/stations/{id}", api.SmallBody, func(c api.Call, _ *api.None) (*api.None, error) {
+	api.Handle(mux, "DELETE /-/stations/{id}", api.SmallBodyBytes, func(c api.Request, _ *api.Empty) (*api.Empty, error) {
 		p.with(func(now float64) { p.sidecar.HostSignedOff(now, c.ID) })
 		return nil, nil
 	})
-	api.Handle(mux, "GET /-/state", api.SmallBody, func(api.Call, *api.None) (s *sidecar.State, err error) {
+	api.Handle(mux, "GET /-/state", api.SmallBodyBytes, func(api.Request, *api.Empty) (s *sidecar.State, err error) {
 		p.with(func(now float64) { known := p.sidecar.State(now); s = &known })
 		return s, nil
 	})
@@ -319,46 +319,46 @@
 }
 
 // metrics fills one scrape.
-func (p *program) metrics(page cli.Page) {
+func (p *program) metrics(page cli.Scrape) {
 	var s sidecar.State
 	p.with(func(now float64) { s = p.sidecar.State(now) })
 	for status, n := range s.Counts.Replies {
-		page.Count("beechwing_sidecar_answers_total", n, "status", strconv.Itoa(status))
+		page.SetCounter("beechwing_sidecar_answers_total", n, "status", strconv.Itoa(status))
 	}
 	countBy(page, "beechwing_sidecar_tries_total", "outcome", s.Counts.Attempts)
 	countBy(page, "beechwing_sidecar_turned_away_total", "why", s.Counts.Rejected)
-	page.Count("beechwing_sidecar_runs_total", s.Counts.Runs)
-	page.Count("beechwing_sidecar_late_runs_total", s.Counts.LateRuns)
-	page.Count("beechwing_sidecar_doubts_total", s.Counts.PeerFailures)
+	page.SetCounter("beechwing_sidecar_runs_total", s.Counts.Runs)
+	page.SetCounter("beechwing_sidecar_late_runs_total", s.Counts.LateRuns)
+	page.SetCounter("beechwing_sidecar_doubts_total", s.Counts.PeerFailures)
 	countBy(page, "beechwing_sidecar_dropped_messages_total", "why", s.Counts.Dropped)
 	countBy(page, "beechwing_sidecar_clients_left_total", "place", s.Counts.ClientsLeft)
 	countBy(page, "beechwing_sidecar_cancelled_total", "place", s.Counts.Cancelled)
-	page.Count("beechwing_sidecar_grants_total", s.Counts.Grants)
-	page.Count("beechwing_sidecar_grants_refused_total", s.Counts.GrantsRefused)
-	page.Count("beechwing_sidecar_tries_for_clients_left_total", s.Counts.SentAfterClientLeft)
-	page.Count("beechwing_sidecar_host_connections_total", uint64(p.host.Opened()))
+	page.SetCounter("beechwing_sidecar_grants_total", s.Counts.Grants)
+	page.SetCounter("beechwing_sidecar_grants_refused_total", s.Counts.GrantsRefused)
+	page.SetCounter("beechwing_sidecar_tries_for_clients_left_total", s.Counts.SentAfterClientLeft)
+	page.SetCounter("beechwing_sidecar_host_connections_total", uint64(p.host.Opened()))
 	if k := s.Keys; k != nil {
-		page.Gauge("beechwing_sidecar_key_ranges", float64(k.Ranges), "state", "own")
-		page.Gauge("beechwing_sidecar_key_ranges", float64(k.Held), "state", "held")
-		page.Gauge("beechwing_sidecar_key_ranges", float64(k.Releasing), "state", "releasing")
-		page.Gauge("beechwing_sidecar_key_lease_left_seconds", k.LeaseLeftSeconds)
+		page.SetGauge("beechwing_sidecar_key_ranges", float64(k.Ranges), "state", "own")
+		page.SetGauge("beechwing_sidecar_key_ranges", float64(k.Held), "state", "held")
+		page.SetGauge("beechwing_sidecar_key_ranges", float64(k.Releasing), "state", "releasing")
+		page.SetGauge("beechwing_sidecar_key_lease_left_seconds", k.LeaseLeftSeconds)
 	}
-	page.Gauge("beechwing_sidecar_edition", float64(s.Edition))
-	page.Flag("beechwing_sidecar_ready", s.Ready)
-	page.Gauge("beechwing_sidecar_requests_open", float64(s.Requests))
-	page.Gauge("beechwing_sidecar_host_requests", float64(s.Jobs))
-	page.Gauge("beechwing_sidecar_waiting", float64(s.Queued), "queue", "in time")
-	page.Gauge("beechwing_sidecar_waiting", float64(s.QueuedLate), "queue", "late")
-	page.Gauge("beechwing_sidecar_roll", float64(len(s.Records)))
-	page.Gauge("beechwing_sidecar_silent", float64(len(s.Silent)))
+	page.SetGauge("beechwing_sidecar_edition", float64(s.Edition))
+	page.SetBool("beechwing_sidecar_ready", s.Ready)
+	page.SetGauge("beechwing_sidecar_requests_open", float64(s.Requests))
+	page.SetGauge("beechwing_sidecar_host_requests", float64(s.Jobs))
+	page.SetGauge("beechwing_sidecar_waiting", float64(s.Queued), "queue", "in time")
+	page.SetGauge("beechwing_sidecar_waiting", float64(s.QueuedLate), "queue", "late")
+	page.SetGauge("beechwing_sidecar_roll", float64(len(s.Records)))
+	page.SetGauge("beechwing_sidecar_silent", float64(len(s.Silent)))
 	for service, n := range s.AvoidedHosts {
-		page.Gauge("beechwing_sidecar_avoided_hosts", float64(n), "carrier", service)
+		page.SetGauge("beechwing_sidecar_avoided_hosts", float64(n), "carrier", service)
 	}
 }
 
 // countBy fills in a counter for each value of a label.
-func countBy(page cli.Page, name, label string, counts map[string]uint64) {
+func countBy(page cli.Scrape, name, label string, counts map[string]uint64) {
 	for value, n := range counts {
-		page.Count(name, n, label, value)
+		page.SetCounter(name, n, label, value)
 	}
 }
--- a/internal/mesh/api/api.go
+++ b/internal/mesh/api/api.go
@@ -1,5 +1,5 @@
-// Package api is the HTTP API for hosts and operators: every call is a pair of types, request and response, behind one generic
-// handler.
+// Package api holds the common parts of the HTTP APIs that the sidecar and the control server offer to hosts and operators.
+// Handle registers a call with the types of its request and response, and converts both from and to JSON.
 package api
 
 import (
@@ -13,49 +13,49 @@
 	"beechwing/internal/mesh/sidecar"
 )
 
-// Refusal is an error with an HTTP status. Errors without one are answered 503.
-type Refusal struct {
+// Error is an error with an HTTP status. Other errors that a call returns get status 503.
+type Error struct {
 	Status   int
-	Why      string
-	Location string // of a redirection
+	Message  string
+	Location string // target of a redirect; empty: none
 }
 
-func (r Refusal) Error() string { return r.Why }
+func (e Error) Error() string { return e.Message }
 
-// Call is what a handler gets besides the decoded body.
-type Call struct {
-	ID   string // the path's {id}
-	Body []byte // as it came
+// Request holds what a call gets besides the decoded body.
+type Request struct {
+	ID   string // the {id} in the path
+	Body []byte // the undecoded body
 }
 
-// The bounds of request bodies, in bytes.
+// The size limits of request bodies.
 const (
-	SmallBody = 64 << 10
-	LargeBody = 16 << 20
+	SmallBodyBytes = 64 << 10
+	LargeBodyBytes = 16 << 20
 )
 
-// Handle serves one kind of call. In is decoded from JSON, but Raw is the body as it came and None reads nothing. Out is encoded as
-// JSON, but Raw is sent as it is.
-func Handle[In, Out any](mux *http.ServeMux, pattern string, most int64, serve func(c Call, in *In) (*Out, error)) {
+// Handle registers one call. The request body, of at most maxBodyBytes, is decoded from JSON to In, unless In is RawJSON (the
+// undecoded body) or Empty (the body is ignored). Out is encoded as JSON, unless it is RawJSON, which is sent unchanged.
+func Handle[In, Out any](mux *http.ServeMux, pattern string, maxBodyBytes int64, serve func(c Request, in *In) (*Out, error)) {
 	mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-		out, err := call(w, r, most, serve)
+		out, err := decodeAndServe(w, r, maxBodyBytes, serve)
 		w.Header().Set("Content-Type", "application/json")
 		if err != nil {
 			status := http.StatusServiceUnavailable
-			if refusal := (Refusal{}); errors.As(err, &refusal) {
-				status = refusal.Status
-				if refusal.Location != "" {
-					w.Header().Set("Location", refusal.Location)
+			if apiErr := (Error{}); errors.As(err, &apiErr) {
+				status = apiErr.Status
+				if apiErr.Location != "" {
+					w.Header().Set("Location", apiErr.Location)
 				}
 			}
 			w.WriteHeader(status)
 			json.NewEncoder(w).Encode(struct {
-				Fault string `json:"fault"`
+				Error string `json:"fault"`
 			}{err.Error()})
 			return
 		}
 		switch out := any(out).(type) {
-		case *Raw:
+		case *RawJSON:
 			w.Write(*out)
 		default:
 			json.NewEncoder(w).Encode(out)
@@ -63,70 +63,72 @@
 	})
 }
 
-// Raw is a body that is JSON already.
-type Raw []byte
+// RawJSON is a body that is already encoded as JSON.
+type RawJSON []byte
 
-// None is a body without content.
-type None struct{}
+// Empty is the type of a missing body.
+type Empty struct{}
 
-// call decodes a request and has it served.
-func call[In, Out any](w http.ResponseWriter, r *http.Request, most int64, serve func(Call, *In) (*Out, error)) (*Out, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
+// decodeAndServe decodes a request body and calls serve.
+func decodeAndServe[In, Out any](w http.ResponseWriter, r *http.Request, maxBodyBytes int64,
+	serve func(Request, *In) (*Out, error)) (*Out, error) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		if large := (*http.MaxBytesError)(nil); errors.As(err, &large) {
-			return nil, Refusal{Status: http.StatusRequestEntityTooLarge, Why: "body is too large"}
+		if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
+			return nil, Error{Status: http.StatusRequestEntityTooLarge, Message: "request body too large"}
 		}
-		return nil, Refusal{Status: http.StatusBadRequest, Why: "body has not come whole"}
+		return nil, Error{Status: http.StatusBadRequest, Message: "request body incomplete"}
 	}
 	in := new(In)
-	if _, none := any(in).(*None); !none {
-		if _, raw := any(in).(*Raw); raw {
-			*any(in).(*Raw) = body
+	if _, empty := any(in).(*Empty); !empty {
+		if _, raw := any(in).(*RawJSON); raw {
+			*any(in).(*RawJSON) = body
 		} else if err := json.Unmarshal(body, in); err != nil {
-			return nil, Refusal{Status: http.StatusBadRequest, Why: "cannot be read: " + err.Error()}
+			return nil, Error{Status: http.StatusBadRequest, Message: "invalid JSON: " + err.Error()}
 		}
 	}
-	return serve(Call{ID: r.PathValue("id"), Body: body}, in)
+	return serve(Request{ID: r.PathValue("id"), Body: body}, in)
 }
 
-// Beat is a host's heartbeat. Its fields have the operators' names.
-type Beat struct {
-	Carrier    string  `json:"carrier"`
-	Address    string  `json:"address"`
-	Zone       string  `json:"zone"`
-	Edition    string  `json:"edition"`
-	Berths     int     `json:"berths"`
-	Condition  string  `json:"condition"`
-	ColdLeftMs float64 `json:"coldLeftMs"`
-	Sequence   uint64  `json:"sequence"`
+// Heartbeat is the heartbeat that a host sends to the proxy beside it. The JSON names are those of the operators' API.
+type Heartbeat struct {
+	Service      string  `json:"carrier"`
+	Address      string  `json:"address"`
+	Zone         string  `json:"zone"`
+	Version      string  `json:"edition"`
+	Slots        int     `json:"berths"`
+	Condition    string  `json:"condition"`
+	WarmUpLeftMs float64 `json:"coldLeftMs"`
+	Sequence     uint64  `json:"sequence"`
 }
 
-// Station validates a heartbeat and converts it to the data plane's record of the host.
-func (b *Beat) Station(id string) (sidecar.Heartbeat, error) {
-	s := sidecar.Heartbeat{ID: id, Service: b.Carrier, Address: b.Address, Zone: b.Zone, Slots: b.Berths, WarmUpLeftMs: int(b.ColdLeftMs),
-		Sequence: b.Sequence}
-	switch strings.TrimSpace(b.Condition) {
+// ToSidecar validates a heartbeat of the host with the given ID and converts it to the sidecar's type.
+func (h *Heartbeat) ToSidecar(id string) (sidecar.Heartbeat, error) {
+	converted := sidecar.Heartbeat{ID: id, Service: h.Service, Address: h.Address, Zone: h.Zone, Slots: h.Slots,
+		WarmUpLeftMs: int(h.WarmUpLeftMs), Sequence: h.Sequence}
+	switch strings.TrimSpace(h.Condition) {
 	case "at_dock":
 	case "unloading":
-		s.Draining = true
+		converted.Draining = true
 	default:
-		return s, Refusal{Status: http.StatusBadRequest, Why: "condition: neither at_dock nor unloading"}
+		return converted, Error{Status: http.StatusBadRequest, Message: "condition: want at_dock or unloading"}
 	}
 	if id == "" {
-		return s, Refusal{Status: http.StatusBadRequest, Why: "stationId: is missing"}
+		return converted, Error{Status: http.StatusBadRequest, Message: "stationId: missing"}
 	}
-	return s, nil
+	return converted, nil
 }
 
-// Taken acknowledges a configuration with its version. One that is not newer than the one held is acknowledged too.
-type Taken struct {
-	Edition uint64 `json:"taken"`
+// AcceptedConfig acknowledges a configuration by its version. A configuration that is not newer than the current one is
+// acknowledged too.
+type AcceptedConfig struct {
+	Version uint64 `json:"taken"`
 }
 
-// Order is an operator's order to take a host out for requests that must not run twice, or to call it back.
-type Order struct {
-	Out   bool   `json:"out"`
-	Force bool   `json:"force"` // required where less than half of the service's hosts would be left
-	By    string `json:"by"`
-	Why   string `json:"why"`
+// EjectionOrder is an operator's order to eject a host for requests that must not run twice, or to restore the host.
+type EjectionOrder struct {
+	Eject  bool   `json:"out"`
+	Force  bool   `json:"force"` // required if less than half of the service's hosts would remain
+	By     string `json:"by"`
+	Reason string `json:"why"`
 }
--- a/internal/mesh/bootstrap/bootstrap.go
+++ b/internal/mesh/bootstrap/bootstrap.go
@@ -1,4 +1,5 @@
-// Package bootstrap reads the settings file that the platform gives to every process.
+// Package bootstrap reads the settings file (TOML) with which the platform starts every process of the mesh: its addresses and
+// ports, the control servers, resource limits and named parameters. Load reads the file that the environment names, as Settings.
 package bootstrap
 
 import (
@@ -13,31 +14,34 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Variable names the environment variable that holds the file's path.
-const Variable = "BEECHWING_SETTINGS"
+// EnvVariable is the environment variable that holds the path of the settings file.
+const EnvVariable = "BEECHWING_SETTINGS"
 
-// Settings is the settings file, with the platform's names. Unknown fields are ignored, as more may be added.
+// Settings is the content of the settings file. The TOML names are those of the platform. Unknown fields are ignored because the
+// platform may add some.
 type Settings struct {
-	NodeName    string            `toml:"nodeName"`
-	Role        string            `toml:"stationRole"`
-	IP          string            `toml:"ip"`
-	Zone        string            `toml:"zone"`
-	Region      string            `toml:"region"`
-	SparePorts  []int             `toml:"sparePorts"`
-	SeedDepots  []string          `toml:"seedDepots"`
-	FirstStart  bool              `toml:"firstStart"`
-	DataDir     string            `toml:"dataDir"`
-	BeatMs      int               `toml:"beatMs"`
-	BoundTexts  []string          `toml:"bounds"`
-	AppAddress  string            `toml:"appAddress"`
-	Carrier     string            `toml:"carrier"`
-	RoutingMode string            `toml:"routingMode"`
-	Zones       map[string]string `toml:"zones"`
-	Docking     struct {
+	NodeName       string            `toml:"nodeName"`
+	Role           string            `toml:"stationRole"`
+	IP             string            `toml:"ip"`
+	Zone           string            `toml:"zone"`
+	Region         string            `toml:"region"`
+	SparePorts     []int             `toml:"sparePorts"` // first and last of a range; the first is for the mesh protocol
+	SeedAddresses  []string          `toml:"seedDepots"` // control addresses of the first control servers to contact
+	FirstStart     bool              `toml:"firstStart"` // the mesh is started for the first time
+	DataDir        string            `toml:"dataDir"`
+	HeartbeatMs    int               `toml:"beatMs"`
+	ParameterTexts []string          `toml:"bounds"`     // named parameters as name=value
+	AppAddress     string            `toml:"appAddress"` // address of the host beside the proxy
+	Service        string            `toml:"carrier"`    // service that the host belongs to
+	RoutingMode    string            `toml:"routingMode"`
+	Zones          map[string]string `toml:"zones"`
+
+	// Addresses at which the process listens.
+	Listen struct {
 		Inbound  string `toml:"inboundDock"`
-		Outbound string `toml:"outboundDock"`
-		Ready    string `toml:"readyDock"`
-		Control  string `toml:"controlDock"`
+		Outbound string `toml:"outboundDock"` // for clients' requests
+		Ready    string `toml:"readyDock"`    // for the platform's readiness probe
+		Control  string `toml:"controlDock"`  // for heartbeats of the host and calls of operators
 	} `toml:"docking"`
 	Limits struct {
 		CPUShare    float64 `toml:"cpuShare"`
@@ -47,17 +51,17 @@
 		DiskMB      int     `toml:"diskMb"`
 	} `toml:"sizeLimits"`
 	Tolerance struct {
-		Machines int `toml:"machines"`
+		Machines int `toml:"machines"` // number of machines whose failure the mesh has to tolerate
 	} `toml:"tolerance"`
 
-	bounds map[string]float64
+	parameters map[string]float64
 }
 
-// Load reads the file that the environment names, and checks it.
+// Load reads and checks the settings file that EnvVariable names.
 func Load(getenv func(string) string) (*Settings, error) {
-	path := getenv(Variable)
+	path := getenv(EnvVariable)
 	if path == "" {
-		return nil, errors.Newf("%s is not set: it holds the path of the settings file", Variable)
+		return nil, errors.Newf("%s is not set; it must hold the path of the settings file", EnvVariable)
 	}
 	return Read(path)
 }
@@ -70,11 +74,11 @@
 	}
 	s := &Settings{}
 	if err := toml.Unmarshal(text, s); err != nil {
-		var bad *toml.DecodeError
-		if errors.As(err, &bad) {
-			row, col := bad.Position()
+		var decodeErr *toml.DecodeError
+		if errors.As(err, &decodeErr) {
+			row, col := decodeErr.Position()
 			return nil, errors.Newf("settings: %s line %d column %d, %s: %s", path, row, col,
-				strings.Join(bad.Key(), "."), bad.Error())
+				strings.Join(decodeErr.Key(), "."), decodeErr.Error())
 		}
 		return nil, errors.Wrapf(err, "settings: %s", path)
 	}
@@ -86,19 +90,19 @@
 
 func (s *Settings) check() error {
 	if _, err := netip.ParseAddr(s.IP); err != nil {
-		return errors.Newf("ip: %q is no address", s.IP)
+		return errors.Newf("ip: %q is not an IP address", s.IP)
 	}
 	if s.Zone == "" {
-		return errors.New("zone: is missing")
+		return errors.New("zone: missing")
 	}
 	if len(s.SparePorts) < 1 || s.SparePorts[0] <= 0 || s.SparePorts[0] > 65535 {
-		return errors.Newf("sparePorts: %v holds no port for what processes say to each other", s.SparePorts)
+		return errors.Newf("sparePorts: %v does not start with a valid port, which the mesh protocol needs", s.SparePorts)
 	}
-	if len(s.SeedDepots) == 0 {
-		return errors.New("seedDepots: names no one")
+	if len(s.SeedAddresses) == 0 {
+		return errors.New("seedDepots: no address given")
 	}
-	for name, addr := range map[string]string{"docking.outboundDock": s.Docking.Outbound, "docking.readyDock": s.Docking.Ready,
-		"docking.controlDock": s.Docking.Control, "appAddress": s.AppAddress} {
+	for name, addr := range map[string]string{"docking.outboundDock": s.Listen.Outbound, "docking.readyDock": s.Listen.Ready,
+		"docking.controlDock": s.Listen.Control, "appAddress": s.AppAddress} {
 		if addr == "" {
 			continue
 		}
@@ -106,21 +110,21 @@
 			return errors.Newf("%s: %q is not address and port", name, addr)
 		}
 	}
-	for _, seed := range s.SeedDepots {
+	for _, seed := range s.SeedAddresses {
 		if _, err := netip.ParseAddrPort(seed); err != nil {
 			return errors.Newf("seedDepots: %q is not address and port", seed)
 		}
 	}
-	s.bounds = map[string]float64{}
-	for _, text := range s.BoundTexts {
+	s.parameters = map[string]float64{}
+	for _, text := range s.ParameterTexts {
 		name, value, _ := strings.Cut(text, "=")
 		switch v, err := strconv.ParseFloat(value, 64); {
 		case err == nil:
-			s.bounds[name] = v
+			s.parameters[name] = v
 		case value == "true":
-			s.bounds[name] = 1
+			s.parameters[name] = 1
 		case value == "false":
-			s.bounds[name] = 0
+			s.parameters[name] = 0
 		default:
 			return errors.Newf("bounds: %q is not name=value", text)
 		}
@@ -128,30 +132,31 @@
 	return nil
 }
 
-// Bound is a number among the bounds, or otherwise if the file has none of that name.
-func (s *Settings) Bound(name string, otherwise float64) float64 {
-	if v, told := s.bounds[name]; told {
+// Parameter returns a named parameter from the file's bounds, or defaultValue if the file does not set it. true is 1 and false 0.
+func (s *Settings) Parameter(name string, defaultValue float64) float64 {
+	if v, found := s.parameters[name]; found {
 		return v
 	}
-	return otherwise
+	return defaultValue
 }
 
-// Span is a bound as a duration: in milliseconds if its name ends in Ms, else in seconds.
-func (s *Settings) Span(name string, otherwise time.Duration) time.Duration {
+// DurationParameter returns a parameter as a duration. The unit in the file is milliseconds if the name ends in Ms, else seconds.
+func (s *Settings) DurationParameter(name string, defaultValue time.Duration) time.Duration {
 	unit := time.Second
 	if strings.HasSuffix(name, "Ms") {
 		unit = time.Millisecond
 	}
-	return time.Duration(s.Bound(name, float64(otherwise)/float64(unit)) * float64(unit))
+	return time.Duration(s.Parameter(name, float64(defaultValue)/float64(unit)) * float64(unit))
 }
 
-// Inner is the address at which the other processes of the mesh reach this one.
-func (s *Settings) Inner() string { return net.JoinHostPort(s.IP, strconv.Itoa(s.SparePorts[0])) }
+// MeshAddress returns the address at which the other processes of the mesh reach this one.
+func (s *Settings) MeshAddress() string { return net.JoinHostPort(s.IP, strconv.Itoa(s.SparePorts[0])) }
 
-// Seeds are the inner addresses of the control processes that the file names. All machines use the same ports.
+// Seeds returns the mesh addresses of the control servers in seedDepots. They follow from the IP addresses because all machines
+// use the same ports.
 func (s *Settings) Seeds() []string {
 	var seeds []string
-	for _, text := range s.SeedDepots {
+	for _, text := range s.SeedAddresses {
 		at, _ := netip.ParseAddrPort(text)
 		seeds = append(seeds, net.JoinHostPort(at.Addr().String(), strconv.Itoa(s.SparePorts[0])))
 	}
--- a/internal/mesh/cli/commands.go
+++ b/internal/mesh/cli/commands.go
@@ -21,48 +21,55 @@
 	"beechwing/internal/mesh/bootstrap"
 )
 
-// Program is what the command line needs of a program.
+// Program describes a program to the command line.
 type Program struct {
 	Name, Short string
 	Run         func(ctx context.Context, s *bootstrap.Settings, o Options, log *slog.Logger) error
-	Check       func(configuration []byte) (result string, err error)
-	Orders      bool // it has the subcommands for operators' orders on hosts
+	// Check validates a configuration for the subcommand check.
+	Check func(configuration []byte) (result string, err error)
+	// EjectionCommands adds the subcommands out and back, which eject and restore hosts.
+	EjectionCommands bool
 }
 
-// Options are the flags of run that the program itself uses.
+// Options are the flags of subcommand run that are passed to the program.
 type Options struct {
-	Metrics int  // port of the metrics; 0: none
-	Agreed  bool // eject hosts for requests that must not run twice only by vote
+	MetricsPort    int  // port at which metrics are served; 0: none
+	AgreedEjection bool // eject hosts for requests that must not run twice only by a vote of the proxies
 
-	ListenInner string // address to listen at for the other processes; empty: the one that they know
+	ListenAddress string // address to listen at for the other processes of the mesh; empty: the address that they use
 }
 
-// Main runs a program's command line and returns the exit status: 0 success, 1 failure, 2 usage.
+// Main runs a program's command line and returns the exit status: 0 for success, 1 for failure, 2 for wrong usage.
 func Main(p Program) int {
 	root := &ff.Command{Name: p.Name, Usage: p.Name + " SUBCOMMAND", ShortHelp: p.Short}
 	flags := ff.NewFlagSet("run")
-	level := flags.StringLong("log", "info", "least level of the log: debug, info, warn, error")
-	agreed := flags.BoolLong("agreed-ejection", "leave a host out for operations only where most proxies that met it agree that it fails (beechwing-sidecar)")
-	inner := flags.StringLong("listen-inner", "", "address to listen at for the other processes, where they reach this one through a relay at the one they know")
-	metrics := flags.IntLong("metrics", 0, "port of sparePorts at which figures are served as text; 0: none")
-	profile := flags.StringLong("profile", "", "file for a CPU profile of the whole run")
+	level := flags.StringLong("log", "info", "minimum log level: debug, info, warn, error")
+	agreedEjection := flags.BoolLong("agreed-ejection",
+		"eject a host for requests that must not run twice only if most proxies that used the host report failures (beechwing-sidecar)")
+	listenAddress := flags.StringLong("listen-inner", "",
+		"address to listen at for other mesh processes, if they reach this process through a relay at its regular address")
+	metrics := flags.IntLong("metrics", 0, "port within sparePorts at which Prometheus metrics are served; 0: none")
+	profile := flags.StringLong("profile", "", "file to which a CPU profile of the whole run is written")
 	stateFlags := ff.NewFlagSet("state")
-	plain := stateFlags.BoolLong("json", "as JSON in place of a table")
+	asJSON := stateFlags.BoolLong("json", "print JSON instead of a table")
 	root.Subcommands = []*ff.Command{
-		{Name: "run", Usage: p.Name + " run [--log LEVEL] [--agreed-ejection] [--metrics PORT] [--listen-inner ADDRESS] [--profile FILE]", Flags: flags,
-			ShortHelp: "serve, by the settings file that " + bootstrap.Variable + " names",
+		{Name: "run", Usage: p.Name + " run [--log LEVEL] [--agreed-ejection] [--metrics PORT] [--listen-inner ADDRESS] [--profile FILE]",
+			Flags:     flags,
+			ShortHelp: "run the program with the settings file that " + bootstrap.EnvVariable + " names",
 			Exec: func(ctx context.Context, _ []string) error {
-				return p.serve(ctx, *level, *profile, Options{*metrics, *agreed, *inner})
+				return p.run(ctx, *level, *profile, Options{*metrics, *agreedEjection, *listenAddress})
 			}},
-		{Name: "check", Usage: p.Name + " check FILE ...", ShortHelp: "check settings (.toml) and configurations (.json)",
-			Exec: func(_ context.Context, args []string) error { return p.check(args) }},
+		{Name: "check", Usage: p.Name + " check FILE ...",
+			ShortHelp: "validate settings files (.toml) and configurations (.json)",
+			Exec:      func(_ context.Context, args []string) error { return p.check(args) }},
 		{Name: "state", Usage: p.Name + " state [--json] ADDRESS", Flags: stateFlags,
-			ShortHelp: "what a running process knows, from its control address",
-			Exec:      func(ctx context.Context, args []string) error { return state(ctx, args, *plain) }},
+			ShortHelp: "print the state of a running process, given its control address",
+			Exec:      func(ctx context.Context, args []string) error { return printState(ctx, args, *asJSON) }},
 	}
-	if p.Orders {
-		root.Subcommands = append(root.Subcommands, p.order("out", "take a host out for operations, for all proxies and until called back"),
-			p.order("back", "call a host back that was taken out"))
+	if p.EjectionCommands {
+		root.Subcommands = append(root.Subcommands,
+			p.orderCommand("out", "eject a host for requests that must not run twice, for all proxies and until subcommand back"),
+			p.orderCommand("back", "restore a host that was ejected with subcommand out"))
 	}
 	err := root.ParseAndRun(context.Background(), os.Args[1:])
 	switch {
@@ -79,24 +86,24 @@
 	return 1
 }
 
-func (p Program) serve(ctx context.Context, level, profile string, o Options) error {
+func (p Program) run(ctx context.Context, level, profile string, o Options) error {
 	s, err := bootstrap.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	log, err := Logger(os.Stderr, level)
+	log, err := NewLogger(os.Stderr, level)
 	if err != nil {
 		return err
 	}
-	end, err := Profile(profile)
+	stopProfile, err := StartProfile(profile)
 	if err != nil {
 		return err
 	}
-	defer end()
+	defer stopProfile()
 	return p.Run(ctx, s, o, log)
 }
 
-// check validates the files that are named.
+// check validates settings files and configurations.
 func (p Program) check(args []string) error {
 	if len(args) == 0 {
 		return errors.New("check: which file?")
@@ -107,7 +114,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Printf("settings of %s at %s: valid\n", s.NodeName, s.Inner())
+			fmt.Printf("settings of %s at %s: valid\n", s.NodeName, s.MeshAddress())
 			continue
 		}
 		text, err := os.ReadFile(path)
@@ -123,8 +130,8 @@
 	return nil
 }
 
-// Profile writes a CPU profile to a file until end is called. Without a file it does nothing.
-func Profile(path string) (end func(), err error) {
+// StartProfile writes a CPU profile to a file until stop is called. It does nothing if path is empty.
+func StartProfile(path string) (stop func(), err error) {
 	if path == "" {
 		return func() {}, nil
 	}
@@ -141,11 +148,11 @@
 	}, nil
 }
 
-// mostState bounds the size of a state.
-const mostState = 64 << 20
+// maxStateBytes limits the size of a state that is read.
+const maxStateBytes = 64 << 20
 
-// state fetches and shows the state of a running process.
-func state(ctx context.Context, args []string, plain bool) error {
+// printState fetches and prints the state of a running process.
+func printState(ctx context.Context, args []string, asJSON bool) error {
 	if len(args) != 1 {
 		return errors.New("state: which address?")
 	}
@@ -160,27 +167,28 @@
 		return errors.Wrap(err, "state")
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, mostState))
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxStateBytes))
 	if err != nil {
 		return errors.Wrap(err, "state")
 	}
 	if res.StatusCode != http.StatusOK {
-		return errors.Newf("state: %s answers %s", args[0], res.Status)
+		return errors.Newf("state: %s responded with status %s", args[0], res.Status)
 	}
-	if plain {
+	if asJSON {
 		_, err = os.Stdout.Write(text)
 		return errors.Wrap(err, "state")
 	}
-	return table(text, os.Stdout)
+	return printTable(text, os.Stdout)
 }
 
-// order makes the subcommand that takes a host out or calls it back.
-func (p Program) order(name, short string) *ff.Command {
+// orderCommand returns the subcommand that ejects a host (out) or restores it (back).
+func (p Program) orderCommand(name, shortHelp string) *ff.Command {
 	flags := ff.NewFlagSet(name)
-	by := flags.StringLong("by", "", "who gives the order")
+	by := flags.StringLong("by", "", "name of the operator, for the record")
 	why := flags.StringLong("why", "", "the reason, for the record")
-	force := flags.BoolLong("force", "also where less than half of the service's hosts would be left")
-	return &ff.Command{Name: name, Usage: p.Name + " " + name + " --by NAME [--why TEXT] [--force] ADDRESS STATION", Flags: flags, ShortHelp: short,
+	force := flags.BoolLong("force", "proceed even if less than half of the service's hosts would remain")
+	return &ff.Command{Name: name, Usage: p.Name + " " + name + " --by NAME [--why TEXT] [--force] ADDRESS STATION",
+		Flags: flags, ShortHelp: shortHelp,
 		Exec: func(ctx context.Context, args []string) error {
 			if len(args) != 2 {
 				return errors.Newf("%s: which address, and which host?", name)
@@ -191,7 +199,8 @@
 			if err != nil {
 				return errors.Wrap(err, name)
 			}
-			req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+args[0]+"/-/orders/"+url.PathEscape(args[1]), bytes.NewReader(body))
+			req, err := http.NewRequestWithContext(ctx, http.MethodPut,
+				"http://"+args[0]+"/-/orders/"+url.PathEscape(args[1]), bytes.NewReader(body))
 			if err != nil {
 				return errors.Wrap(err, name)
 			}
--- a/internal/mesh/cli/metrics.go
+++ b/internal/mesh/cli/metrics.go
@@ -14,29 +14,30 @@
 	"beechwing/internal/mesh/bootstrap"
 )
 
-// Page is one scrape of a process's metrics.
-type Page struct{ set *metrics.Set }
+// Scrape collects the metrics of a process for one scrape.
+type Scrape struct{ set *metrics.Set }
 
-// Count sets a counter; labels are pairs of name and value.
-func (p Page) Count(name string, n uint64, labels ...string) {
-	p.set.GetOrCreateCounter(series(name, labels)).Set(n)
+// SetCounter sets a counter. labels are pairs of name and value.
+func (p Scrape) SetCounter(name string, n uint64, labels ...string) {
+	p.set.GetOrCreateCounter(seriesName(name, labels)).Set(n)
 }
 
-// Gauge sets a gauge; labels are pairs of name and value.
-func (p Page) Gauge(name string, v float64, labels ...string) {
-	p.set.GetOrCreateGauge(series(name, labels), nil).Set(v)
+// SetGauge sets a gauge. labels are pairs of name and value.
+func (p Scrape) SetGauge(name string, v float64, labels ...string) {
+	p.set.GetOrCreateGauge(seriesName(name, labels), nil).Set(v)
 }
 
-// Flag sets a gauge to 1 or 0.
-func (p Page) Flag(name string, yes bool) {
+// SetBool sets a gauge to 1 for true and to 0 for false.
+func (p Scrape) SetBool(name string, value bool) {
 	v := 0.0
-	if yes {
+	if value {
 		v = 1
 	}
-	p.Gauge(name, v)
+	p.SetGauge(name, v)
 }
 
-func series(name string, labels []string) string {
+// seriesName returns the name of a time series with its labels, such as name{label="value"}.
+func seriesName(name string, labels []string) string {
 	for i := 0; i+1 < len(labels); i += 2 {
 		sep := ","
 		if i == 0 {
@@ -50,19 +51,21 @@
 	return name
 }
 
-// Metrics serves a process's metrics in Prometheus's text format (https://prometheus.io/docs/instrumenting/exposition_formats/) at a
-// port of the machine's sparePorts; with port 0 it does nothing. read is called for each scrape.
-func Metrics(ctx context.Context, s *bootstrap.Settings, port int, read func(Page), log *slog.Logger) error {
+// ServeMetrics serves a process's metrics in Prometheus's text format
+// (https://prometheus.io/docs/instrumenting/exposition_formats/) at a port within the machine's sparePorts. It does nothing if
+// port is 0. read is called for each scrape to fill in the metrics.
+func ServeMetrics(ctx context.Context, s *bootstrap.Settings, port int, read func(Scrape), log *slog.Logger) error {
 	if port == 0 {
 		return nil
 	}
 	first, last := s.SparePorts[0], s.SparePorts[len(s.SparePorts)-1]
 	if port <= first || port > last {
-		return errors.Newf("--metrics %d: is none of the machine's spare ports after its first, %d to %d", port, first+1, last)
+		return errors.Newf("--metrics %d: none of the machine's spare ports after the first, which are %d to %d",
+			port, first+1, last)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
-		p := Page{metrics.NewSet()}
+		p := Scrape{metrics.NewSet()}
 		read(p)
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 		p.set.WritePrometheus(w)
--- a/internal/mesh/cli/table.go
+++ b/internal/mesh/cli/table.go
@@ -12,28 +12,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// columns are the first columns of a list, in order; others follow by name.
+// columns are the columns that come first in a table, in this order. The others follow, sorted by name.
 var columns = []string{"source", "station", "carrier", "zone", "condition", "version"}
 
-// table prints a state for people: single values first, a line each, then each list as a table.
-func table(text []byte, w io.Writer) error {
-	var all map[string]any
-	if err := json.Unmarshal(text, &all); err != nil {
+// printTable prints a state in readable form: first the single values, one a line, then each list of objects as a table.
+func printTable(text []byte, w io.Writer) error {
+	var state map[string]any
+	if err := json.Unmarshal(text, &state); err != nil {
 		return errors.Wrap(err, "state")
 	}
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	var lists []string
-	for _, name := range slices.Sorted(maps.Keys(all)) {
-		if rows, ok := all[name].([]any); ok && len(rows) > 0 {
+	for _, name := range slices.Sorted(maps.Keys(state)) {
+		if rows, ok := state[name].([]any); ok && len(rows) > 0 {
 			if _, ok := rows[0].(map[string]any); ok {
 				lists = append(lists, name)
 				continue
 			}
 		}
-		fmt.Fprintf(out, "%s\t%s\n", name, cell(all[name]))
+		fmt.Fprintf(out, "%s\t%s\n", name, formatCell(state[name]))
 	}
 	for _, name := range lists {
-		rows := all[name].([]any)
+		rows := state[name].([]any)
 		fields := map[string]bool{}
 		for _, r := range rows {
 			for f := range r.(map[string]any) {
@@ -52,7 +52,7 @@
 				if i > 0 {
 					fmt.Fprint(out, "\t")
 				}
-				fmt.Fprint(out, cell(r.(map[string]any)[f]))
+				fmt.Fprint(out, formatCell(r.(map[string]any)[f]))
 			}
 			fmt.Fprintln(out)
 		}
@@ -60,8 +60,8 @@
 	return errors.Wrap(out.Flush(), "state")
 }
 
-// cell formats one value; an object as its pairs, by name.
-func cell(v any) string {
+// formatCell formats one value of a table. An object is formatted as name=value pairs, sorted by name.
+func formatCell(v any) string {
 	switch v := v.(type) {
 	case nil:
 		return "-"
@@ -75,7 +75,7 @@
 	case []any:
 		parts := []string{}
 		for _, e := range v {
-			parts = append(parts, cell(e))
+			parts = append(parts, formatCell(e))
 		}
 		if len(parts) == 0 {
 			return "-"
@@ -84,7 +84,7 @@
 	case map[string]any:
 		parts := []string{}
 		for _, k := range slices.Sorted(maps.Keys(v)) {
-			text := cell(v[k])
+			text := formatCell(v[k])
 			if _, nested := v[k].(map[string]any); nested {
 				text = "(" + text + ")"
 			}
--- a/internal/mesh/cli/table_test.go
+++ b/internal/mesh/cli/table_test.go
@@ -5,10 +5,11 @@
 	"testing"
 )
 
-// A state is shown by name, its lists as tables with the same columns first; what is no state is one error.
+// printTable prints single values sorted by name, and lists as tables with the standard columns first. Text that is no state
+// gives an error.
 func TestTable(t *testing.T) {
 	var b strings.Builder
-	err := table([]byte(`{"edition":7,"silent":null,"counts":{"answers":{"200":5},"runs":2.5},
+	err := printTable([]byte(`{"edition":7,"silent":null,"counts":{"answers":{"200":5},"runs":2.5},
 		"roll":[{"zone":"a","source":"p1","berths":6},{"source":"p2","zone":"","leaving":true}]}`), &b)
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +26,7 @@
 	if b.String() != want {
 		t.Errorf("got:\n%s\nwant:\n%s", b.String(), want)
 	}
-	if err := table([]byte("not now"), &b); err == nil {
-		t.Error("a text that is no state is shown")
+	if err := printTable([]byte("not now"), &b); err == nil {
+		t.Error("no error for a text that is no state")
 	}
 }
--- a/internal/mesh/meshpb/calls.go
+++ b/internal/mesh/meshpb/calls.go
@@ -1,6 +1,6 @@
-// Package meshpb holds the messages that the processes of the mesh exchange, generated from mesh.proto, and a few rules about them:
-// how a response refers to its request, which messages go first, and which of two records is the newer one. The main type is
-// Message, the content of one frame; package transport sends and receives frames.
+// Package meshpb holds the messages that the processes of the mesh exchange, generated from mesh.proto, and a few rules about
+// them: how a response refers to its request, which messages go first, and which of two records is the newer one. The main type
+// is Message, the content of one frame; package transport sends and receives frames.
 package meshpb
 
 // Answer sets the id and the process instance of the request in its response, and returns the response. The requester accepts
@@ -22,6 +22,6 @@
 	return false
 }
 
-// IsHeartbeat reports whether a message is a heartbeat. Failure detection depends on its time of arrival, so it is processed before
-// all other queued messages.
+// IsHeartbeat reports whether a message is a heartbeat. Failure detection depends on its time of arrival, so it is processed
+// before all other queued messages.
 func IsHeartbeat(m *Message) bool { return m.Digest != nil }
--- a/internal/mesh/meshpb/conditions.go
+++ b/internal/mesh/meshpb/conditions.go
@@ -5,5 +5,5 @@
 	Unknown  uint32 = iota
 	Serving         // accepts requests
 	Draining        // accepts no new requests, because the host or its proxy is shutting down
-	Gone            // has signed off
+	Gone            // has signed off, or its source was removed
 )
--- a/internal/mesh/meshpb/records.go
+++ b/internal/mesh/meshpb/records.go
@@ -21,8 +21,8 @@
 // Expired reports whether a tombstone has reached the age at which it is deleted.
 func (x *Record) Expired() bool { return x.GetForgottenFor() >= TombstoneSeconds }
 
-// Supersedes reports whether a record is newer than another one of the same source, which is nil if none is known. If the versions
-// are equal, the source's own record supersedes a tombstone.
+// Supersedes reports whether a record is newer than another one of the same source, which is nil if none is known. If the
+// versions are equal, the source's own record supersedes a tombstone.
 func (x *Record) Supersedes(old *Record) bool {
 	switch {
 	case old == nil || x.Version > old.Version:
--- a/internal/mesh/meshpb/records_test.go
+++ b/internal/mesh/meshpb/records_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// A tombstone's age increases with each hop, however short the time at a hop is. Without rounding up, a tombstone that is passed on
-// quickly would never expire.
+// A tombstone's age increases with each hop, however short the time at a hop is. Without rounding up, a tombstone that is passed
+// on quickly would never expire.
 func TestTombstoneExpiresThoughItIsToldOn(t *testing.T) {
 	const hopSeconds = 0.9 // time that each process keeps the tombstone before passing it on
 	r := NewTombstone("p", 7)
--- a/internal/mesh/routeconfig/routeconfig.go
+++ b/internal/mesh/routeconfig/routeconfig.go
@@ -1,6 +1,6 @@
-// Package routeconfig holds the route table: the operators' configuration as the data plane uses it, with its version and the
-// route of a request by host name and longest path prefix. Validation is in the package validate, which only the control plane
-// imports.
+// Package routeconfig holds the operators' configuration of routes and services. Compile turns its JSON text into a Table, which
+// finds the route of a request by host name and longest path prefix. Validation is in package validate, which only the control
+// plane imports.
 package routeconfig
 
 import (
@@ -14,118 +14,122 @@
 	"beechwing/balancer"
 )
 
-// Config is one configuration as it is read from JSON. Its fields have the operators' names.
+// Config is a configuration as it is decoded from JSON. The JSON names are those of the operators.
 type Config struct {
-	Edition     string    `json:"edition"`
-	Itineraries []Route   `json:"itineraries"`
-	Carriers    []Service `json:"carriers"`
-	SizeLimits  Limits    `json:"sizeLimits"`
+	Version  string    `json:"edition"`
+	Routes   []Route   `json:"itineraries"`
+	Services []Service `json:"carriers"`
+	Limits   Limits    `json:"sizeLimits"`
 }
 
-// Route matches requests by host name and path prefix and says which services they go to, and how.
+// Route matches requests by host name and path prefix. It sets the services that the requests go to, their timeouts and attempts.
 type Route struct {
-	Name       string  `json:"name"`
-	Depot      string  `json:"depot"`
-	LanePrefix string  `json:"lanePrefix"`
-	RouteKind  string  `json:"routeKind"`
-	TimeoutMs  float64 `json:"timeoutMs"`
-	TargetMs   float64 `json:"targetMs"`
-	Precedence int     `json:"precedence"`
-	Carrier    string  `json:"carrier"`
-	Allotment  []Share `json:"allotment"`
-	Tries      int     `json:"tries"`
+	Name        string  `json:"name"`
+	Host        string  `json:"depot"`
+	PathPrefix  string  `json:"lanePrefix"`
+	Kind        string  `json:"routeKind"` // Safe, Unsafe, Tracked or Download
+	TimeoutMs   float64 `json:"timeoutMs"`
+	TargetMs    float64 `json:"targetMs"`   // time after which a response is worth less
+	Precedence  int     `json:"precedence"` // a smaller value is served first
+	Service     string  `json:"carrier"`    // the only service, if Shares is empty
+	Shares      []Share `json:"allotment"`  // services among which the requests are split
+	MaxAttempts int     `json:"tries"`
 }
 
-// Share is the weight of a service among those of a route.
+// Share is the weight of a service among the services of a route.
 type Share struct {
-	Carrier string  `json:"carrier"`
-	Share   float64 `json:"share"`
+	Service string  `json:"carrier"`
+	Weight  float64 `json:"share"`
 }
 
-// Service is the configuration of a service's hosts.
+// Service is the configuration of a service and its hosts.
 type Service struct {
 	Name       string `json:"name"`
 	HealthPath string `json:"healthPath"`
-	BerthCap   int    `json:"berthCap"`
-	DedupSelf  bool   `json:"dedupSelf"`
+	MaxSlots   int    `json:"berthCap"`  // maximum number of requests that a host runs at the same time
+	DedupSelf  bool   `json:"dedupSelf"` // the service deduplicates requests itself
 
-	Sharded bool    `json:"sharded,omitempty"` // a host runs a request only while it holds the request's key
-	WarmUpS float64 `json:"warmUpS,omitempty"` // seconds for which keys that come without a handover are slow
+	// Sharded means that the keys are divided among the hosts. A host runs a request only while it holds the request's key.
+	Sharded bool `json:"sharded,omitempty"`
+	// WarmUpSeconds is how long requests for keys that a host has received without a handover are slow.
+	WarmUpSeconds float64 `json:"warmUpS,omitempty"`
 }
 
-// Limits bound the size of clients' requests and the time that they may take.
+// Limits are the limits on the size of clients' requests and on the time to receive them. A value of 0 means the default.
 type Limits struct {
 	HeaderBytes  int     `json:"headerBytes"`
 	BodyBytes    int64   `json:"bodyBytes"`
-	HeaderWaitMs float64 `json:"headerWaitMs"`
-	IdleWaitMs   float64 `json:"idleWaitMs"`
+	HeaderWaitMs float64 `json:"headerWaitMs"` // time within which the header of a request has to arrive
+	IdleWaitMs   float64 `json:"idleWaitMs"`   // time after which an idle connection is closed
 }
 
-// The kinds of routes, by what a repeated request does.
+// The kinds of routes, which differ in whether a request may run more than once.
 const (
-	Safe     = "safe"
-	Unsafe   = "unsafe"
-	Tracked  = "tracked"
-	Download = "download"
+	Safe     = "safe"     // may run more than once
+	Unsafe   = "unsafe"   // must not run more than once
+	Tracked  = "tracked"  // run at most once for each idempotency key
+	Download = "download" // may run more than once
 )
 
-// Repeatable says whether a request of the route may run more than once.
-func (r *Route) Repeatable() bool { return r.RouteKind == Safe || r.RouteKind == Download }
+// Repeatable reports whether a request of the route may run more than once.
+func (r *Route) Repeatable() bool { return r.Kind == Safe || r.Kind == Download }
 
-// Effect is the kind of the route as the balancer knows it.
+// Effect returns the kind of the route in the balancer's terms.
 func (r *Route) Effect() balancer.Effect {
 	if r.Repeatable() {
 		return balancer.Safe
 	}
-	return balancer.Unsafe // tracked requests run once by their key's register; the balancer treats them alike
+	return balancer.Unsafe // also for tracked requests, although their keys' registers keep them from running twice
 }
 
-// ParseVersion reads a version, such as r12.
+// ParseVersion parses the version of a configuration, such as r12.
 func ParseVersion(text string) (uint64, error) {
 	digits, found := strings.CutPrefix(text, "r")
 	n, err := strconv.ParseUint(digits, 10, 64)
 	if !found || err != nil {
-		return 0, errors.Newf("edition: %q is not r and a number", text)
+		return 0, errors.Newf("edition: %q is not the letter r followed by a number", text)
 	}
 	return n, nil
 }
 
-// Table is a compiled configuration. It is immutable.
+// Table is a compiled configuration. It is immutable, so it is safe for concurrent use.
 type Table struct {
-	Edition  uint64 // its version
+	Version  uint64
 	Config   *Config
 	Text     []byte // the JSON that it was compiled from
 	services map[string]*Service
-	routes   map[string]*Route // by host name and prefix
+	routes   map[string]*Route // by lower-case host name followed by path prefix
 }
 
-// Compile makes the table of a configuration that the control plane has validated.
+// Compile compiles the JSON text of a configuration that the control plane has validated. If two routes have the same host name
+// and path prefix, the first one counts.
 func Compile(text []byte) (*Table, error) {
 	c := &Config{}
 	if err := json.Unmarshal(text, c); err != nil {
 		return nil, errors.Wrap(err, "configuration")
 	}
-	version, err := ParseVersion(c.Edition)
+	version, err := ParseVersion(c.Version)
 	if err != nil {
 		return nil, err
 	}
-	t := &Table{Edition: version, Config: c, Text: text, services: map[string]*Service{}, routes: map[string]*Route{}}
-	for i := range c.Carriers {
-		t.services[c.Carriers[i].Name] = &c.Carriers[i]
+	t := &Table{Version: version, Config: c, Text: text, services: map[string]*Service{}, routes: map[string]*Route{}}
+	for i := range c.Services {
+		t.services[c.Services[i].Name] = &c.Services[i]
 	}
-	for i := range c.Itineraries {
-		r := &c.Itineraries[i]
-		if key := strings.ToLower(r.Depot) + r.LanePrefix; t.routes[key] == nil {
+	for i := range c.Routes {
+		r := &c.Routes[i]
+		if key := strings.ToLower(r.Host) + r.PathPrefix; t.routes[key] == nil {
 			t.routes[key] = r
 		}
 	}
 	return t, nil
 }
 
-// Service is the configuration of a service, or nil if there is none.
+// Service returns the configuration of a service, or nil if there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Match finds the route of a request, or nil if none matches. host may have a port, path a query.
+// Match returns the route with the longest matching path prefix, or nil if no route matches. host may include a port, and path a
+// query.
 func (t *Table) Match(host, path string) *Route {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
@@ -142,28 +146,28 @@
 	return nil
 }
 
-// ServiceFor picks the service of a request on a route by its shares. The same key always gets the same service, so that all
-// attempts of one operation go to one service unless the shares change.
+// ServiceFor picks the service of a request on the route according to the weights of its shares. It hashes the key, so that all
+// attempts of one operation go to the same service unless the shares change.
 func (r *Route) ServiceFor(key string) string {
-	if len(r.Allotment) == 0 {
-		return r.Carrier
+	if len(r.Shares) == 0 {
+		return r.Service
 	}
 	sum := 0.0
-	for _, a := range r.Allotment {
-		sum += a.Share
+	for _, share := range r.Shares {
+		sum += share.Weight
 	}
 	h := fnv.New64a()
 	h.Write([]byte(key))
-	x := float64(mix(h.Sum64())>>11) / (1 << 53) * sum
-	for _, a := range r.Allotment {
-		if x -= a.Share; x < 0 {
-			return a.Carrier
+	position := float64(mix(h.Sum64())>>11) / (1 << 53) * sum
+	for _, share := range r.Shares {
+		if position -= share.Weight; position < 0 {
+			return share.Service
 		}
 	}
-	return r.Allotment[len(r.Allotment)-1].Carrier
+	return r.Shares[len(r.Shares)-1].Service
 }
 
-// mix is the finalizer of MurmurHash3: FNV leaves the high bits of short keys alike.
+// mix is the finalizer of MurmurHash3. It is needed because FNV hashes of short keys hardly differ in their high bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/mesh/routeconfig/routeconfig_test.go
+++ b/internal/mesh/routeconfig/routeconfig_test.go
@@ -9,10 +9,11 @@
 {"name":"d","depot":"other.example","lanePrefix":"/x/","routeKind":"download","carrier":"s1","tries":1}],
 "carriers":[{"name":"s1"},{"name":"s2","dedupSelf":true}]}`
 
-// Of a host's routes the longest prefix that ends at a slash counts; host names have no case and may carry a port.
+// Match returns the route with the longest prefix, and prefixes match only at slashes. Host names are compared without regard to
+// case and may include a port.
 func TestMatch(t *testing.T) {
 	table, err := Compile([]byte(text))
-	if err != nil || table.Edition != 12 {
+	if err != nil || table.Version != 12 {
 		t.Fatal(table, err)
 	}
 	for _, c := range []struct{ host, path, want string }{
@@ -30,7 +31,7 @@
 	}
 }
 
-// Shares are kept, and one key always gets the same service.
+// ServiceFor splits keys according to the shares, and the same key always gets the same service.
 func TestServiceFor(t *testing.T) {
 	table, err := Compile([]byte(text))
 	if err != nil {
@@ -48,7 +49,7 @@
 		}
 	}
 	if n < 850 || n > 1150 {
-		t.Fatalf("%d of 10000 for a tenth", n)
+		t.Fatalf("%d of 10000 keys went to the service with 10 %% of the weight", n)
 	}
 }
 
--- a/internal/mesh/routeconfig/validate/validate.go
+++ b/internal/mesh/routeconfig/validate/validate.go
@@ -1,5 +1,6 @@
-// Package validate checks a configuration before the control plane accepts it. The data plane does not import it: CUE, in which
-// the rules are written, takes memory and time that a proxy does not have.
+// Package validate checks a configuration (see package routeconfig) before the control plane accepts it. Its Validator applies
+// rules written in CUE. The data plane does not import this package because CUE takes more memory and time than a proxy can
+// spare.
 package validate
 
 import (
@@ -16,7 +17,8 @@
 	"beechwing/internal/mesh/routeconfig"
 )
 
-// rules is the operators' specification of a configuration in CUE. Structs are open: fields not named here are accepted.
+// rules is the operators' specification of a configuration in CUE. The structs are open: fields that are not named here are
+// accepted.
 const rules = `
 import "list"
 
@@ -55,59 +57,59 @@
 }
 `
 
-// mostKnown bounds the cache of valid pieces, and with it what the CUE context retains of them.
-const mostKnown = 4096
+// maxCached limits the number of cached parts, and thereby the memory that the CUE context retains for them.
+const maxCached = 4096
 
-// Validator checks configurations. It caches the pieces (routes, services, limits) found valid and does not check the same bytes
-// again, as a change touches a few routes of hundreds. It is not safe for concurrent use.
+// Validator checks configurations. It caches which parts (routes, services, limits) are valid and does not check the same bytes
+// again, because a change usually affects a few out of hundreds of routes. It is not safe for concurrent use.
 type Validator struct {
 	seed                   maphash.Seed
-	known                  map[uint64]bool
-	ctx                    *cue.Context // of the rules and of the pieces checked against them
+	valid                  map[uint64]bool // hashes of parts that are valid
+	ctx                    *cue.Context    // of the rules and of the parts checked against them
 	route, service, limits cue.Value
 }
 
-// New makes a validator.
+// New returns a validator.
 func New() *Validator {
 	v := &Validator{}
 	v.reset()
 	return v
 }
 
-// reset empties the cache and begins a new CUE context.
+// reset empties the cache and creates a new CUE context.
 func (v *Validator) reset() {
-	v.seed, v.known = maphash.MakeSeed(), map[uint64]bool{}
+	v.seed, v.valid = maphash.MakeSeed(), map[uint64]bool{}
 	v.ctx = cuecontext.New()
-	all := v.ctx.CompileString(rules)
-	v.route = all.LookupPath(cue.ParsePath("#Route"))
-	v.service = all.LookupPath(cue.ParsePath("#Service"))
-	v.limits = all.LookupPath(cue.ParsePath("#Limits"))
+	compiled := v.ctx.CompileString(rules)
+	v.route = compiled.LookupPath(cue.ParsePath("#Route"))
+	v.service = compiled.LookupPath(cue.ParsePath("#Service"))
+	v.limits = compiled.LookupPath(cue.ParsePath("#Limits"))
 }
 
-// Check returns the version of a valid configuration, or an error that names the field that is wrong.
+// Check returns the version of a valid configuration, or an error that names the invalid field.
 func (v *Validator) Check(text []byte) (uint64, error) {
-	var whole struct {
+	var config struct {
 		Edition     string            `json:"edition"`
 		Itineraries []json.RawMessage `json:"itineraries"`
 		Carriers    []json.RawMessage `json:"carriers"`
 		SizeLimits  json.RawMessage   `json:"sizeLimits"`
 	}
-	if err := strictJSON(text, &whole); err != nil {
+	if err := strictJSON(text, &config); err != nil {
 		return 0, err
 	}
-	version, err := routeconfig.ParseVersion(whole.Edition)
+	version, err := routeconfig.ParseVersion(config.Edition)
 	if err != nil {
 		return 0, err
 	}
-	if whole.Itineraries == nil || whole.Carriers == nil {
-		return 0, errors.New("itineraries and carriers: both have to be there")
+	if config.Itineraries == nil || config.Carriers == nil {
+		return 0, errors.New("itineraries and carriers: both are required")
 	}
-	if len(v.known) > mostKnown {
+	if len(v.valid) > maxCached {
 		v.reset()
 	}
 	services := map[string]bool{}
-	for _, raw := range whole.Carriers {
-		if err := v.piece("carriers", v.service, raw); err != nil {
+	for _, raw := range config.Carriers {
+		if err := v.checkPart("carriers", v.service, raw); err != nil {
 			return 0, err
 		}
 		var s routeconfig.Service
@@ -116,8 +118,8 @@
 		}
 		services[s.Name] = true
 	}
-	for _, raw := range whole.Itineraries {
-		if err := v.piece("itineraries", v.route, raw); err != nil {
+	for _, raw := range config.Itineraries {
+		if err := v.checkPart("itineraries", v.route, raw); err != nil {
 			return 0, err
 		}
 		var r routeconfig.Route
@@ -128,52 +130,52 @@
 			return 0, errors.Wrapf(err, "itineraries, %s", r.Name)
 		}
 	}
-	if whole.SizeLimits != nil {
-		if err := v.piece("sizeLimits", v.limits, whole.SizeLimits); err != nil {
+	if config.SizeLimits != nil {
+		if err := v.checkPart("sizeLimits", v.limits, config.SizeLimits); err != nil {
 			return 0, err
 		}
 	}
 	return version, nil
 }
 
-// checkServices checks that a route has a service, and that the configuration has all services of the route.
+// checkServices checks that a route names a service, and that the configuration contains all services that the route names.
 func checkServices(r *routeconfig.Route, services map[string]bool) error {
-	if r.Carrier == "" && len(r.Allotment) == 0 {
-		return errors.New("carrier: neither it nor an allotment is there")
+	if r.Service == "" && len(r.Shares) == 0 {
+		return errors.New("carrier: missing, and there is no allotment either")
 	}
-	if r.Carrier != "" && !services[r.Carrier] {
-		return errors.Newf("carrier: %q is not among the carriers", r.Carrier)
+	if r.Service != "" && !services[r.Service] {
+		return errors.Newf("carrier: %q is not among the carriers", r.Service)
 	}
-	for _, s := range r.Allotment {
-		if !services[s.Carrier] {
-			return errors.Newf("allotment.carrier: %q is not among the carriers", s.Carrier)
+	for _, s := range r.Shares {
+		if !services[s.Service] {
+			return errors.Newf("allotment.carrier: %q is not among the carriers", s.Service)
 		}
 	}
 	return nil
 }
 
-// piece checks one route, service or the limits; where is the field that it stands in.
-func (v *Validator) piece(where string, rule cue.Value, raw json.RawMessage) error {
-	h := maphash.Bytes(v.seed, append([]byte(where), raw...))
-	if v.known[h] {
+// checkPart checks one route, one service or the limits. field is the name of the field that contains the part.
+func (v *Validator) checkPart(field string, rule cue.Value, raw json.RawMessage) error {
+	h := maphash.Bytes(v.seed, append([]byte(field), raw...))
+	if v.valid[h] {
 		return nil
 	}
 	value := v.ctx.CompileBytes(raw)
 	if err := rule.Unify(value).Validate(cue.Concrete(true)); err != nil {
-		return errors.Newf("%s: %s", where, first(err))
+		return errors.Newf("%s: %s", field, firstError(err))
 	}
-	v.known[h] = true
+	v.valid[h] = true
 	return nil
 }
 
-// first is the first error of a CUE error list, in one line with the path of the field.
-func first(err error) string {
-	all := cueerrors.Errors(err)
-	if len(all) == 0 {
+// firstError returns the text of the first error in a CUE error list, in one line that starts with the path of the field.
+func firstError(err error) string {
+	list := cueerrors.Errors(err)
+	if len(list) == 0 {
 		return err.Error()
 	}
-	text := all[0].Error()
-	if path := all[0].Path(); len(path) > 0 {
+	text := list[0].Error()
+	if path := list[0].Path(); len(path) > 0 {
 		name := strings.Join(path, ".")
 		if at := strings.Index(text, ": "); at >= 0 {
 			text = text[at+2:]
@@ -183,14 +185,14 @@
 	return strings.Join(strings.Fields(text), " ")
 }
 
-// strictJSON decodes a text that has to be exactly one JSON value.
+// strictJSON decodes a text that must consist of exactly one JSON value.
 func strictJSON(text []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	if err := dec.Decode(into); err != nil {
 		return errors.Wrap(err, "cannot be read in full")
 	}
 	if dec.More() {
-		return errors.New("cannot be read in full: more follows it")
+		return errors.New("cannot be read in full: data after the JSON value")
 	}
 	return nil
 }
--- a/internal/mesh/sidecar/actions.go
+++ b/internal/mesh/sidecar/actions.go
@@ -30,7 +30,7 @@
 	case ep == nil:
 		p.runLater(func() { p.endAttempt(a, balancer.ConnectFailed, nil, "the host is no longer in the list") })
 		return
-	case req.arrivals >= max(1, req.route.Tries):
+	case req.arrivals >= max(1, req.route.MaxAttempts):
 		p.runLater(func() { p.endAttempt(a, balancer.Skipped, nil, "no attempts left") })
 		return
 	case req.arrivals > 0 && !p.retryBudget.Spend(req.service):
--- a/internal/mesh/sidecar/discovery.go
+++ b/internal/mesh/sidecar/discovery.go
@@ -272,7 +272,7 @@
 		pull.Seen = append(pull.Seen, &meshpb.Seen{Source: proxy, Version: d.records[proxy].Version})
 	}
 	if d.sidecar.table != nil {
-		pull.Edition = d.sidecar.table.Edition
+		pull.Edition = d.sidecar.table.Version
 	}
 	pull.Assignments = d.sidecar.shards.version()
 	if d.sidecar.opts.AgreedEjection {
@@ -315,12 +315,12 @@
 		}
 	}
 	p.shards.learn(update.Assignments)
-	if update.Edition > 0 && (p.table == nil || update.Edition > p.table.Edition) {
+	if update.Edition > 0 && (p.table == nil || update.Edition > p.table.Version) {
 		if table, err := decodeConfig(update.Text); err != nil {
 			p.opts.Log("configuration not understood", "edition", update.Edition, "error", err)
 		} else {
 			p.applyConfig(table)
-			p.opts.Log("in force", "edition", table.Edition, "routes", len(table.Config.Itineraries))
+			p.opts.Log("in force", "edition", table.Version, "routes", len(table.Config.Routes))
 			changed = false // applyConfig has updated the balancers
 		}
 	}
@@ -388,8 +388,8 @@
 		}
 	}
 	update.Records = append(update.Records, d.tombstonesFor(versions)...)
-	if p.table != nil && p.table.Edition > pull.Edition {
-		update.Edition, update.Text = p.table.Edition, packed.Pack(p.table.Text)
+	if p.table != nil && p.table.Version > pull.Edition {
+		update.Edition, update.Text = p.table.Version, packed.Pack(p.table.Text)
 	}
 	p.respond(from, m, &meshpb.Message{Update: update})
 }
--- a/internal/mesh/sidecar/dispatch.go
+++ b/internal/mesh/sidecar/dispatch.go
@@ -185,7 +185,7 @@
 		p.reply(req, Reply{Status: 503, RetryAfter: noHostsRetryAfter, FromProxy: true, Reason: "no hosts"})
 		return
 	}
-	if req.route.RouteKind == routeconfig.Tracked && req.IdempotencyKey != "" {
+	if req.route.Kind == routeconfig.Tracked && req.IdempotencyKey != "" {
 		// The host name tells tenants apart, so their keys do not collide.
 		req.IdempotencyKey = req.Host + "\x00" + req.IdempotencyKey
 	} else {
--- a/internal/mesh/sidecar/services.go
+++ b/internal/mesh/sidecar/services.go
@@ -17,15 +17,15 @@
 func (p *Sidecar) applyConfig(table *routeconfig.Table) {
 	p.table = table
 	classes, largeResponses := map[string][]class{}, map[string]bool{}
-	for i := range table.Config.Itineraries {
-		r := &table.Config.Itineraries[i]
+	for i := range table.Config.Routes {
+		r := &table.Config.Routes[i]
 		c := classOf(r)
-		names := []string{r.Carrier}
-		for _, a := range r.Allotment {
-			names = append(names, a.Carrier)
+		names := []string{r.Service}
+		for _, a := range r.Shares {
+			names = append(names, a.Service)
 		}
 		for _, name := range names {
-			largeResponses[name] = largeResponses[name] || r.RouteKind == routeconfig.Download
+			largeResponses[name] = largeResponses[name] || r.Kind == routeconfig.Download
 			if name != "" && !slices.Contains(classes[name], c) {
 				classes[name] = append(classes[name], c)
 			}
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -266,7 +266,7 @@
 	if p.table == nil {
 		return nil
 	}
-	return &p.table.Config.SizeLimits
+	return &p.table.Config.Limits
 }
 
 // Counts are counters since the start of the process.
@@ -319,7 +319,7 @@
 			ClientsLeft: maps.Clone(p.counts.ClientsLeft), SentAfterClientLeft: p.counts.SentAfterClientLeft,
 			Cancelled: maps.Clone(p.counts.Cancelled), Grants: p.counts.Grants, GrantsRefused: p.counts.GrantsRefused}}
 	if p.table != nil {
-		s.Edition = p.table.Edition
+		s.Edition = p.table.Version
 	}
 	for _, proxy := range p.discovery.proxies() {
 		s.Records = append(s.Records, p.discovery.records[proxy])
@@ -342,7 +342,7 @@
 	if p.table == nil {
 		return 0
 	}
-	return p.table.Edition
+	return p.table.Version
 }
 
 // Configuration returns the text and the version of the configuration in force, nil and 0 if there is none.
@@ -350,5 +350,5 @@
 	if p.table == nil {
 		return nil, 0
 	}
-	return p.table.Text, p.table.Edition
+	return p.table.Text, p.table.Version
 }
--- a/internal/mesh/simulation/actors.go
+++ b/internal/mesh/simulation/actors.go
@@ -237,22 +237,22 @@
 
 // ConfigVariant returns one of several different configurations with the same version, as two operators may send them.
 func ConfigVariant(version uint64, variant int) []byte {
-	c := routeconfig.Config{Edition: fmt.Sprintf("r%d", version),
-		Itineraries: []routeconfig.Route{
-			{Name: "read", Depot: "shop.example", LanePrefix: "/read/", RouteKind: routeconfig.Safe, TimeoutMs: 1200,
+	c := routeconfig.Config{Version: fmt.Sprintf("r%d", version),
+		Routes: []routeconfig.Route{
+			{Name: "read", Host: "shop.example", PathPrefix: "/read/", Kind: routeconfig.Safe, TimeoutMs: 1200,
 				TargetMs: 200,
-				Carrier:  "shop", Tries: 2},
-			{Name: "pay", Depot: "shop.example", LanePrefix: "/pay/", RouteKind: routeconfig.Tracked, TimeoutMs: 1000,
+				Service:  "shop", MaxAttempts: 2},
+			{Name: "pay", Host: "shop.example", PathPrefix: "/pay/", Kind: routeconfig.Tracked, TimeoutMs: 1000,
 				TargetMs: 200,
-				Carrier:  "till", Tries: 2},
-			{Name: "stock", Depot: "shop.example", LanePrefix: "/stock/", RouteKind: routeconfig.Safe, TimeoutMs: 1200,
+				Service:  "till", MaxAttempts: 2},
+			{Name: "stock", Host: "shop.example", PathPrefix: "/stock/", Kind: routeconfig.Safe, TimeoutMs: 1200,
 				TargetMs: 200,
-				Carrier:  shardedService, Tries: 2},
-			{Name: "new", Depot: "shop.example", LanePrefix: fmt.Sprintf("/new%d/", version+uint64(variant)<<32),
-				RouteKind: routeconfig.Safe, TimeoutMs: 1000,
-				TargetMs: 200, Carrier: "shop", Tries: 2}},
-		Carriers: []routeconfig.Service{{Name: "shop", HealthPath: "/health"}, {Name: "till", HealthPath: "/health"},
-			{Name: shardedService, HealthPath: "/health", Sharded: true, WarmUpS: 2}}}
+				Service:  shardedService, MaxAttempts: 2},
+			{Name: "new", Host: "shop.example", PathPrefix: fmt.Sprintf("/new%d/", version+uint64(variant)<<32),
+				Kind: routeconfig.Safe, TimeoutMs: 1000,
+				TargetMs: 200, Service: "shop", MaxAttempts: 2}},
+		Services: []routeconfig.Service{{Name: "shop", HealthPath: "/health"}, {Name: "till", HealthPath: "/health"},
+			{Name: shardedService, HealthPath: "/health", Sharded: true, WarmUpSeconds: 2}}}
 	text, err := json.Marshal(c)
 	if err != nil {
 		panic(err)
@@ -341,7 +341,7 @@
 				got(0)
 				return
 			}
-			got(table.Edition)
+			got(table.Version)
 		})
 	})
 }
--- a/internal/mesh/simulation/config_faults_test.go
+++ b/internal/mesh/simulation/config_faults_test.go
@@ -165,18 +165,18 @@
 		r.firstAt = r.w.Now
 	}
 	knownText := false
-	for _, sent := range r.sent[table.Edition] {
+	for _, sent := range r.sent[table.Version] {
 		knownText = knownText || bytes.Equal(sent, text)
 	}
 	switch {
 	case !knownText:
-		r.fail("%s returns a text under version %d that no operator sent", h.addr, table.Edition)
-	case table.Edition < minVersion:
-		r.fail("%s returns version %d, though %d was acknowledged or read before", h.addr, table.Edition, minVersion)
-	case table.Edition == r.acked && !bytes.Equal(text, r.text):
-		r.fail("%s returns another text under version %d than the acknowledged one", h.addr, table.Edition)
+		r.fail("%s returns a text under version %d that no operator sent", h.addr, table.Version)
+	case table.Version < minVersion:
+		r.fail("%s returns version %d, though %d was acknowledged or read before", h.addr, table.Version, minVersion)
+	case table.Version == r.acked && !bytes.Equal(text, r.text):
+		r.fail("%s returns another text under version %d than the acknowledged one", h.addr, table.Version)
 	}
-	r.newestAnswered = max(r.newestAnswered, table.Edition)
+	r.newestAnswered = max(r.newestAnswered, table.Version)
 }
 
 // After each fault, every server that is asked for the configuration returns the newest acknowledged one, complete, or
--- a/internal/mesh/simulation/large_config_test.go
+++ b/internal/mesh/simulation/large_config_test.go
@@ -17,9 +17,9 @@
 		t.Fatal(err)
 	}
 	for i := range routes {
-		c.Itineraries = append(c.Itineraries, routeconfig.Route{Name: fmt.Sprintf("more-%d", i), Depot: "shop.example",
-			LanePrefix: fmt.Sprintf("/more%d/", i), RouteKind: routeconfig.Safe, TimeoutMs: 1000, TargetMs: 200,
-			Carrier: "shop", Tries: 2})
+		c.Routes = append(c.Routes, routeconfig.Route{Name: fmt.Sprintf("more-%d", i), Host: "shop.example",
+			PathPrefix: fmt.Sprintf("/more%d/", i), Kind: routeconfig.Safe, TimeoutMs: 1000, TargetMs: 200,
+			Service: "shop", MaxAttempts: 2})
 	}
 	text, err := json.Marshal(c)
 	if err != nil {
