--- a/cmd/beechwing-sidecar/run.go
+++ b/cmd/beechwing-sidecar/run.go
@@ -26,43 +26,45 @@
 )
 
 const (
-	tickEvery     = 33 * time.Millisecond
-	slowLink      = 400.0                   // Mbit/s: on faster links a response of 100 KB delays nothing noticeably
-	linkShare     = 0.85                    // of a slow link, for large responses; the rest is for everything else
-	memoryShare   = 4                       // a quarter of the memory limit may be bodies in progress
-	releaseWithin = 5 * time.Second         // for a host to end what runs on the keys that it releases
-	noticeAfter   = 2200 * time.Millisecond // the platform probes readiness once a second and acts on the second failure
-	grantWithin   = 250 * time.Millisecond  // for a host to take its keys, on the same machine
-	lastSpare     = 900 * time.Millisecond  // before the platform kills a process that does not end
+	tickInterval      = 33 * time.Millisecond
+	slowLinkMbps      = 400.0                   // on faster links a response of 100 KB causes no noticeable delay
+	largeMessageShare = 0.85                    // share of a slow link for large messages; the rest is for all others
+	bodyMemoryDivisor = 4                       // bodies in progress may use 1/4 of the memory limit
+	releaseTimeout    = 5 * time.Second         // the host first finishes the requests on the released keys
+	unreadyNotice     = 2200 * time.Millisecond // minimum time until exit: the platform acts on the second failed probe, and probes once a second
+	grantTimeout      = 250 * time.Millisecond  // the host is on the same machine
+	killMargin        = 900 * time.Millisecond  // shutdown ends this long before the platform would kill the process
 )
 
-// program owns the sockets and the clock around the state machine, which does no I/O.
+// program is a running sidecar. It owns the sockets and the clock; the state machine in package sidecar does no I/O.
 type program struct {
 	log      *slog.Logger
 	clock    cli.Clock
 	settings *bootstrap.Settings
 	net      *transport.Net
 	host     *upstream.Host
-	hostID   string // the host that the connections of host are to
+	hostID   string // ID of the host to which the connections of upstream.Host are open
 
 	mu      sync.Mutex
 	sidecar *sidecar.Sidecar
-	running map[uint64]context.CancelFunc // requests at the host, by their jobs
+	running map[uint64]context.CancelFunc // requests that run at the host, by job
 }
 
 func run(ctx context.Context, s *bootstrap.Settings, opts cli.Options, log *slog.Logger) error {
 	if s.Listen.Outbound == "" || s.Listen.Ready == "" || s.AppAddress == "" {
-		return errors.New("settings: docking.outboundDock, docking.readyDock and appAddress: all have to be there")
+		return errors.New("settings: docking.outboundDock, docking.readyDock and appAddress are required")
 	}
 	bufs := wire.NewPool()
 	p := &program{log: log, clock: cli.NewClock(), settings: s, host: upstream.New(s.AppAddress, bufs),
 		running: map[uint64]context.CancelFunc{}}
-	o := sidecar.Options{Self: s.MeshAddress(), Zone: s.Zone, Service: s.Service, Seeds: s.Seeds(), HeartbeatInterval: float64(s.HeartbeatMs) / 1000,
-		RetryRatio: s.Parameter("retryRatio", 0.2), RetrySlack: s.Parameter("retrySlack", 0), MaxKeyHold: s.DurationParameter("holdMaxMs", 0).Seconds(), RecordVersion: uint64(time.Now().UnixMilli()),
-		Seed: rand.Uint64(), AgreedEjection: opts.AgreedEjection, MaxBodyBytes: max(16, s.Limits.MemoryMB/memoryShare) << 20,
-		Log: func(e string, args ...any) { log.Info(e, args...) }}
+	o := sidecar.Options{Self: s.MeshAddress(), Zone: s.Zone, Service: s.Service, Seeds: s.Seeds(),
+		HeartbeatInterval: float64(s.HeartbeatMs) / 1000, RetryRatio: s.Parameter("retryRatio", 0.2),
+		RetrySlack: s.Parameter("retrySlack", 0), MaxKeyHold: s.DurationParameter("holdMaxMs", 0).Seconds(),
+		RecordVersion: uint64(time.Now().UnixMilli()), Seed: rand.Uint64(), AgreedEjection: opts.AgreedEjection,
+		MaxBodyBytes: max(16, s.Limits.MemoryMB/bodyMemoryDivisor) << 20,
+		Log:          func(event string, args ...any) { log.Info(event, args...) }}
 	if log.Enabled(ctx, slog.LevelDebug) {
-		o.Debug = func(e string, args ...any) { log.Debug(e, args...) }
+		o.Debug = func(event string, args ...any) { log.Debug(event, args...) }
 	}
 	cli.SetMemoryLimit(s)
 	p.sidecar = sidecar.New(p.clock.Now(), o)
@@ -72,18 +74,19 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	var err error
 	p.mu.Lock()
-	if p.net, err = transport.ListenAt(cmp.Or(opts.ListenAddress, s.MeshAddress()), s.MeshAddress(), p.event); err != nil {
+	if p.net, err = transport.ListenAt(cmp.Or(opts.ListenAddress, s.MeshAddress()), s.MeshAddress(), p.handleEvent); err != nil {
 		p.mu.Unlock()
 		return err
 	}
 	p.net.SetQueueLimit(int64(o.MaxBodyBytes) / 2)
-	if mbps := s.Limits.LinkMbps; mbps > 0 && mbps < slowLink {
-		p.net.SetRate(mbps * 1e6 / 8 * linkShare)
+	if mbps := s.Limits.LinkMbps; mbps > 0 && mbps < slowLinkMbps {
+		p.net.SetRate(mbps * 1e6 / 8 * largeMessageShare)
 	}
 	p.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	for addr, h := range map[string]http.Handler{s.Listen.Ready: http.HandlerFunc(p.ready), s.Listen.Control: p.calls()} {
+	for addr, h := range map[string]http.Handler{s.Listen.Ready: http.HandlerFunc(p.serveReady),
+		s.Listen.Control: p.controlHandler()} {
 		if addr == "" {
 			continue
 		}
@@ -104,7 +107,7 @@
 	})
 	log.Info("listening", "name", s.NodeName, "outbound", s.Listen.Outbound, "inner", s.MeshAddress())
 	go func() {
-		tick := time.NewTicker(tickEvery)
+		tick := time.NewTicker(tickInterval)
 		defer tick.Stop()
 		for range tick.C {
 			p.with(func(now float64) {
@@ -119,58 +122,58 @@
 	return nil
 }
 
-// shutdown ends the process gracefully: new requests are sent elsewhere at once, those in progress go on until they are done, or until
-// shortly before the platform would kill the process.
+// shutdown shuts the process down gracefully. New requests are sent to other hosts at once. Requests in progress continue until
+// they are done, or until shortly before the platform would kill the process.
 func (p *program) shutdown(clients *listener.Listener) {
 	p.log.Info("ending")
-	told := time.Now()
-	last := told.Add(p.settings.DurationParameter("graceS", 6*time.Second) - lastSpare)
-	p.with(func(now float64) { p.sidecar.BeginShutdown(now, noticeAfter.Seconds()) })
+	startedAt := time.Now()
+	stopAt := startedAt.Add(p.settings.DurationParameter("graceS", 6*time.Second) - killMargin)
+	p.with(func(now float64) { p.sidecar.BeginShutdown(now, unreadyNotice.Seconds()) })
 	clients.DisableKeepAlives()
-	for time.Now().Before(last) {
-		time.Sleep(tickEvery)
+	for time.Now().Before(stopAt) {
+		time.Sleep(tickInterval)
 		idle := false
 		p.with(func(float64) { idle = p.sidecar.Idle() && p.net.Drained() })
-		if idle && time.Since(told) > noticeAfter {
+		if idle && time.Since(startedAt) > unreadyNotice {
 			break
 		}
 	}
-	clients.Close(time.Until(last.Add(lastSpare / 2)))
+	clients.Close(time.Until(stopAt.Add(killMargin / 2)))
 	p.net.Close()
-	p.log.Info("ended", "after", time.Since(told))
+	p.log.Info("ended", "after", time.Since(startedAt))
 }
 
-// with gives the state machine an input and carries out what it returns.
+// with calls the state machine and then executes its output, until there is no more output.
 func (p *program) with(input func(now float64)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	input(p.clock.Now())
 	for {
 		out := p.sidecar.TakeOutput()
-		for _, s := range out.Sends {
-			link := p.net.Send(s.To, s.Message)
-			if s.Via != nil {
-				*s.Via = link
+		for _, send := range out.Sends {
+			connection := p.net.Send(send.To, send.Message)
+			if send.Via != nil {
+				*send.Via = connection
 			}
 		}
-		for _, do := range out.Commands {
-			switch do := do.(type) {
+		for _, command := range out.Commands {
+			switch command := command.(type) {
 			case sidecar.Respond:
-				do.Request.ReplyTo.(chan sidecar.Reply) <- do.Reply
+				command.Request.ReplyTo.(chan sidecar.Reply) <- command.Reply
 			case sidecar.Exchange:
 				ctx, cancel := context.WithCancel(context.Background())
-				p.running[do.Job] = cancel
-				go p.exchange(ctx, do)
+				p.running[command.Job] = cancel
+				go p.exchange(ctx, command)
 			case sidecar.Abort:
-				if cancel := p.running[do.Job]; cancel != nil {
+				if cancel := p.running[command.Job]; cancel != nil {
 					cancel()
 				}
 			case sidecar.KeyCalls:
-				go p.callKeys(do)
+				go p.callKeys(command)
 			case sidecar.Probe:
 				go func() {
-					station, well := p.host.Probe(do.Path)
-					p.with(func(now float64) { p.sidecar.ProbeDone(now, station, well) })
+					hostID, healthy := p.host.Probe(command.Path)
+					p.with(func(now float64) { p.sidecar.ProbeDone(now, hostID, healthy) })
 				}()
 			}
 		}
@@ -180,7 +183,8 @@
 	}
 }
 
-func (p *program) event(e transport.Event) {
+// handleEvent passes an event of the transport to the state machine.
+func (p *program) handleEvent(e transport.Event) {
 	p.with(func(now float64) {
 		switch e := e.(type) {
 		case transport.Received:
@@ -193,33 +197,34 @@
 	})
 }
 
-// exchange sends a request to the host.
-func (p *program) exchange(ctx context.Context, do sidecar.Exchange) {
-	c := p.host.Run(ctx, do.Forward, p.clock.At(do.Deadline))
+// exchange sends a request to the host and reports the result to the state machine.
+func (p *program) exchange(ctx context.Context, command sidecar.Exchange) {
+	completion := p.host.Run(ctx, command.Forward, p.clock.At(command.Deadline))
 	p.with(func(now float64) {
-		p.running[do.Job]()
-		delete(p.running, do.Job)
-		p.sidecar.ExchangeDone(now, do.Job, c)
+		p.running[command.Job]()
+		delete(p.running, command.Job)
+		p.sidecar.ExchangeDone(now, command.Job, completion)
 	})
 }
 
-// callKeys makes calls about keys at the host, one after the other. A grant that has become old meanwhile is not sent.
-func (p *program) callKeys(do sidecar.KeyCalls) {
-	for _, call := range do.Calls {
-		within := grantWithin
-		if call.Release { // it is answered when what runs on the keys has ended
-			within = releaseWithin
+// callKeys makes the calls that grant keys to the host or release them, one after the other. Grants are not sent after their
+// GrantBefore time.
+func (p *program) callKeys(command sidecar.KeyCalls) {
+	for _, call := range command.Calls {
+		timeout := grantTimeout
+		if call.Release { // the host responds when the requests on the keys have ended
+			timeout = releaseTimeout
 		}
 		var result sidecar.KeyResult
-		if call.Release || p.clock.Now() < do.GrantBefore {
-			result = p.host.CallKeys(call, time.Now().Add(within))
+		if call.Release || p.clock.Now() < command.GrantBefore {
+			result = p.host.CallKeys(call, time.Now().Add(timeout))
 		}
 		p.with(func(now float64) { p.sidecar.KeyCallDone(now, call.ID, result) })
 	}
 }
 
-// ready answers the platform's readiness probe.
-func (p *program) ready(w http.ResponseWriter, r *http.Request) {
+// serveReady responds to the platform's readiness probe.
+func (p *program) serveReady(w http.ResponseWriter, r *http.Request) {
 	ready := false
 	p.with(func(float64) { ready = p.sidecar.Ready() })
 	if !ready {
@@ -227,7 +232,7 @@
 	}
 }
 
-// limits are those of the configuration in force, and the default ones where it has none.
+// limits returns the limits of the current configuration, with the defaults for limits that it does not set.
 func (p *program) limits() listener.Limits {
 	l := listener.DefaultLimits
 	p.mu.Lock()
@@ -236,13 +241,13 @@
 	if c == nil {
 		return l
 	}
-	ms := func(configured float64, otherwise time.Duration) time.Duration {
+	duration := func(configured float64, defaultValue time.Duration) time.Duration {
 		if configured <= 0 {
-			return otherwise
+			return defaultValue
 		}
 		return time.Duration(configured * float64(time.Millisecond))
 	}
-	l.HeadTimeout, l.IdleTimeout = ms(c.HeaderWaitMs, l.HeadTimeout), ms(c.IdleWaitMs, l.IdleTimeout)
+	l.HeadTimeout, l.IdleTimeout = duration(c.HeaderWaitMs, l.HeadTimeout), duration(c.IdleWaitMs, l.IdleTimeout)
 	if c.HeaderBytes > 0 {
 		l.HeadBytes = c.HeaderBytes
 	}
@@ -252,7 +257,7 @@
 	return l
 }
 
-// serve passes a client's request to the state machine and waits for the reply.
+// serve passes a client's request to the state machine and waits for its reply.
 func (p *program) serve(q *listener.Request) listener.Response {
 	o := &sidecar.Request{Method: q.Method, Target: q.Target, Host: q.Host, Fields: upstream.Fields(q.Header), Body: q.Body,
 		Framed: q.Framed, ID: q.Header.Get(sidecar.HeaderID), IdempotencyKey: q.Header.Get(sidecar.HeaderIdempotencyKey)}
@@ -266,7 +271,7 @@
 	return response(o, <-reply)
 }
 
-// response is the HTTP response for a reply.
+// response returns the HTTP response for a reply of the state machine.
 func response(o *sidecar.Request, r sidecar.Reply) listener.Response {
 	if r.Status == 0 {
 		return listener.Response{}
@@ -290,8 +295,8 @@
 	return a
 }
 
-// calls serves the control address.
-func (p *program) calls() http.Handler {
+// controlHandler returns the handler of the control address, which hosts send their heartbeats to.
+func (p *program) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	api.Handle(mux, "PUT /-/stations/{id}", api.SmallBodyBytes, func(c api.Request, b *api.Heartbeat) (*api.Empty, error) {
 		s, err := b.ToSidecar(c.ID)
@@ -312,53 +317,53 @@
 		return nil, nil
 	})
 	api.Handle(mux, "GET /-/state", api.SmallBodyBytes, func(api.Request, *api.Empty) (s *sidecar.State, err error) {
-		p.with(func(now float64) { known := p.sidecar.State(now); s = &known })
+		p.with(func(now float64) { state := p.sidecar.State(now); s = &state })
 		return s, nil
 	})
 	return mux
 }
 
-// metrics fills one scrape.
-func (p *program) metrics(page cli.Scrape) {
+// metrics fills in the metrics for one scrape.
+func (p *program) metrics(scrape cli.Scrape) {
 	var s sidecar.State
 	p.with(func(now float64) { s = p.sidecar.State(now) })
 	for status, n := range s.Counts.Replies {
-		page.SetCounter("beechwing_sidecar_answers_total", n, "status", strconv.Itoa(status))
+		scrape.SetCounter("beechwing_sidecar_answers_total", n, "status", strconv.Itoa(status))
 	}
-	countBy(page, "beechwing_sidecar_tries_total", "outcome", s.Counts.Attempts)
-	countBy(page, "beechwing_sidecar_turned_away_total", "why", s.Counts.Rejected)
-	page.SetCounter("beechwing_sidecar_runs_total", s.Counts.Runs)
-	page.SetCounter("beechwing_sidecar_late_runs_total", s.Counts.LateRuns)
-	page.SetCounter("beechwing_sidecar_doubts_total", s.Counts.PeerFailures)
-	countBy(page, "beechwing_sidecar_dropped_messages_total", "why", s.Counts.Dropped)
-	countBy(page, "beechwing_sidecar_clients_left_total", "place", s.Counts.ClientsLeft)
-	countBy(page, "beechwing_sidecar_cancelled_total", "place", s.Counts.Cancelled)
-	page.SetCounter("beechwing_sidecar_grants_total", s.Counts.Grants)
-	page.SetCounter("beechwing_sidecar_grants_refused_total", s.Counts.GrantsRefused)
-	page.SetCounter("beechwing_sidecar_tries_for_clients_left_total", s.Counts.SentAfterClientLeft)
-	page.SetCounter("beechwing_sidecar_host_connections_total", uint64(p.host.Opened()))
+	countBy(scrape, "beechwing_sidecar_tries_total", "outcome", s.Counts.Attempts)
+	countBy(scrape, "beechwing_sidecar_turned_away_total", "why", s.Counts.Rejected)
+	scrape.SetCounter("beechwing_sidecar_runs_total", s.Counts.Runs)
+	scrape.SetCounter("beechwing_sidecar_late_runs_total", s.Counts.LateRuns)
+	scrape.SetCounter("beechwing_sidecar_doubts_total", s.Counts.PeerFailures)
+	countBy(scrape, "beechwing_sidecar_dropped_messages_total", "why", s.Counts.Dropped)
+	countBy(scrape, "beechwing_sidecar_clients_left_total", "place", s.Counts.ClientsLeft)
+	countBy(scrape, "beechwing_sidecar_cancelled_total", "place", s.Counts.Cancelled)
+	scrape.SetCounter("beechwing_sidecar_grants_total", s.Counts.Grants)
+	scrape.SetCounter("beechwing_sidecar_grants_refused_total", s.Counts.GrantsRefused)
+	scrape.SetCounter("beechwing_sidecar_tries_for_clients_left_total", s.Counts.SentAfterClientLeft)
+	scrape.SetCounter("beechwing_sidecar_host_connections_total", uint64(p.host.Opened()))
 	if k := s.Keys; k != nil {
-		page.SetGauge("beechwing_sidecar_key_ranges", float64(k.Ranges), "state", "own")
-		page.SetGauge("beechwing_sidecar_key_ranges", float64(k.Held), "state", "held")
-		page.SetGauge("beechwing_sidecar_key_ranges", float64(k.Releasing), "state", "releasing")
-		page.SetGauge("beechwing_sidecar_key_lease_left_seconds", k.LeaseLeftSeconds)
+		scrape.SetGauge("beechwing_sidecar_key_ranges", float64(k.Ranges), "state", "own")
+		scrape.SetGauge("beechwing_sidecar_key_ranges", float64(k.Held), "state", "held")
+		scrape.SetGauge("beechwing_sidecar_key_ranges", float64(k.Releasing), "state", "releasing")
+		scrape.SetGauge("beechwing_sidecar_key_lease_left_seconds", k.LeaseLeftSeconds)
 	}
-	page.SetGauge("beechwing_sidecar_edition", float64(s.Edition))
-	page.SetBool("beechwing_sidecar_ready", s.Ready)
-	page.SetGauge("beechwing_sidecar_requests_open", float64(s.Requests))
-	page.SetGauge("beechwing_sidecar_host_requests", float64(s.Jobs))
-	page.SetGauge("beechwing_sidecar_waiting", float64(s.Queued), "queue", "in time")
-	page.SetGauge("beechwing_sidecar_waiting", float64(s.QueuedLate), "queue", "late")
-	page.SetGauge("beechwing_sidecar_roll", float64(len(s.Records)))
-	page.SetGauge("beechwing_sidecar_silent", float64(len(s.Silent)))
+	scrape.SetGauge("beechwing_sidecar_edition", float64(s.Edition))
+	scrape.SetBool("beechwing_sidecar_ready", s.Ready)
+	scrape.SetGauge("beechwing_sidecar_requests_open", float64(s.Requests))
+	scrape.SetGauge("beechwing_sidecar_host_requests", float64(s.Jobs))
+	scrape.SetGauge("beechwing_sidecar_waiting", float64(s.Queued), "queue", "in time")
+	scrape.SetGauge("beechwing_sidecar_waiting", float64(s.QueuedLate), "queue", "late")
+	scrape.SetGauge("beechwing_sidecar_roll", float64(len(s.Records)))
+	scrape.SetGauge("beechwing_sidecar_silent", float64(len(s.Silent)))
 	for service, n := range s.AvoidedHosts {
-		page.SetGauge("beechwing_sidecar_avoided_hosts", float64(n), "carrier", service)
+		scrape.SetGauge("beechwing_sidecar_avoided_hosts", float64(n), "carrier", service)
 	}
 }
 
-// countBy fills in a counter for each value of a label.
-func countBy(page cli.Scrape, name, label string, counts map[string]uint64) {
+// countBy sets a counter for each value of a label.
+func countBy(scrape cli.Scrape, name, label string, counts map[string]uint64) {
 	for value, n := range counts {
-		page.SetCounter(name, n, label, value)
+		scrape.SetCounter(name, n, label, value)
 	}
 }
