--- a/cmd/beechwing-control/calls.go
+++ b/cmd/beechwing-control/calls.go
@@ -13,110 +13,118 @@
 	"beechwing/internal/mesh/store"
 )
 
-// ask gives the machine a question and waits for its answer.
-func ask[T any](p *program, question func(now float64, answer func(T))) (T, bool) {
-	got := make(chan T, 1)
-	p.with(func(now float64) { question(now, func(t T) { got <- t }) })
-	late := time.NewTimer(answerWait)
-	defer late.Stop()
+// await calls the state machine and waits for its answer. It returns false if there is none within answerTimeout.
+func await[T any](p *program, call func(now float64, answer func(T))) (T, bool) {
+	answers := make(chan T, 1)
+	p.with(func(now float64) { call(now, func(t T) { answers <- t }) })
+	timeout := time.NewTimer(answerTimeout)
+	defer timeout.Stop()
 	select {
-	case t := <-got:
+	case t := <-answers:
 		return t, true
-	case <-late.C:
-		var none T
-		return none, false
+	case <-timeout.C:
+		var zero T
+		return zero, false
 	}
 }
 
-var errNow = api.Error{Status: http.StatusServiceUnavailable, Message: "no majority of the control processes can be reached from here now"}
+// errUnavailable is the error if this server has no contact to a majority or got no answer in time.
+var errUnavailable = api.Error{Status: http.StatusServiceUnavailable,
+	Message: "this server cannot reach a majority of the control servers at present"}
 
-func (p *program) calls() http.Handler {
+// controlHandler returns the handler of the control address, which operators use.
+func (p *program) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	api.Handle(mux, "PUT /-/timetable", api.LargeBodyBytes, func(c api.Request, _ *api.RawJSON) (*api.AcceptedConfig, error) {
-		return p.take(c.Body)
+		return p.submitConfiguration(c.Body)
 	})
 	api.Handle(mux, "GET /-/timetable", api.SmallBodyBytes, func(api.Request, *api.Empty) (*api.RawJSON, error) {
-		return p.read()
+		return p.readConfiguration()
 	})
-	// Only the proxy beside a host can close the way to it, so nothing that a host says may be acknowledged here.
-	elsewhere := api.Error{Status: http.StatusServiceUnavailable, Message: "beats go to the proxy beside the host"}
-	for _, call := range []string{"PUT", "DELETE"} {
-		api.Handle(mux, call+" /-/stations/{id}", api.SmallBodyBytes, func(api.Request, *api.Empty) (*api.Empty, error) {
-			return nil, elsewhere
+	// Only the proxy beside a host can stop requests to the host. A heartbeat or sign-off that was acknowledged here would not
+	// reach that proxy.
+	wrongProcess := api.Error{Status: http.StatusServiceUnavailable,
+		Message: "heartbeats must be sent to the proxy beside the host"}
+	for _, method := range []string{"PUT", "DELETE"} {
+		api.Handle(mux, method+" /-/stations/{id}", api.SmallBodyBytes, func(api.Request, *api.Empty) (*api.Empty, error) {
+			return nil, wrongProcess
 		})
 	}
-	api.Handle(mux, "PUT /-/orders/{id}", api.SmallBodyBytes, func(c api.Request, o *api.EjectionOrder) (*api.Empty, error) {
-		if o.By == "" {
+	api.Handle(mux, "PUT /-/orders/{id}", api.SmallBodyBytes, func(c api.Request, order *api.EjectionOrder) (*api.Empty, error) {
+		if order.By == "" {
 			return nil, api.Error{Status: http.StatusBadRequest, Message: "by: who says so?"}
 		}
-		err, told := ask(p, func(now float64, answer func(error)) {
-			p.server.OrderEjection(now, c.ID, o.Eject, o.Force, o.By, o.Reason, answer)
+		err, answered := await(p, func(now float64, answer func(error)) {
+			p.server.OrderEjection(now, c.ID, order.Eject, order.Force, order.By, order.Reason, answer)
 		})
 		switch {
-		case !told || errors.Is(err, control.ErrNoMajority):
-			return nil, errNow
+		case !answered || errors.Is(err, control.ErrNoMajority):
+			return nil, errUnavailable
 		case errors.Is(err, control.ErrNoHost):
 			return nil, api.Error{Status: http.StatusNotFound, Message: err.Error()}
 		case err != nil:
 			return nil, api.Error{Status: http.StatusConflict, Message: err.Error()}
 		}
-		p.log.Info("order", "station", c.ID, "out", o.Eject, "by", o.By, "why", o.Reason, "force", o.Force)
+		p.log.Info("order", "station", c.ID, "out", order.Eject, "by", order.By, "why", order.Reason, "force", order.Force)
 		return nil, nil
 	})
 	api.Handle(mux, "GET /-/state", api.SmallBodyBytes, func(api.Request, *api.Empty) (s *control.State, err error) {
-		p.with(func(now float64) { known := p.server.State(now); s = &known })
+		p.with(func(now float64) { state := p.server.State(now); s = &state })
 		return s, nil
 	})
 	return mux
 }
 
-// take checks a configuration and has it kept.
-func (p *program) take(text []byte) (*api.AcceptedConfig, error) {
+// submitConfiguration validates a configuration and has the control servers accept and store it.
+func (p *program) submitConfiguration(text []byte) (*api.AcceptedConfig, error) {
 	p.validatorMu.Lock()
 	if p.validator == nil {
 		p.validatorMu.Unlock()
-		return nil, errNow
+		return nil, errUnavailable
 	}
-	edition, err := p.validator.Check(text)
+	version, err := p.validator.Check(text)
 	p.validatorMu.Unlock()
 	if err != nil {
 		p.log.Warn("configuration refused", "error", err)
 		return nil, api.Error{Status: http.StatusBadRequest, Message: err.Error()}
 	}
-	result, told := ask(p, func(now float64, answer func(control.OrderResult)) { p.server.Order(now, edition, text, answer) })
-	if !told {
+	result, answered := await(p, func(now float64, answer func(control.OrderResult)) {
+		p.server.Order(now, version, text, answer)
+	})
+	if !answered {
 		result = control.OrderNoContact
 	}
-	p.log.Info("configuration", "edition", edition, "order", result)
+	p.log.Info("configuration", "edition", version, "order", result)
 	if result != control.OrderTaken {
-		return nil, p.refusal(result)
+		return nil, p.orderError(result)
 	}
-	return &api.AcceptedConfig{Version: edition}, nil
+	return &api.AcceptedConfig{Version: version}, nil
 }
 
-// read gives the newest configuration.
-func (p *program) read() (*api.RawJSON, error) {
-	type answered struct {
+// readConfiguration returns the newest configuration.
+func (p *program) readConfiguration() (*api.RawJSON, error) {
+	type configuration struct {
 		text   []byte
 		result control.OrderResult
 	}
-	a, told := ask(p, func(now float64, answer func(answered)) {
-		p.server.Configuration(now, func(text []byte, result control.OrderResult) { answer(answered{text, result}) })
+	newest, answered := await(p, func(now float64, answer func(configuration)) {
+		p.server.Configuration(now, func(text []byte, result control.OrderResult) { answer(configuration{text, result}) })
 	})
 	switch {
-	case !told:
-		return nil, errNow
-	case a.result != control.OrderTaken:
-		return nil, p.refusal(a.result)
-	case len(a.text) == 0:
-		return nil, api.Error{Status: http.StatusNotFound, Message: "no configuration has been taken yet"}
+	case !answered:
+		return nil, errUnavailable
+	case newest.result != control.OrderTaken:
+		return nil, p.orderError(newest.result)
+	case len(newest.text) == 0:
+		return nil, api.Error{Status: http.StatusNotFound, Message: "no configuration has been accepted yet"}
 	}
-	raw := api.RawJSON(a.text)
+	raw := api.RawJSON(newest.text)
 	return &raw, nil
 }
 
-// refusal words the end of an order that was not taken. A server that is no member names one.
-func (p *program) refusal(result control.OrderResult) error {
+// orderError returns the HTTP error for a configuration order that was not accepted. A server that is not a member redirects to a
+// member.
+func (p *program) orderError(result control.OrderResult) error {
 	switch result {
 	case control.OrderConflict:
 		return api.Error{Status: http.StatusConflict, Message: "another configuration was taken under this number"}
@@ -126,61 +134,61 @@
 		host, _, err := net.SplitHostPort(member)
 		_, port, portErr := net.SplitHostPort(p.settings.Listen.Control)
 		if err != nil || portErr != nil {
-			return errNow
+			return errUnavailable
 		}
-		return api.Error{Status: http.StatusTemporaryRedirect, Message: "this server is no member: ask " + member,
+		return api.Error{Status: http.StatusTemporaryRedirect, Message: "this server is not a member; use " + member,
 			Location: "http://" + net.JoinHostPort(host, port) + "/-/timetable"}
 	}
-	return errNow
+	return errUnavailable
 }
 
-// figures are what is counted, for a reading.
-func (p *program) figures(page cli.Scrape) {
+// metrics fills in the metrics for one scrape.
+func (p *program) metrics(scrape cli.Scrape) {
 	var s control.State
 	p.with(func(now float64) { s = p.server.State(now) })
-	page.SetCounter("beechwing_control_claims_total", s.Counts.Claims)
-	page.SetCounter("beechwing_control_claims_granted_total", s.Counts.Granted)
-	page.SetCounter("beechwing_control_settles_total", s.Counts.Settles)
-	page.SetCounter("beechwing_control_unsure_total", s.Counts.Unsure)
-	page.SetCounter("beechwing_control_untouched_total", s.Counts.Untouched)
-	page.SetCounter("beechwing_control_pulls_total", s.Counts.Pulls)
-	page.SetCounter("beechwing_control_view_changes_total", s.Counts.ViewChanges)
+	scrape.SetCounter("beechwing_control_claims_total", s.Counts.Claims)
+	scrape.SetCounter("beechwing_control_claims_granted_total", s.Counts.Granted)
+	scrape.SetCounter("beechwing_control_settles_total", s.Counts.Settles)
+	scrape.SetCounter("beechwing_control_unsure_total", s.Counts.Unsure)
+	scrape.SetCounter("beechwing_control_untouched_total", s.Counts.Untouched)
+	scrape.SetCounter("beechwing_control_pulls_total", s.Counts.Pulls)
+	scrape.SetCounter("beechwing_control_view_changes_total", s.Counts.ViewChanges)
 	for name, n := range s.Counts.Violations {
-		page.SetCounter("beechwing_control_invariant_violations_total", n, "invariant", string(name))
+		scrape.SetCounter("beechwing_control_invariant_violations_total", n, "invariant", string(name))
 	}
 	for end, n := range s.Counts.Orders {
-		page.SetCounter("beechwing_control_orders_total", n, "end", end)
+		scrape.SetCounter("beechwing_control_orders_total", n, "end", end)
 	}
 	for state, n := range s.Keys {
-		page.SetGauge("beechwing_control_registers", float64(n), "state", state)
+		scrape.SetGauge("beechwing_control_registers", float64(n), "state", state)
 	}
-	page.SetGauge("beechwing_control_oldest_claim_seconds", s.OldestClaimSeconds)
-	page.SetGauge("beechwing_control_edition_held", float64(s.HeldVersion))
-	page.SetGauge("beechwing_control_edition_in_force", float64(s.InForceVersion))
-	page.SetBool("beechwing_control_voting", s.Voting)
-	page.SetBool("beechwing_control_in_contact", s.InContact)
-	page.SetBool("beechwing_control_member", s.Member)
-	page.SetBool("beechwing_control_behind", s.Behind)
-	page.SetBool("beechwing_control_caught_up", s.CaughtUp)
-	page.SetGauge("beechwing_control_epoch", float64(s.Epoch))
-	page.SetGauge("beechwing_control_members", float64(len(s.Members)))
-	page.SetGauge("beechwing_control_standbys", float64(len(s.Standbys)))
-	page.SetGauge("beechwing_control_silent_members", float64(len(s.SilentMembers)))
-	page.SetGauge("beechwing_control_last_contact_seconds", s.SinceContactSeconds)
+	scrape.SetGauge("beechwing_control_oldest_claim_seconds", s.OldestClaimSeconds)
+	scrape.SetGauge("beechwing_control_edition_held", float64(s.HeldVersion))
+	scrape.SetGauge("beechwing_control_edition_in_force", float64(s.InForceVersion))
+	scrape.SetBool("beechwing_control_voting", s.Voting)
+	scrape.SetBool("beechwing_control_in_contact", s.InContact)
+	scrape.SetBool("beechwing_control_member", s.Member)
+	scrape.SetBool("beechwing_control_behind", s.Behind)
+	scrape.SetBool("beechwing_control_caught_up", s.CaughtUp)
+	scrape.SetGauge("beechwing_control_epoch", float64(s.Epoch))
+	scrape.SetGauge("beechwing_control_members", float64(len(s.Members)))
+	scrape.SetGauge("beechwing_control_standbys", float64(len(s.Standbys)))
+	scrape.SetGauge("beechwing_control_silent_members", float64(len(s.SilentMembers)))
+	scrape.SetGauge("beechwing_control_last_contact_seconds", s.SinceContactSeconds)
 	disk := p.writer.Stats()
-	page.SetBool("beechwing_control_disk_failing", disk.Condition != store.Healthy)
-	page.SetGauge("beechwing_control_disk_waiting", float64(disk.Values), "what", "values")
-	page.SetGauge("beechwing_control_disk_waiting", float64(disk.Messages), "what", "messages")
-	page.SetCounter("beechwing_control_disk_dropped_messages_total", disk.Dropped)
+	scrape.SetBool("beechwing_control_disk_failing", disk.Condition != store.Healthy)
+	scrape.SetGauge("beechwing_control_disk_waiting", float64(disk.Values), "what", "values")
+	scrape.SetGauge("beechwing_control_disk_waiting", float64(disk.Messages), "what", "messages")
+	scrape.SetCounter("beechwing_control_disk_dropped_messages_total", disk.Dropped)
 	for _, t := range p.work.Totals() {
-		page.SetCounter("beechwing_control_work_total", t.Count, "kind", string(t.Kind))
-		page.SetGauge("beechwing_control_work_seconds_total", t.Seconds, "kind", string(t.Kind))
+		scrape.SetCounter("beechwing_control_work_total", t.Count, "kind", string(t.Kind))
+		scrape.SetGauge("beechwing_control_work_seconds_total", t.Seconds, "kind", string(t.Kind))
 	}
 	for _, a := range s.Assignments {
-		page.SetGauge("beechwing_control_assignment_epoch", float64(a.Epoch), "carrier", a.Service)
-		page.SetGauge("beechwing_control_assignment_members", float64(a.Members), "carrier", a.Service)
-		page.SetGauge("beechwing_control_assignment_waiting", float64(len(a.AwaitedMembers)), "carrier", a.Service)
+		scrape.SetGauge("beechwing_control_assignment_epoch", float64(a.Epoch), "carrier", a.Service)
+		scrape.SetGauge("beechwing_control_assignment_members", float64(a.Members), "carrier", a.Service)
+		scrape.SetGauge("beechwing_control_assignment_waiting", float64(len(a.AwaitedMembers)), "carrier", a.Service)
 	}
-	page.SetGauge("beechwing_control_roll", float64(len(s.Records)))
-	page.SetGauge("beechwing_control_silent", float64(len(s.SilentProxies)))
+	scrape.SetGauge("beechwing_control_roll", float64(len(s.Records)))
+	scrape.SetGauge("beechwing_control_silent", float64(len(s.SilentProxies)))
 }
--- a/cmd/beechwing-control/disk.go
+++ b/cmd/beechwing-control/disk.go
@@ -11,79 +11,79 @@
 )
 
 const (
-	readAgainAfter = time.Second            // a folder that can't be read is read again
-	readSlowAfter  = 500 * time.Millisecond // a disk that has not been read yet is told
+	retryInterval = time.Second            // between attempts to read a directory that cannot be read
+	slowReadAfter = 500 * time.Millisecond // time after which a slow read is logged
 )
 
-// kept is what the folder held as the process started.
-type kept struct {
+// storeContents is the content of the data directory at the start of the process.
+type storeContents struct {
 	store  *store.Store
 	values map[string][]byte
 	found  bool
 	err    error
 }
 
-// openStore reads the folder. The process stays where that is slow or fails, says so, and tries again until
-// ctx ends.
-func (p *program) openStore(ctx context.Context) (kept, error) {
-	told := ""
+// openStore reads the data directory. If this is slow or fails, openStore logs the problem and tries again until ctx ends; the
+// process does not exit.
+func (p *program) openStore(ctx context.Context) (storeContents, error) {
+	logged := ""
 	for {
-		read := make(chan kept, 1)
+		read := make(chan storeContents, 1)
 		go func() {
-			var k kept
-			k.store, k.values, k.found, k.err = store.Open(p.settings.DataDir)
-			read <- k
+			var c storeContents
+			c.store, c.values, c.found, c.err = store.Open(p.settings.DataDir)
+			read <- c
 		}()
-		k, err := p.awaitRead(ctx, read)
-		if err != nil || k.err == nil {
-			return k, err
+		c, err := p.awaitRead(ctx, read)
+		if err != nil || c.err == nil {
+			return c, err
 		}
-		if why := k.err.Error(); why != told {
+		if why := c.err.Error(); why != logged {
 			p.log.Error("disk not read", "why", why)
-			told = why
+			logged = why
 		}
 		select {
 		case <-ctx.Done():
-			return kept{}, ctx.Err()
-		case <-time.After(readAgainAfter):
+			return storeContents{}, ctx.Err()
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// awaitRead waits for a reading of the folder, and says so if that takes long.
-func (p *program) awaitRead(ctx context.Context, read <-chan kept) (kept, error) {
-	slow := time.NewTimer(readSlowAfter)
+// awaitRead waits until the directory has been read, and logs if this takes long.
+func (p *program) awaitRead(ctx context.Context, read <-chan storeContents) (storeContents, error) {
+	slow := time.NewTimer(slowReadAfter)
 	defer slow.Stop()
 	for {
 		select {
-		case k := <-read:
-			return k, nil
+		case c := <-read:
+			return c, nil
 		case <-slow.C:
-			p.log.Warn("disk is read slowly", "seconds", readSlowAfter.Seconds())
+			p.log.Warn("disk is read slowly", "seconds", slowReadAfter.Seconds())
 		case <-ctx.Done():
-			return kept{}, ctx.Err()
+			return storeContents{}, ctx.Err()
 		}
 	}
 }
 
-// newWriter makes the part that writes to the disk, and sends what waited for it.
-func (p *program) newWriter(k kept) *store.Writer[transport.Send] {
+// newWriter returns the writer that stores values on the disk and then sends the messages that had to wait for them.
+func (p *program) newWriter(c storeContents) *store.Writer[transport.Send] {
 	return store.NewWriter(store.Options[transport.Send]{
-		Store:            timedKeeper{k.store, p},
-		Names:            slices.Collect(maps.Keys(k.values)),
+		Store:            timedStore{c.store, p},
+		Names:            slices.Collect(maps.Keys(c.values)),
 		Now:              p.clock.Now,
-		Release:          func(after []transport.Send) { p.timed(workRelease, func(float64) { p.send(after) }) },
+		Release:          func(messages []transport.Send) { p.timed(workRelease, func(float64) { p.send(messages) }) },
 		ConditionChanged: p.diskChanged,
 	})
 }
 
-// diskChanged says that the disk fails, or takes writes again.
-func (p *program) diskChanged(c store.ConditionChange) {
-	failing := c.Condition != store.Healthy
+// diskChanged logs a change of the disk's condition and reports to the state machine whether the disk is failing.
+func (p *program) diskChanged(change store.ConditionChange) {
+	failing := change.Condition != store.Healthy
 	if failing {
-		p.log.Error("disk", "condition", c.Condition, "why", c.Reason)
+		p.log.Error("disk", "condition", change.Condition, "why", change.Reason)
 	} else {
-		p.log.Info("disk", "condition", c.Condition)
+		p.log.Info("disk", "condition", change.Condition)
 	}
-	p.with(func(now float64) { p.server.SetDiskState(now, failing, c.Reason) })
+	p.with(func(now float64) { p.server.SetDiskState(now, failing, change.Reason) })
 }
--- a/cmd/beechwing-control/inbox.go
+++ b/cmd/beechwing-control/inbox.go
@@ -9,86 +9,90 @@
 	"beechwing/internal/mesh/transport"
 )
 
-// How much waits to be worked on before connections are no longer read: what comes then waits with its sender.
+// The limits of each queue of the inbox. When a queue is full, connections are no longer read, so that further messages wait at
+// their senders.
 const (
-	mostWaiting      = 1024    // messages
-	mostWaitingBytes = 8 << 20 // and bytes in them; one larger message has the room for itself
+	maxQueuedMessages = 1024
+	maxQueuedBytes    = 8 << 20 // total size of the messages; a larger message is accepted only into an empty queue
 )
 
-// inbox is what has come and waits to be worked on, in order, but for heartbeats: they go first, so that on a full processor no member is
-// taken for lost because its word waits behind other work.
+// inbox queues received messages until they are processed. Heartbeats go first, so that on a busy processor no member is
+// considered failed because its heartbeat waits behind other messages. Apart from that, messages are processed in the order of
+// their arrival.
 type inbox struct {
-	mu      sync.Mutex
-	filled  sync.Cond // something has come
-	emptied sync.Cond // there is room again
-	urgent  queue
-	normal  queue
+	mu       sync.Mutex
+	notEmpty sync.Cond // a message was added
+	notFull  sync.Cond // a message was removed
+	urgent   queue     // heartbeats
+	normal   queue     // all other messages
 }
 
-// queue is messages in order.
+// queue is a first-in-first-out queue of messages.
 type queue struct {
-	waiting []arrival
-	bytes   int
+	messages []queuedMessage
+	bytes    int
 }
 
-// arrival is a message with its size.
-type arrival struct {
+// queuedMessage is a message with its encoded size in bytes.
+type queuedMessage struct {
 	transport.Received
 	size int
 }
 
-func (q *queue) full(more int) bool {
-	n := len(q.waiting)
-	return n >= mostWaiting || n > 0 && q.bytes+more > mostWaitingBytes
+// full reports whether the queue has no room for a message of the given size.
+func (q *queue) full(size int) bool {
+	n := len(q.messages)
+	return n >= maxQueuedMessages || n > 0 && q.bytes+size > maxQueuedBytes
 }
 
-func (q *queue) add(a arrival) {
-	q.waiting, q.bytes = append(q.waiting, a), q.bytes+a.size
+func (q *queue) add(m queuedMessage) {
+	q.messages, q.bytes = append(q.messages, m), q.bytes+m.size
 }
 
-func (q *queue) first() transport.Received {
-	a := q.waiting[0]
-	q.waiting[0] = arrival{}
-	q.bytes -= a.size
-	if q.waiting = q.waiting[1:]; len(q.waiting) == 0 {
-		q.waiting = nil
+// pop removes and returns the first message.
+func (q *queue) pop() transport.Received {
+	m := q.messages[0]
+	q.messages[0] = queuedMessage{}
+	q.bytes -= m.size
+	if q.messages = q.messages[1:]; len(q.messages) == 0 {
+		q.messages = nil
 	}
-	return a.Received
+	return m.Received
 }
 
 func newInbox() *inbox {
 	b := &inbox{}
-	b.filled.L, b.emptied.L = &b.mu, &b.mu
+	b.notEmpty.L, b.notFull.L = &b.mu, &b.mu
 	return b
 }
 
-// put takes a message. It waits while too many others do.
-func (b *inbox) put(came transport.Received) {
+// put adds a message. It waits while the message's queue is full.
+func (b *inbox) put(received transport.Received) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	queue := &b.normal
-	if meshpb.IsHeartbeat(came.Message) {
+	if meshpb.IsHeartbeat(received.Message) {
 		queue = &b.urgent
 	}
-	a := arrival{came, proto.Size(came.Message)}
-	for queue.full(a.size) {
-		b.emptied.Wait()
+	m := queuedMessage{received, proto.Size(received.Message)}
+	for queue.full(m.size) {
+		b.notFull.Wait()
 	}
-	queue.add(a)
-	b.filled.Signal()
+	queue.add(m)
+	b.notEmpty.Signal()
 }
 
-// take gives the message that is to be worked on next, and waits for one.
+// take removes and returns the next message to process. It waits while there is none.
 func (b *inbox) take() transport.Received {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for len(b.urgent.waiting)+len(b.normal.waiting) == 0 {
-		b.filled.Wait()
+	for len(b.urgent.messages)+len(b.normal.messages) == 0 {
+		b.notEmpty.Wait()
 	}
 	queue := &b.urgent
-	if len(b.urgent.waiting) == 0 {
+	if len(b.urgent.messages) == 0 {
 		queue = &b.normal
 	}
-	b.emptied.Broadcast()
-	return queue.first()
+	b.notFull.Broadcast()
+	return queue.pop()
 }
--- a/cmd/beechwing-control/inbox_test.go
+++ b/cmd/beechwing-control/inbox_test.go
@@ -15,11 +15,11 @@
 	return transport.Received{From: "a", Message: &meshpb.Message{Id: n, Claim: &meshpb.Claim{}}}
 }
 
-// Heartbeats are worked on before all else that waits; all else keeps its order.
+// Heartbeats are processed before all other messages, and the others keep their order.
 func TestHeartbeatsGoFirst(t *testing.T) {
 	b := newInbox()
-	for _, came := range []transport.Received{claim(1), claim(2), heartbeat(3), claim(4), heartbeat(5)} {
-		b.put(came)
+	for _, message := range []transport.Received{claim(1), claim(2), heartbeat(3), claim(4), heartbeat(5)} {
+		b.put(message)
 	}
 	for _, want := range []uint64{3, 5, 1, 2, 4} {
 		if got := b.take().Message.Id; got != want {
@@ -28,46 +28,46 @@
 	}
 }
 
-// A full inbox holds up who brings more, and nobody who brings a heartbeat; nothing is lost by it.
+// put blocks while the queue is full, but not for a heartbeat, and no message is lost.
 func TestFullInboxHoldsUp(t *testing.T) {
 	b := newInbox()
-	for n := range uint64(mostWaiting) {
+	for n := range uint64(maxQueuedMessages) {
 		b.put(claim(n))
 	}
-	more := make(chan struct{})
+	blockedPut := make(chan struct{})
 	go func() {
-		b.put(claim(mostWaiting))
-		close(more)
+		b.put(claim(maxQueuedMessages))
+		close(blockedPut)
 	}()
 	b.put(heartbeat(9999))
 	select {
-	case <-more:
-		t.Error("a message was taken where there was no room")
+	case <-blockedPut:
+		t.Error("a message was accepted by a full queue")
 	default:
 	}
 	if got := b.take().Message.Id; got != 9999 {
-		t.Fatalf("took %d first", got)
+		t.Fatalf("took %d, want the heartbeat first", got)
 	}
-	for n := range uint64(mostWaiting + 1) {
+	for n := range uint64(maxQueuedMessages + 1) {
 		if got := b.take().Message.Id; got != n {
 			t.Fatalf("took %d, want %d", got, n)
 		}
 	}
-	<-more
+	<-blockedPut
 }
 
-// Large messages are bounded by their bytes; one that is larger than the bound comes through where nothing else waits.
+// A queue also limits the total size of its messages. A message larger than the limit is accepted only if the queue is empty.
 func TestInboxIsBoundedInBytes(t *testing.T) {
 	q := queue{}
-	if q.full(2 * mostWaitingBytes) {
-		t.Error("a message larger than the bound never comes through")
+	if q.full(2 * maxQueuedBytes) {
+		t.Error("an empty queue does not accept a message larger than the limit")
 	}
-	q.add(arrival{claim(1), mostWaitingBytes - 1})
+	q.add(queuedMessage{claim(1), maxQueuedBytes - 1})
 	if !q.full(2) || q.full(1) {
-		t.Error("the bound in bytes does not hold")
+		t.Error("the size limit is not applied exactly")
 	}
-	q.first()
-	if q.full(2 * mostWaitingBytes) {
-		t.Error("room is not given back")
+	q.pop()
+	if q.full(2 * maxQueuedBytes) {
+		t.Error("removing a message does not free its size")
 	}
 }
--- a/cmd/beechwing-control/main_test.go
+++ b/cmd/beechwing-control/main_test.go
@@ -27,49 +27,49 @@
 	})
 }
 
-const processFile = "process" // holds the number of the process that full-disk-control has become
+const pidFile = "process" // file that holds the process ID of full-disk-control
 
-// fullDiskControl is beechwing-control in a process that may not write a byte into any file: a full disk.
+// fullDiskControl runs beechwing-control in a process that may not write a byte to any file, which simulates a full disk.
 func fullDiskControl() {
-	number := fmt.Append(nil, os.Getpid())
-	if err := os.WriteFile(processFile, number, 0o644); err != nil {
+	pid := fmt.Append(nil, os.Getpid())
+	if err := os.WriteFile(pidFile, pid, 0o644); err != nil {
 		log.Fatal(err)
 	}
-	signal.Ignore(unix.SIGXFSZ) // then it is an error of the write, as on a full disk
-	var bound unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_FSIZE, &bound); err != nil {
+	signal.Ignore(unix.SIGXFSZ) // so that a write returns an error, as on a full disk
+	var limit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_FSIZE, &limit); err != nil {
 		log.Fatal(err)
 	}
-	bound.Cur = 0
-	if err := unix.Setrlimit(unix.RLIMIT_FSIZE, &bound); err != nil {
+	limit.Cur = 0
+	if err := unix.Setrlimit(unix.RLIMIT_FSIZE, &limit); err != nil {
 		log.Fatal(err)
 	}
 	os.Exit(Main())
 }
 
-// makeRoom lets the process that full-disk-control has become write again.
+// makeRoom allows the process of full-disk-control to write again.
 func makeRoom() {
-	text, err := os.ReadFile(processFile)
+	text, err := os.ReadFile(pidFile)
 	if err != nil {
 		log.Fatal(err)
 	}
-	number, err := strconv.Atoi(string(text))
+	pid, err := strconv.Atoi(string(text))
 	if err != nil {
 		log.Fatal(err)
 	}
-	var bound unix.Rlimit
-	if err := unix.Prlimit(number, unix.RLIMIT_FSIZE, nil, &bound); err != nil {
+	var limit unix.Rlimit
+	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, nil, &limit); err != nil {
 		log.Fatal(err)
 	}
-	bound.Cur = bound.Max
-	if err := unix.Prlimit(number, unix.RLIMIT_FSIZE, &bound, nil); err != nil {
+	limit.Cur = limit.Max
+	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, &limit, nil); err != nil {
 		log.Fatal(err)
 	}
 }
 
-// put sends a file to an address and prints the status of the answer. It asks until that is the one expected.
+// put sends a file to a URL until the response has the expected status. It fails after 80 s.
 func put() {
-	url, file, expected := os.Args[1], os.Args[2], os.Args[3]
+	url, file, wantStatus := os.Args[1], os.Args[2], os.Args[3]
 	text, err := os.ReadFile(file)
 	if err != nil {
 		log.Fatal(err)
@@ -84,31 +84,32 @@
 			continue
 		}
 		res.Body.Close()
-		if strconv.Itoa(res.StatusCode) == expected {
+		if strconv.Itoa(res.StatusCode) == wantStatus {
 			return
 		}
 	}
 	os.Exit(1)
 }
 
-// get prints what an address answers, and asks until the answer holds a word, for so many seconds (10).
+// get requests a URL until the response contains a text, and prints the response. It fails after the number of seconds in the
+// third argument, by default 10.
 func get() {
-	url, word, within := os.Args[1], os.Args[2], 10*time.Second
+	url, want, timeout := os.Args[1], os.Args[2], 10*time.Second
 	if len(os.Args) > 3 {
 		seconds, err := strconv.Atoi(os.Args[3])
 		if err != nil {
 			log.Fatal(err)
 		}
-		within = time.Duration(seconds) * time.Second
+		timeout = time.Duration(seconds) * time.Second
 	}
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		res, err := http.Get(url)
 		if err != nil {
 			continue
 		}
 		text, _ := io.ReadAll(res.Body)
 		res.Body.Close()
-		if strings.Contains(string(text), word) {
+		if strings.Contains(string(text), want) {
 			os.Stdout.Write(text)
 			return
 		}
--- a/cmd/beechwing-control/run.go
+++ b/cmd/beechwing-control/run.go
@@ -26,15 +26,15 @@
 )
 
 const (
-	tickEvery  = 33 * time.Millisecond
-	checkAfter = 700 * time.Millisecond // setting up the check of configurations takes longer than all else at the start
-	answerWait = 950 * time.Millisecond // a caller goes elsewhere after a second
+	tickInterval   = 33 * time.Millisecond
+	validatorDelay = 700 * time.Millisecond // creating the validator takes longer than the rest of the start
+	answerTimeout  = 950 * time.Millisecond // callers turn to another server after 1 s
 
-	leaveWithin    = 3 * time.Second // for another server to take this one's place, in a planned end
-	shutdownWithin = 2 * time.Second // for calls under way
+	leaveTimeout    = 3 * time.Second // for another server to take over the membership in a planned shutdown
+	shutdownTimeout = 2 * time.Second // for HTTP calls in progress
 )
 
-// program is the shell round the state machine: it owns sockets, disk and clock.
+// program is a running control server. It owns sockets, disk and clock; the state machine in package control does no I/O.
 type program struct {
 	log      *slog.Logger
 	clock    cli.Clock
@@ -53,56 +53,57 @@
 	validator   *validate.Validator
 }
 
-func run(ctx context.Context, d *bootstrap.Settings, says cli.Options, log *slog.Logger) error {
-	p := &program{log: log, clock: cli.NewClock(), settings: d, inbox: newInbox(), work: workload.NewMeter()}
-	if d.DataDir == "" {
-		return errors.New("settings: dataDir: is missing, and the control plane keeps its promises on disk")
+func run(ctx context.Context, s *bootstrap.Settings, opts cli.Options, log *slog.Logger) error {
+	p := &program{log: log, clock: cli.NewClock(), settings: s, inbox: newInbox(), work: workload.NewMeter()}
+	if s.DataDir == "" {
+		return errors.New("settings: dataDir: missing; a control server has to store its state on disk")
 	}
-	cli.SetMemoryLimit(d)
+	cli.SetMemoryLimit(s)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	disk, err := p.openStore(ctx)
-	if err != nil { // told to end before the disk was read
+	contents, err := p.openStore(ctx)
+	if err != nil { // shutdown was requested before the disk was read
 		log.Info("ending")
 		return nil
 	}
-	values, found := disk.values, disk.found
-	p.writer = p.newWriter(disk)
-	log.Info("disk read", "found", found, "values", len(values), "first", d.FirstStart)
-	p.server, err = control.New(p.clock.Now(), control.Options{Self: d.MeshAddress(), Seeds: d.Seeds(), Bootstrap: d.FirstStart,
-		Tolerance: d.Tolerance.Machines, RetentionSeconds: d.Parameter("passWindowS", 60),
-		LeaseSeconds: sharding.LeaseSeconds(d.DurationParameter("holdMaxMs", 0).Seconds()), Life: rand.Uint32() | 1, RandomSeed: rand.Uint64(),
-		Log: func(e string, args ...any) { log.Info(e, args...) }}, values)
+	values, found := contents.values, contents.found
+	p.writer = p.newWriter(contents)
+	log.Info("disk read", "found", found, "values", len(values), "first", s.FirstStart)
+	p.server, err = control.New(p.clock.Now(), control.Options{Self: s.MeshAddress(), Seeds: s.Seeds(), Bootstrap: s.FirstStart,
+		Tolerance: s.Tolerance.Machines, RetentionSeconds: s.Parameter("passWindowS", 60),
+		LeaseSeconds: sharding.LeaseSeconds(s.DurationParameter("holdMaxMs", 0).Seconds()),
+		Life:         rand.Uint32() | 1, RandomSeed: rand.Uint64(),
+		Log: func(event string, args ...any) { log.Info(event, args...) }}, values)
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
-	if p.net, err = transport.ListenAt(cmp.Or(says.ListenAddress, d.MeshAddress()), d.MeshAddress(), p.event); err != nil {
+	if p.net, err = transport.ListenAt(cmp.Or(opts.ListenAddress, s.MeshAddress()), s.MeshAddress(), p.handleEvent); err != nil {
 		p.mu.Unlock()
 		return err
 	}
 	p.mu.Unlock()
-	go p.hear()
-	go p.writer.Run(context.Background()) // calls that are open at the end still get their answers
-	server, err := cli.Serve(ctx, d.Listen.Control, p.calls(), log)
+	go p.processMessages()
+	go p.writer.Run(context.Background()) // not ctx, so that calls in progress at shutdown still get their responses
+	server, err := cli.Serve(ctx, s.Listen.Control, p.controlHandler(), log)
 	if err != nil {
 		return err
 	}
-	if err := cli.ServeMetrics(ctx, d, says.MetricsPort, p.figures, log); err != nil {
+	if err := cli.ServeMetrics(ctx, s, opts.MetricsPort, p.metrics, log); err != nil {
 		return err
 	}
-	time.AfterFunc(checkAfter, func() { // proxies that start as well need the rest first
+	time.AfterFunc(validatorDelay, func() { // delayed, because proxies that start at the same time need the other parts first
 		p.validatorMu.Lock()
 		defer p.validatorMu.Unlock()
 		p.validator = validate.New()
 	})
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGHUP)
-	go cli.WatchSettings(ctx, os.Getenv(bootstrap.EnvVariable), again, log, func(d *bootstrap.Settings) {
-		p.with(func(float64) { p.server.SetSeeds(d.Seeds()) })
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	go cli.WatchSettings(ctx, os.Getenv(bootstrap.EnvVariable), reload, log, func(s *bootstrap.Settings) {
+		p.with(func(float64) { p.server.SetSeeds(s.Seeds()) })
 	})
-	log.Info("listening", "name", d.NodeName, "control", d.Listen.Control, "inner", d.MeshAddress())
-	tick := time.NewTicker(tickEvery)
+	log.Info("listening", "name", s.NodeName, "control", s.Listen.Control, "inner", s.MeshAddress())
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -113,19 +114,20 @@
 		case <-ctx.Done():
 			log.Info("ending")
 			p.leave(tick.C)
-			end, cancel := context.WithTimeout(context.Background(), shutdownWithin)
+			shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 			defer cancel()
-			server.Shutdown(end)
+			server.Shutdown(shutdownCtx)
 			p.net.Close()
 			return nil
 		}
 	}
 }
 
-// leave goes on serving until this server's place has been given to one that waits for it, if there is any.
+// leave gives up this server's membership. It continues to serve until a standby server, if there is any, has taken over, or
+// until leaveTimeout.
 func (p *program) leave(ticks <-chan time.Time) {
 	p.with(func(now float64) { p.server.Leave(now) })
-	late := time.After(leaveWithin)
+	timeout := time.After(leaveTimeout)
 	for left := false; !left; {
 		select {
 		case <-ticks:
@@ -134,21 +136,21 @@
 				left = p.server.MayStop(now)
 			})
 			p.writer.Tick()
-		case <-late:
-			p.log.Warn("ending as a member", "waited", leaveWithin)
+		case <-timeout:
+			p.log.Warn("ending as a member", "waited", leaveTimeout)
 			return
 		}
 	}
 }
 
-// with gives the machine an input and sees to what it wants done.
+// with calls the state machine and executes its output.
 func (p *program) with(input func(now float64)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.step(input)
 }
 
-// step is with, while mu is held.
+// step is like with, but mu must be held.
 func (p *program) step(input func(now float64)) {
 	input(p.clock.Now())
 	for {
@@ -163,10 +165,10 @@
 	}
 }
 
-// send sends messages; those for this process come back as input. mu is held.
-func (p *program) send(all []transport.Send) {
+// send sends messages. Those to this process itself go back to the state machine. mu must be held.
+func (p *program) send(messages []transport.Send) {
 	self := p.settings.MeshAddress()
-	for _, s := range all {
+	for _, s := range messages {
 		if s.To == self {
 			p.server.HandleMessage(p.clock.Now(), self, s.Message)
 			continue
@@ -175,17 +177,18 @@
 	}
 }
 
-func (p *program) event(e transport.Event) {
-	if came, ok := e.(transport.Received); ok {
-		p.inbox.put(came)
+// handleEvent puts received messages into the inbox. It ignores the other events of the transport.
+func (p *program) handleEvent(e transport.Event) {
+	if received, ok := e.(transport.Received); ok {
+		p.inbox.put(received)
 	}
 }
 
-// hear works on what comes, for as long as the process runs.
-func (p *program) hear() {
+// processMessages passes the messages of the inbox to the state machine, as long as the process runs.
+func (p *program) processMessages() {
 	for {
-		came := p.inbox.take()
-		kind := workload.Kind(meshpb.Kind(came.Message))
-		p.timed(kind, func(now float64) { p.server.HandleMessage(now, came.From, came.Message) })
+		received := p.inbox.take()
+		kind := workload.Kind(meshpb.Kind(received.Message))
+		p.timed(kind, func(now float64) { p.server.HandleMessage(now, received.From, received.Message) })
 	}
 }
--- a/cmd/beechwing-sidecar/run.go
+++ b/cmd/beechwing-sidecar/run.go
@@ -31,7 +31,7 @@
 	largeMessageShare = 0.85                    // share of a slow link for large messages; the rest is for all others
 	bodyMemoryDivisor = 4                       // bodies in progress may use 1/4 of the memory limit
 	releaseTimeout    = 5 * time.Second         // the host first finishes the requests on the released keys
-	unreadyNotice     = 2200 * time.Millisecond // minimum time until exit: the platform acts on the second failed probe, and probes once a second
+	unreadyNotice     = 2200 * time.Millisecond // until the platform, which probes once a second, acts on the second failed probe
 	grantTimeout      = 250 * time.Millisecond  // the host is on the same machine
 	killMargin        = 900 * time.Millisecond  // shutdown ends this long before the platform would kill the process
 )
