--- a/cmd/beechwing-control/calls.go
+++ b/cmd/beechwing-control/calls.go
@@ -30,7 +30,7 @@
 
 // errUnavailable is the error if this server has no contact to a majority or got no answer in time.
 var errUnavailable = api.Error{Status: http.StatusServiceUnavailable,
-	Message: "this server cannot reach a majority of the control servers at present"}
+	Message: "no majority of the control processes can be reached from here now"}
 
 // controlHandler returns the handler of the control address, which operators use.
 func (p *program) controlHandler() http.Handler {
@@ -44,13 +44,13 @@
 	// Only the proxy beside a host can stop requests to the host. A heartbeat or sign-off that was acknowledged here would not
 	// reach that proxy.
 	wrongProcess := api.Error{Status: http.StatusServiceUnavailable,
-		Message: "heartbeats must be sent to the proxy beside the host"}
+		Message: "beats go to the proxy beside the host"}
 	for _, method := range []string{"PUT", "DELETE"} {
 		api.Handle(mux, method+" /-/stations/{id}", api.SmallBodyBytes, func(api.Request, *api.Empty) (*api.Empty, error) {
 			return nil, wrongProcess
 		})
 	}
-	api.Handle(mux, "PUT /-/orders/{id}", api.SmallBodyBytes, func(c api.Request, order *api.EjectionOrder) (*api.Empty, error) {
+	api.Handle(mux, "PUT /-/orders/{id}", api.SmallBodyBytes, func(c api.Request, order *api.Order) (*api.Empty, error) {
 		if order.By == "" {
 			return nil, api.Error{Status: http.StatusBadRequest, Message: "by: who says so?"}
 		}
@@ -116,7 +116,7 @@
 	case newest.result != control.OrderTaken:
 		return nil, p.orderError(newest.result)
 	case len(newest.text) == 0:
-		return nil, api.Error{Status: http.StatusNotFound, Message: "no configuration has been accepted yet"}
+		return nil, api.Error{Status: http.StatusNotFound, Message: "no configuration has been taken yet"}
 	}
 	raw := api.RawJSON(newest.text)
 	return &raw, nil
@@ -136,7 +136,7 @@
 		if err != nil || portErr != nil {
 			return errUnavailable
 		}
-		return api.Error{Status: http.StatusTemporaryRedirect, Message: "this server is not a member; use " + member,
+		return api.Error{Status: http.StatusTemporaryRedirect, Message: "this server is no member: ask " + member,
 			Location: "http://" + net.JoinHostPort(host, port) + "/-/timetable"}
 	}
 	return errUnavailable
--- a/cmd/beechwing-sidecar/run.go
+++ b/cmd/beechwing-sidecar/run.go
@@ -298,7 +298,7 @@
 // controlHandler returns the handler of the control address, which hosts send their heartbeats to.
 func (p *program) controlHandler() http.Handler {
 	mux := http.NewServeMux()
-	api.Handle(mux, "PUT /-/stations/{id}", api.SmallBodyBytes, func(c api.Request, b *api.Heartbeat) (*api.Empty, error) {
+	api.Handle(mux, "PUT /-/stations/{id}", api.SmallBodyBytes, func(c api.Request, b *api.Beat) (*api.Empty, error) {
 		s, err := b.ToSidecar(c.ID)
 		if err != nil {
 			return nil, err
--- a/internal/mesh/api/api.go
+++ b/internal/mesh/api/api.go
@@ -13,7 +13,8 @@
 	"beechwing/internal/mesh/sidecar"
 )
 
-// Error is an error with an HTTP status. Other errors that a call returns get status 503.
+// Error is an error with an HTTP status. Its message is sent to the caller, so the texts of messages are part of the API. Other
+// errors that a call returns get status 503.
 type Error struct {
 	Status   int
 	Message  string
@@ -75,23 +76,24 @@
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
-			return nil, Error{Status: http.StatusRequestEntityTooLarge, Message: "request body too large"}
+			return nil, Error{Status: http.StatusRequestEntityTooLarge, Message: "body is too large"}
 		}
-		return nil, Error{Status: http.StatusBadRequest, Message: "request body incomplete"}
+		return nil, Error{Status: http.StatusBadRequest, Message: "body has not come whole"}
 	}
 	in := new(In)
 	if _, empty := any(in).(*Empty); !empty {
 		if _, raw := any(in).(*RawJSON); raw {
 			*any(in).(*RawJSON) = body
 		} else if err := json.Unmarshal(body, in); err != nil {
-			return nil, Error{Status: http.StatusBadRequest, Message: "invalid JSON: " + err.Error()}
+			return nil, Error{Status: http.StatusBadRequest, Message: "cannot be read: " + err.Error()}
 		}
 	}
 	return serve(Request{ID: r.PathValue("id"), Body: body}, in)
 }
 
-// Heartbeat is the heartbeat that a host sends to the proxy beside it. The JSON names are those of the operators' API.
-type Heartbeat struct {
+// Beat is the heartbeat that a host sends to the proxy beside it. The JSON names are those of the operators' API. The name of the
+// type is visible to callers in errors of encoding/json, as is that of Order.
+type Beat struct {
 	Service      string  `json:"carrier"`
 	Address      string  `json:"address"`
 	Zone         string  `json:"zone"`
@@ -103,7 +105,7 @@
 }
 
 // ToSidecar validates a heartbeat of the host with the given ID and converts it to the sidecar's type.
-func (h *Heartbeat) ToSidecar(id string) (sidecar.Heartbeat, error) {
+func (h *Beat) ToSidecar(id string) (sidecar.Heartbeat, error) {
 	converted := sidecar.Heartbeat{ID: id, Service: h.Service, Address: h.Address, Zone: h.Zone, Slots: h.Slots,
 		WarmUpLeftMs: int(h.WarmUpLeftMs), Sequence: h.Sequence}
 	switch strings.TrimSpace(h.Condition) {
@@ -111,10 +113,10 @@
 	case "unloading":
 		converted.Draining = true
 	default:
-		return converted, Error{Status: http.StatusBadRequest, Message: "condition: want at_dock or unloading"}
+		return converted, Error{Status: http.StatusBadRequest, Message: "condition: neither at_dock nor unloading"}
 	}
 	if id == "" {
-		return converted, Error{Status: http.StatusBadRequest, Message: "stationId: missing"}
+		return converted, Error{Status: http.StatusBadRequest, Message: "stationId: is missing"}
 	}
 	return converted, nil
 }
@@ -125,8 +127,8 @@
 	Version uint64 `json:"taken"`
 }
 
-// EjectionOrder is an operator's order to eject a host for requests that must not run twice, or to restore the host.
-type EjectionOrder struct {
+// Order is an operator's order to eject a host for requests that must not run twice, or to restore the host.
+type Order struct {
 	Eject  bool   `json:"out"`
 	Force  bool   `json:"force"` // required if less than half of the service's hosts would remain
 	By     string `json:"by"`
--- a/internal/mesh/routeconfig/routeconfig.go
+++ b/internal/mesh/routeconfig/routeconfig.go
@@ -87,7 +87,7 @@
 	digits, found := strings.CutPrefix(text, "r")
 	n, err := strconv.ParseUint(digits, 10, 64)
 	if !found || err != nil {
-		return 0, errors.Newf("edition: %q is not the letter r followed by a number", text)
+		return 0, errors.Newf("edition: %q is not r and a number", text)
 	}
 	return n, nil
 }
--- a/internal/mesh/routeconfig/validate/validate.go
+++ b/internal/mesh/routeconfig/validate/validate.go
@@ -102,7 +102,7 @@
 		return 0, err
 	}
 	if config.Itineraries == nil || config.Carriers == nil {
-		return 0, errors.New("itineraries and carriers: both are required")
+		return 0, errors.New("itineraries and carriers: both have to be there")
 	}
 	if len(v.valid) > maxCached {
 		v.reset()
@@ -141,7 +141,7 @@
 // checkServices checks that a route names a service, and that the configuration contains all services that the route names.
 func checkServices(r *routeconfig.Route, services map[string]bool) error {
 	if r.Service == "" && len(r.Shares) == 0 {
-		return errors.New("carrier: missing, and there is no allotment either")
+		return errors.New("carrier: neither it nor an allotment is there")
 	}
 	if r.Service != "" && !services[r.Service] {
 		return errors.Newf("carrier: %q is not among the carriers", r.Service)
@@ -192,7 +192,7 @@
 		return errors.Wrap(err, "cannot be read in full")
 	}
 	if dec.More() {
-		return errors.New("cannot be read in full: data after the JSON value")
+		return errors.New("cannot be read in full: more follows it")
 	}
 	return nil
 }
