--- a/examples/mesh/fleet.go
+++ b/examples/mesh/fleet.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	behindPort = 1                     // added to the port that others know: where the process listens behind its relay
-	slice      = 25 * time.Millisecond // in which a process has its share of the processor
-	readyIn    = 15 * time.Second      // until a fleet is ready
+	portOffset     = 1                     // a process behind a relay listens at its mesh port plus this offset
+	throttlePeriod = 25 * time.Millisecond // period of which a throttled process runs for a share
+	readyTimeout   = 15 * time.Second      // for each proxy of a fleet to become ready
 )
 
-// fleet is control processes and proxies behind relays, which can be killed, stopped, cut off and robbed of their disks.
+// fleet is a set of control servers and proxies that communicate through relays. Its processes can be killed, paused and cut off,
+// and their disks wiped.
 type fleet struct {
 	dir      string
 	log      io.Writer
@@ -24,58 +25,61 @@
 	seeds    []string
 	controls []*machine
 	proxies  []*machine
-	hosts    []*server
+	hosts    []*toyHost
 }
 
-// machine is a process and its disk. It may be started again.
+// machine is a process and its disk. The process can be started again after it was killed.
 type machine struct {
 	fleet       *fleet
 	program, ip string
 	carrier     string
-	share       float64 // of a processor's time that the process has; 1: all that it wants
+	cpuShare    float64 // share of a processor's time that the process gets; 1: no limit
 
 	mu      sync.Mutex
 	process *process
-	life    atomic.Int64
-	stopped atomic.Bool // until it is let go on
+	life    atomic.Int64 // incremented at each start and kill, which ends throttling of the earlier process
+	stopped atomic.Bool  // the process is paused
 }
 
-// known is the address by which the others know a machine.
-func (m *machine) known() string { return fmt.Sprintf("%s:%d", m.ip, inner) }
+// address returns the address at which the other processes reach the machine, which is that of its relay.
+func (m *machine) address() string { return fmt.Sprintf("%s:%d", m.ip, meshPort) }
 
-// startFleet starts control processes and proxies, with a host beside each proxy.
+// startFleet starts control servers and proxies with a host beside each proxy, and waits until all proxies are ready.
 func startFleet(dir string, log io.Writer, controls, proxies int, share float64) (*fleet, error) {
 	f := &fleet{dir: dir, log: log, relays: newRelays()}
 	for i := range min(3, controls) {
-		f.seeds = append(f.seeds, fmt.Sprintf("127.0.7.%d:%d", i+1, control))
+		f.seeds = append(f.seeds, fmt.Sprintf("127.0.7.%d:%d", i+1, controlPort))
 	}
 	for i := range controls {
-		f.controls = append(f.controls, &machine{fleet: f, program: "beechwing-control", ip: fmt.Sprintf("127.0.7.%d", i+1), share: share})
+		f.controls = append(f.controls, &machine{fleet: f, program: "beechwing-control", ip: fmt.Sprintf("127.0.7.%d", i+1),
+			cpuShare: share})
 	}
 	for i := range proxies {
 		f.proxies = append(f.proxies, &machine{fleet: f, program: "beechwing-sidecar", ip: fmt.Sprintf("127.0.8.%d", i+1),
-			carrier: []string{"shop", "till"}[i%2], share: 1})
+			carrier: []string{"shop", "till"}[i%2], cpuShare: 1})
 	}
 	for _, m := range f.machines() {
-		if err := f.relays.serve(m.known(), fmt.Sprintf("%s:%d", m.ip, inner+behindPort)); err != nil {
+		if err := f.relays.serve(m.address(), fmt.Sprintf("%s:%d", m.ip, meshPort+portOffset)); err != nil {
 			return f, err
 		}
 		if err := m.start(true); err != nil {
 			return f, err
 		}
 	}
-	before := len(servers)
+	before := len(toyHosts)
 	for i, m := range f.proxies {
-		if err := host(m.ip, m.carrier, i); err != nil {
+		if err := startHost(m.ip, m.carrier, i); err != nil {
 			return f, err
 		}
 	}
-	f.hosts = servers[before:]
+	f.hosts = toyHosts[before:]
 	if err := configure(f.seeds); err != nil {
 		return f, err
 	}
 	for _, m := range f.proxies {
-		if err := until(readyIn, func() bool { return status(fmt.Sprintf("http://%s:%d/-/ready", m.ip, ready)) == 200 }); err != nil {
+		if err := waitUntil(readyTimeout, func() bool {
+			return getStatus(fmt.Sprintf("http://%s:%d/-/ready", m.ip, readyPort)) == 200
+		}); err != nil {
 			return f, fmt.Errorf("%s is not ready: %w", m.ip, err)
 		}
 	}
@@ -86,9 +90,9 @@
 	return append(append([]*machine(nil), f.controls...), f.proxies...)
 }
 
-// stop ends everything.
+// stop ends all processes, relays and hosts.
 func (f *fleet) stop() {
-	f.relays.join()
+	f.relays.clearFaults()
 	for _, m := range f.machines() {
 		m.kill()
 	}
@@ -98,7 +102,7 @@
 	}
 }
 
-// start starts the process on what its disk holds.
+// start starts the process with the data on its disk. It does nothing if the process is running.
 func (m *machine) start(first bool) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,33 +113,34 @@
 	if err != nil {
 		return err
 	}
-	m.process, err = launch(m.program, m.ip, path, m.fleet.log, "--listen-inner", fmt.Sprintf("%s:%d", m.ip, inner+behindPort))
+	m.process, err = launch(m.program, m.ip, path, m.fleet.log, "--listen-inner", fmt.Sprintf("%s:%d", m.ip, meshPort+portOffset))
 	if err != nil {
 		m.process = nil
 		return err
 	}
 	m.stopped.Store(false)
 	life := m.life.Add(1)
-	if m.share < 1 {
+	if m.cpuShare < 1 {
 		go m.throttle(m.process.cmd.Process, life)
 	}
 	return nil
 }
 
-// throttle gives a process its share of a processor: it runs for a part of each slice and stands still for the rest.
+// throttle limits a process to its share of a processor: the process runs for that share of each period and is paused for the
+// rest.
 func (m *machine) throttle(p *os.Process, life int64) {
-	runs := time.Duration(m.share * float64(slice))
+	runs := time.Duration(m.cpuShare * float64(throttlePeriod))
 	for m.life.Load() == life {
 		if !m.stopped.Load() {
 			p.Signal(syscall.SIGCONT)
 		}
 		time.Sleep(runs)
 		p.Signal(syscall.SIGSTOP)
-		time.Sleep(slice - runs)
+		time.Sleep(throttlePeriod - runs)
 	}
 }
 
-// kill ends the process at once. What it had written stays on its disk.
+// kill kills the process. The data that it has written stays on its disk.
 func (m *machine) kill() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -148,7 +153,7 @@
 	m.process = nil
 }
 
-// pause holds the process up, and resume lets it go on.
+// pause pauses the process until resume.
 func (m *machine) pause() { m.signal(true, syscall.SIGSTOP) }
 
 func (m *machine) resume() { m.signal(false, syscall.SIGCONT) }
@@ -162,5 +167,5 @@
 	}
 }
 
-// wipe empties the disk of a machine whose process is not running.
+// wipe deletes the data of a machine whose process is not running.
 func (m *machine) wipe() error { return os.RemoveAll(dataDir(m.fleet.dir, m.ip)) }
--- a/examples/mesh/main.go
+++ b/examples/mesh/main.go
@@ -1,11 +1,12 @@
-// Command mesh starts a small mesh on loopback: control processes, proxies with a toy host beside each, an operator who sends
-// a configuration, and clients. It says how long that took, what was answered, and what it cost.
+// Command mesh starts a small mesh on loopback addresses: control servers, sidecars with a toy host beside each, an operator who
+// submits a configuration, and clients. It prints how long the start took, how many requests were served, and the CPU time and
+// memory that this took.
 //
 //	go run ./examples/mesh              # builds the programs into target/ first
 //	go run ./examples/mesh -rate 400 -for 10s
-//	go run ./examples/mesh -added -work 1ms        # what the mesh adds to a call, from paired calls (added.go)
-//	go run ./examples/mesh -soak 20 -controls 4    # processes killed, stopped, cut off and wiped by lot (soak.go)
-//	go run ./examples/mesh -removal -proxies 24   # hosts fail and are taken out under traffic; their records judge (removal.go)
+//	go run ./examples/mesh -added -work 1ms        # latency that the mesh adds to a call (added.go)
+//	go run ./examples/mesh -soak 20 -controls 4    # random faults: processes killed, paused, cut off, disks wiped (soak.go)
+//	go run ./examples/mesh -removal -proxies 24    # hosts fail and are ejected under traffic (removal.go)
 package main
 
 import (
@@ -28,29 +29,30 @@
 	"time"
 )
 
-// The ports of all machines, which have an address of loopback each.
+// The ports of each machine. All machines use the same ports, and each has a loopback address of its own.
 const (
-	inner    = 7620
-	outbound = 8304
-	ready    = 8302
-	control  = 8306
-	app      = 8301
+	meshPort     = 7620
+	outboundPort = 8304
+	readyPort    = 8302
+	controlPort  = 8306
+	hostPort     = 8301
 )
 
 var (
-	controls  = flag.Int("controls", 3, "control processes")
-	proxies   = flag.Int("proxies", 4, "proxies, each with a host")
-	rate      = flag.Int("rate", 200, "requests a second")
-	length    = flag.Duration("for", 3*time.Second, "how long clients ask")
-	work      = flag.Duration("work", 10*time.Millisecond, "how long a host works on a request")
-	level     = flag.String("log", "warn", "least level of the programs' logs")
-	soaks     = flag.Int("soak", 0, "seeds of troubles by lot to play, one after the other, with hosts and clients that judge (soak.go)")
-	firstSeed = flag.Uint64("seed", 1, "the first of them")
-	share     = flag.Float64("share", 1, "of a processor's time that each control process has, with -soak")
-	removal   = flag.Bool("removal", false, "hosts fail, die and are taken out by hand under traffic")
-	profiles  = flag.String("profiles", "", "folder for a CPU profile of each process")
+	controls     = flag.Int("controls", 3, "number of control servers")
+	proxies      = flag.Int("proxies", 4, "number of proxies, each with a host")
+	rate         = flag.Int("rate", 200, "requests per second")
+	loadDuration = flag.Duration("for", 3*time.Second, "how long clients send requests")
+	workTime     = flag.Duration("work", 10*time.Millisecond, "how long a host takes for a request")
+	logLevel     = flag.String("log", "warn", "minimum log level of the programs")
+	soakSeeds    = flag.Int("soak", 0, "number of seeds for which to run the test with random faults, one after the other (soak.go)")
+	firstSeed    = flag.Uint64("seed", 1, "the first seed, with -soak")
+	cpuShare     = flag.Float64("share", 1, "share of a processor's time that each control server gets, with -soak")
+	removal      = flag.Bool("removal", false, "run the test in which hosts fail, die and are ejected by an operator under traffic")
+	profileDir   = flag.String("profiles", "", "directory for a CPU profile of each process")
 )
 
+// process is a running program of the mesh.
 type process struct {
 	name, ip string
 	cmd      *exec.Cmd
@@ -68,8 +70,8 @@
 	if out, err := exec.Command("go", "build", "-o", "target/", "./cmd/beechwing-sidecar", "./cmd/beechwing-control").CombinedOutput(); err != nil {
 		return fmt.Errorf("build: %w\n%s", err, out)
 	}
-	if *soaks > 0 {
-		return soakAll(*soaks)
+	if *soakSeeds > 0 {
+		return soakAll(*soakSeeds)
 	}
 	dir, err := os.MkdirTemp("", "mesh")
 	if err != nil {
@@ -79,16 +81,16 @@
 	var all []*process
 	defer func() {
 		stop(all)
-		for _, s := range servers {
+		for _, s := range toyHosts {
 			s.stop()
 		}
-		servers = nil
+		toyHosts = nil
 	}()
 	var seeds []string
 	for i := range min(3, *controls) {
-		seeds = append(seeds, fmt.Sprintf("127.0.7.%d:%d", i+1, control))
+		seeds = append(seeds, fmt.Sprintf("127.0.7.%d:%d", i+1, controlPort))
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	for i := range *controls {
 		p, err := start(dir, "beechwing-control", fmt.Sprintf("127.0.7.%d", i+1), "", seeds)
 		if err != nil {
@@ -102,49 +104,55 @@
 			return err
 		}
 		all = append(all, p)
-		if err := host(p.ip, []string{"shop", "till"}[i%2], i); err != nil {
+		if err := startHost(p.ip, []string{"shop", "till"}[i%2], i); err != nil {
 			return err
 		}
 	}
 	if err := configure(seeds); err != nil {
 		return err
 	}
-	fmt.Printf("configuration taken by a majority of %d control processes %v after the start\n", *controls, time.Since(began).Round(time.Millisecond))
+	fmt.Printf("configuration accepted by a majority of %d control servers %v after the start\n",
+		*controls, time.Since(startedAt).Round(time.Millisecond))
 	for _, p := range all[*controls:] {
-		if err := until(10*time.Second, func() bool { return status("http://"+p.ip+":"+strconv.Itoa(ready)+"/-/ready") == 200 }); err != nil {
+		if err := waitUntil(10*time.Second, func() bool {
+			return getStatus("http://"+p.ip+":"+strconv.Itoa(readyPort)+"/-/ready") == 200
+		}); err != nil {
 			return fmt.Errorf("%s is not ready: %w", p.ip, err)
 		}
 	}
 	if *removal {
-		time.Sleep(1500 * time.Millisecond) // the beats of all hosts have come round
-		return prove(all[*controls:], seeds)
+		time.Sleep(1500 * time.Millisecond) // until the heartbeats of all hosts have reached all proxies
+		return testRemoval(all[*controls:], seeds)
 	}
 	if *added {
-		time.Sleep(1500 * time.Millisecond) // the beats of all hosts have come round
-		return compareAdded(all[*controls:])
-	}
-	fmt.Printf("%d proxies ready %v after the start\n", *proxies, time.Since(began).Round(time.Millisecond))
-	time.Sleep(500 * time.Millisecond) // the beats of all hosts have come round
-	rest := usage(all)
-	show(all[*controls].ip)
-	asked, served, times := load(all[*controls:])
-	if asked == 0 {
-		return fmt.Errorf("nothing was asked")
-	}
-	end := usage(all)
-	slices.Sort(times)
-	fmt.Printf("%d of %d requests served, p50 %v, p99 %v (a host works %v)\n", served, asked, times[len(times)/2].Round(100*time.Microsecond),
-		times[len(times)*99/100].Round(100*time.Microsecond), *work)
+		time.Sleep(1500 * time.Millisecond) // until the heartbeats of all hosts have reached all proxies
+		return compareLatency(all[*controls:])
+	}
+	fmt.Printf("%d proxies ready %v after the start\n", *proxies, time.Since(startedAt).Round(time.Millisecond))
+	time.Sleep(500 * time.Millisecond) // until the heartbeats of all hosts have reached all proxies
+	before := usage(all)
+	showDeduplication(all[*controls].ip)
+	sent, served, latencies := sendLoad(all[*controls:])
+	if sent == 0 {
+		return fmt.Errorf("no request was sent")
+	}
+	after := usage(all)
+	slices.Sort(latencies)
+	fmt.Printf("%d of %d requests served, p50 %v, p99 %v (a host takes %v)\n",
+		served, sent, latencies[len(latencies)/2].Round(100*time.Microsecond),
+		latencies[len(latencies)*99/100].Round(100*time.Microsecond), *workTime)
 	for _, kind := range []string{"beechwing-sidecar", "beechwing-control"} {
-		fmt.Printf("%-9s  %.3f ms of CPU a request over all of them, %d to %d MB at rest, %d MB at the end\n", kind,
-			float64((end[kind].cpu-rest[kind].cpu).Microseconds())/1000/float64(asked), rest[kind].least, rest[kind].most, end[kind].most)
+		fmt.Printf("%-9s  %.3f ms of CPU time per request, summed over its processes; %d to %d MB before the load, at most %d MB after it\n",
+			kind, float64((after[kind].cpu-before[kind].cpu).Microseconds())/1000/float64(sent),
+			before[kind].minMB, before[kind].maxMB, after[kind].maxMB)
 	}
-	if served < asked*99/100 {
-		return fmt.Errorf("only %d of %d were served", served, asked)
+	if served < sent*99/100 {
+		return fmt.Errorf("only %d of %d requests were served", served, sent)
 	}
 	return nil
 }
 
+// start writes the settings file of a process and starts the process.
 func start(dir, program, ip, carrier string, seeds []string) (*process, error) {
 	path, err := writeSettings(dir, program, ip, carrier, seeds, true)
 	if err != nil {
@@ -154,13 +162,13 @@
 	if program == "beechwing-sidecar" && *removal {
 		args = append(args, "--agreed-ejection")
 	}
-	if *profiles != "" {
-		args = append(args, "--profile", filepath.Join(*profiles, program+"-"+ip+".pprof"))
+	if *profileDir != "" {
+		args = append(args, "--profile", filepath.Join(*profileDir, program+"-"+ip+".pprof"))
 	}
 	return launch(program, ip, path, os.Stderr, args...)
 }
 
-// writeSettings writes the settings file of a process, and gives its path.
+// writeSettings writes the settings file of a process and returns its path.
 func writeSettings(dir, program, ip, carrier string, seeds []string, first bool) (string, error) {
 	quoted := make([]string, len(seeds))
 	for i, s := range seeds {
@@ -169,23 +177,24 @@
 	text := fmt.Sprintf("nodeName = %q\nstationRole = %q\nip = %q\nzone = \"a\"\nsparePorts = [%d,%d]\nseedDepots = [%s]\n"+
 		"firstStart = %v\nbeatMs = 1500\ndataDir = %q\nappAddress = \"%s:%d\"\ncarrier = %q\nbounds = [\"passWindowS=60\",\"retryRatio=0.2\","+
 		"\"retrySlack=60\",\"graceS=6\"]\n[docking]\noutboundDock = \"%s:%d\"\nreadyDock = \"%s:%d\"\ncontrolDock = \"%s:%d\"\n"+
-		"[sizeLimits]\nmemoryMb = 256\n[tolerance]\nmachines = 1\n", program+"-"+ip, program, ip, inner, inner+15, strings.Join(quoted, ","),
-		first, dataDir(dir, ip), ip, app, carrier, ip, outbound, ip, ready, ip, control)
+		"[sizeLimits]\nmemoryMb = 256\n[tolerance]\nmachines = 1\n", program+"-"+ip, program, ip, meshPort, meshPort+15, strings.Join(quoted, ","),
+		first, dataDir(dir, ip), ip, hostPort, carrier, ip, outboundPort, ip, readyPort, ip, controlPort)
 	path := filepath.Join(dir, ip+".toml")
 	return path, os.WriteFile(path, []byte(text), 0o644)
 }
 
-// dataDir is the disk of a machine.
+// dataDir returns the data directory of a machine.
 func dataDir(dir, ip string) string { return filepath.Join(dir, "data-"+ip) }
 
-// launch starts a program on a settings file.
+// launch starts a program with a settings file.
 func launch(program, ip, settings string, log io.Writer, args ...string) (*process, error) {
-	cmd := exec.Command("target/"+program, append([]string{"run", "--log", *level}, args...)...)
+	cmd := exec.Command("target/"+program, append([]string{"run", "--log", *logLevel}, args...)...)
 	cmd.Env = append(os.Environ(), "BEECHWING_SETTINGS="+settings, "GOMAXPROCS=1")
 	cmd.Stderr = log
 	return &process{program, ip, cmd}, cmd.Start()
 }
 
+// stop shuts processes down and waits until they have ended.
 func stop(all []*process) {
 	for _, p := range all {
 		p.cmd.Process.Signal(syscall.SIGTERM)
@@ -195,35 +204,35 @@
 	}
 }
 
-// host serves a toy host beside a proxy, and sends its beats there.
-func host(ip, carrier string, n int) error {
+// startHost starts a toy host beside a proxy. The host sends heartbeats to this proxy.
+func startHost(ip, carrier string, n int) error {
 	id := fmt.Sprintf("i-%d", n)
-	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip, app))
+	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip, hostPort))
 	if err != nil {
 		return err
 	}
 	var runs atomic.Int64
-	s := &server{id: id, carrier: carrier, ln: ln}
-	servers = append(servers, s)
+	s := &toyHost{id: id, carrier: carrier, ln: ln}
+	toyHosts = append(toyHosts, s)
 	go http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Beechwing-Addressee") != id {
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		}
-		lost := s.ran(r.Header.Get("Beechwing-Once-Key"))
-		time.Sleep(*work)
-		if lost { // it has run, and nobody hears of it
+		loseResponse := s.recordRun(r.Header.Get("Beechwing-Once-Key"))
+		time.Sleep(*workTime)
+		if loseResponse { // the request has run, but the client gets no response
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set("Beechwing-Consignment-Id", r.Header.Get("Beechwing-Consignment-Id"))
 		w.Header().Set("Beechwing-Postmark", fmt.Sprintf("%s.%d", id, runs.Add(1)))
-		fmt.Fprintf(w, "%s of %s answers %s, asked by %s\n", id, carrier, r.URL.Path, r.Header.Get("Beechwing-Sender-Carrier"))
+		fmt.Fprintf(w, "%s of %s responds to %s, requested by %s\n", id, carrier, r.URL.Path, r.Header.Get("Beechwing-Sender-Carrier"))
 	}))
 	go func() {
 		for seq := 1; !s.stopped.Load(); seq++ {
 			beat := fmt.Sprintf(`{"carrier":%q,"address":"%s:%d","zone":"a","edition":"v1","berths":16,"condition":"at_dock","sequence":%d}`,
-				carrier, ip, app, seq)
-			if put(fmt.Sprintf("http://%s:%d/-/stations/%s", ip, control, id), beat) == 200 {
+				carrier, ip, hostPort, seq)
+			if put(fmt.Sprintf("http://%s:%d/-/stations/%s", ip, controlPort, id), beat) == 200 {
 				time.Sleep(1500 * time.Millisecond)
 			} else {
 				time.Sleep(20 * time.Millisecond)
@@ -233,20 +242,20 @@
 	return nil
 }
 
-// configure is the operator: the configuration is sent until it is taken.
+// configure acts as the operator: it sends the configuration until a control server accepts it.
 func configure(seeds []string) error {
 	text, err := configText(1)
 	if err != nil {
 		return err
 	}
 	n := 0
-	return until(10*time.Second, func() bool {
+	return waitUntil(10*time.Second, func() bool {
 		n++
 		return put("http://"+seeds[n%len(seeds)]+"/-/timetable", text) == 200
 	})
 }
 
-// configText is the configuration of a version: a route for reads and one for operations, the same in each.
+// configText returns the configuration of a version. All versions have the same two routes, one for reads and one for operations.
 func configText(version int) (string, error) {
 	var c struct {
 		Edition     string           `json:"edition"`
@@ -265,18 +274,20 @@
 	return string(text), err
 }
 
-func until(most time.Duration, f func() bool) error {
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if f() {
+// waitUntil waits until a condition is met, and returns an error if this takes longer than the time-out.
+func waitUntil(timeout time.Duration, condition func() bool) error {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		if condition() {
 			return nil
 		}
 	}
-	return fmt.Errorf("not within %v", most)
+	return fmt.Errorf("condition not met within %v", timeout)
 }
 
 var client = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
-func status(url string) int {
+// getStatus returns the HTTP status of a GET request, or 0 if there is no response.
+func getStatus(url string) int {
 	res, err := client.Get(url)
 	if err != nil {
 		return 0
@@ -286,6 +297,7 @@
 	return res.StatusCode
 }
 
+// put returns the HTTP status of a PUT request, or 0 if there is no response.
 func put(url, body string) int {
 	req, err := http.NewRequest(http.MethodPut, url, bytes.NewBufferString(body))
 	if err != nil {
@@ -300,8 +312,9 @@
 	return res.StatusCode
 }
 
-func ask(ip, path, key string, n int) (*http.Response, string, error) {
-	req, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s:%d%s", ip, outbound, path), strings.NewReader("a seat"))
+// sendRequest sends request number n through the proxy at an IP address, with an idempotency key unless key is empty.
+func sendRequest(ip, path, key string, n int) (*http.Response, string, error) {
+	req, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s:%d%s", ip, outboundPort, path), strings.NewReader("a seat"))
 	if err != nil {
 		return nil, "", err
 	}
@@ -320,54 +333,57 @@
 	return res, string(text), err
 }
 
-// show asks for an operation twice: the second try gets the first one's answer.
-func show(ip string) {
+// showDeduplication sends the same operation twice. The second request gets the response of the first one.
+func showDeduplication(ip string) {
 	for n := range 2 {
-		res, text, err := ask(ip, "/pay/seat", "k-1", n)
+		res, text, err := sendRequest(ip, "/pay/seat", "k-1", n)
 		if err != nil {
-			fmt.Println("asked:", err)
+			fmt.Println("request failed:", err)
 			return
 		}
 		fmt.Printf("POST /pay/seat with key k-1 at %s: %d, postmark %s: %s", ip, res.StatusCode, res.Header.Get("Beechwing-Postmark"), text)
 	}
 }
 
-func load(proxies []*process) (asked, served int, times []time.Duration) {
+// sendLoad sends requests at the rate of the flag -rate, to all proxies in turn. Every third one is an operation with a key.
+func sendLoad(proxies []*process) (sent, served int, latencies []time.Duration) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	tick := time.NewTicker(time.Second / time.Duration(*rate))
 	defer tick.Stop()
-	for end := time.Now().Add(*length); time.Now().Before(end); {
+	for end := time.Now().Add(*loadDuration); time.Now().Before(end); {
 		<-tick.C
-		asked++
-		n := asked
+		sent++
+		n := sent
 		wg.Go(func() {
 			path, key := "/read/list", ""
 			if n%3 == 0 {
 				path, key = "/pay/seat", fmt.Sprintf("k-%d", n+10)
 			}
-			at := time.Now()
-			res, _, err := ask(proxies[n%len(proxies)].ip, path, key, n+10)
+			startedAt := time.Now()
+			res, _, err := sendRequest(proxies[n%len(proxies)].ip, path, key, n+10)
 			mu.Lock()
 			defer mu.Unlock()
-			times = append(times, time.Since(at))
+			latencies = append(latencies, time.Since(startedAt))
 			if err == nil && res.StatusCode == 200 {
 				served++
 			}
 		})
 	}
 	wg.Wait()
-	return asked, served, times
+	return sent, served, latencies
 }
 
-type used struct {
-	cpu         time.Duration
-	least, most int
+// resourceUsage is what the processes of one program have used: CPU time in total, and the smallest and largest memory of a
+// process.
+type resourceUsage struct {
+	cpu          time.Duration
+	minMB, maxMB int
 }
 
-// usage is what the processes of each kind have used: CPU in all, memory in MB.
-func usage(all []*process) map[string]used {
-	out := map[string]used{}
+// usage returns the resource usage by program.
+func usage(all []*process) map[string]resourceUsage {
+	out := map[string]resourceUsage{}
 	for _, p := range all {
 		u := out[p.name]
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
@@ -378,10 +394,10 @@
 			pages, _ := strconv.Atoi(fields[21])
 			mb := pages * os.Getpagesize() >> 20
 			u.cpu += time.Duration(user+system) * 10 * time.Millisecond
-			if u.least == 0 || mb < u.least {
-				u.least = mb
+			if u.minMB == 0 || mb < u.minMB {
+				u.minMB = mb
 			}
-			u.most = max(u.most, mb)
+			u.maxMB = max(u.maxMB, mb)
 		}
 		out[p.name] = u
 	}
--- a/examples/mesh/mesh_test.go
+++ b/examples/mesh/mesh_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Hosts fail, die and are taken out by hand under live traffic, and a proxy is killed: the hosts' records judge.
+// Hosts fail, die and are ejected by an operator under traffic, and a proxy is killed. The test fails if an operation ran twice,
+// if a successful one did not run, or if a host received requests while it was ejected by the operator.
 func TestRemovalUnderTraffic(t *testing.T) {
 	t.Chdir("../..")
 	*removal, *proxies, *rate = true, 24, 150
@@ -11,12 +12,13 @@
 	}
 }
 
-// Processes are killed, stopped, cut off and robbed of a disk by lot, two or three troubles at a time, under traffic: the hosts' records,
-// what is read back and the processes' own invariants judge. For hours: go run ./examples/mesh -soak 100 -controls 4 -seed 1000.
+// Processes are killed, paused and cut off and a disk is wiped at random, with two or three overlapping faults, under traffic.
+// The test fails if the runs recorded by the hosts, the configuration that is read back or the processes' own invariants are
+// wrong. For a longer run: go run ./examples/mesh -soak 100 -controls 4 -seed 1000.
 func TestSoak(t *testing.T) {
 	t.Chdir("../..")
-	*soaks, *controls, *proxies, *rate = 1, 4, 6, 60
-	defer func() { *soaks = 0 }()
+	*soakSeeds, *controls, *proxies, *rate = 1, 4, 6, 60
+	defer func() { *soakSeeds = 0 }()
 	if err := run(); err != nil {
 		t.Fatal(err)
 	}
--- a/examples/mesh/relay.go
+++ b/examples/mesh/relay.go
@@ -12,81 +12,82 @@
 	"beechwing/internal/mesh/meshpb"
 )
 
-// relays carry what the processes of a mesh say to each other, and can be told to hold it up: each process listens behind a relay at the
-// address that the others know. A cut is silent, as behind a network that drops packets: bytes wait, and connections stay.
+// relays carry the connections between the processes of a fleet, and can block them. Each process listens behind a relay, which
+// has the address that the other processes know. A cut is silent, like that of a network that drops packets: data waits, and
+// connections stay open.
 type relays struct {
-	mu    sync.Mutex
-	cuts  map[route]bool
-	lossy map[route]bool // the next bytes are lost, and their connection with them
-	open  map[net.Conn]route
-	ends  []net.Listener
+	mu          sync.Mutex
+	cuts        map[direction]bool
+	dropNext    map[direction]bool // the next bytes are lost, and their connection is closed
+	connections map[net.Conn]direction
+	listeners   []net.Listener
 }
 
-// route is from whose address to whose something goes.
-type route struct{ from, to string }
+// direction is a pair of mesh addresses, for what goes from one process to another.
+type direction struct{ from, to string }
 
 const (
-	relayLook  = 5 * time.Millisecond // between looks whether a cut has ended
-	firstFrame = 4 << 10              // bytes: a greeting is shorter
-	frameHead  = 4
+	pollInterval    = 5 * time.Millisecond // between checks whether a cut has ended
+	maxFirstFrame   = 4 << 10              // in bytes; the Hello of a process is shorter
+	frameHeaderSize = 4
 )
 
 func newRelays() *relays {
-	return &relays{cuts: map[route]bool{}, lossy: map[route]bool{}, open: map[net.Conn]route{}}
+	return &relays{cuts: map[direction]bool{}, dropNext: map[direction]bool{}, connections: map[net.Conn]direction{}}
 }
 
-// serve relays from the address that others know to the one at which the process listens.
-func (r *relays) serve(known, behind string) error {
-	ln, err := net.Listen("tcp", known)
+// serve relays connections from the address that the other processes know to the address at which the process listens.
+func (r *relays) serve(address, processAddress string) error {
+	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
-	r.ends = append(r.ends, ln)
+	r.listeners = append(r.listeners, ln)
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go r.carry(c, known, behind)
+			go r.relayConnection(c, address, processAddress)
 		}
 	}()
 	return nil
 }
 
-// carry relays one connection. Its first frame says who has connected.
-func (r *relays) carry(c net.Conn, known, behind string) {
+// relayConnection relays one connection. The Hello in its first frame names the process that has connected.
+func (r *relays) relayConnection(c net.Conn, address, processAddress string) {
 	defer c.Close()
-	frame, from, err := greeting(c)
+	frame, from, err := readHello(c)
 	if err != nil {
 		return
 	}
-	there := route{from, known}
-	r.wait(there)
-	target, err := net.Dial("tcp", behind)
+	incoming := direction{from, address}
+	r.waitWhileCut(incoming)
+	target, err := net.Dial("tcp", processAddress)
 	if err != nil {
 		return
 	}
 	defer target.Close()
-	r.hold(c, there)
-	defer r.release(c)
+	r.track(c, incoming)
+	defer r.untrack(c)
 	if _, err := target.Write(frame); err != nil {
 		return
 	}
 	done := make(chan struct{}, 2)
-	go r.pump(c, target, there, done)
-	go r.pump(target, c, route{known, from}, done)
+	go r.copyBytes(c, target, incoming, done)
+	go r.copyBytes(target, c, direction{address, from}, done)
 	<-done
 }
 
-// greeting reads the first frame of a connection.
-func greeting(c net.Conn) (frame []byte, from string, err error) {
-	var head [frameHead]byte
+// readHello reads the first frame of a connection.
+func readHello(c net.Conn) (frame []byte, from string, err error) {
+	var head [frameHeaderSize]byte
 	if _, err := io.ReadFull(c, head[:]); err != nil {
 		return nil, "", err
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size > firstFrame {
+	if size > maxFirstFrame {
 		return nil, "", io.ErrUnexpectedEOF
 	}
 	body := make([]byte, size)
@@ -100,8 +101,8 @@
 	return append(head[:], body...), m.GetHello().GetFrom(), nil
 }
 
-// pump carries bytes one way until the connection ends.
-func (r *relays) pump(from, to net.Conn, way route, done chan<- struct{}) {
+// copyBytes copies bytes in one direction until the connection ends.
+func (r *relays) copyBytes(from, to net.Conn, dir direction, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, 32<<10)
 	for {
@@ -109,8 +110,8 @@
 		if err != nil {
 			return
 		}
-		r.wait(way)
-		if r.loses(way) {
+		r.waitWhileCut(dir)
+		if r.takeDrop(dir) {
 			return
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
@@ -119,71 +120,71 @@
 	}
 }
 
-// wait holds what goes one way up for as long as that is cut.
-func (r *relays) wait(way route) {
-	for r.isCut(way) {
-		time.Sleep(relayLook)
+// waitWhileCut waits as long as a direction is cut.
+func (r *relays) waitWhileCut(dir direction) {
+	for r.isCut(dir) {
+		time.Sleep(pollInterval)
 	}
 }
 
-func (r *relays) isCut(way route) bool {
+func (r *relays) isCut(dir direction) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cuts[way]
+	return r.cuts[dir]
 }
 
-// loses takes the order to lose what goes one way next.
-func (r *relays) loses(way route) bool {
+// takeDrop reports whether the next bytes of a direction are to be lost, and resets this state.
+func (r *relays) takeDrop(dir direction) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lost := r.lossy[way]
-	delete(r.lossy, way)
+	lost := r.dropNext[dir]
+	delete(r.dropNext, dir)
 	return lost
 }
 
-func (r *relays) hold(c net.Conn, way route) {
+func (r *relays) track(c net.Conn, dir direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.open[c] = way
+	r.connections[c] = dir
 }
 
-func (r *relays) release(c net.Conn) {
+func (r *relays) untrack(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.open, c)
+	delete(r.connections, c)
 }
 
-// cut holds up what goes one way.
+// cut blocks a direction until clearFaults.
 func (r *relays) cut(from, to string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cuts[route{from, to}] = true
+	r.cuts[direction{from, to}] = true
 }
 
-// lose has the next bytes that go one way lost, and their connection end.
-func (r *relays) lose(from, to string) {
+// dropNextBytes causes the next bytes of a direction to be lost and their connection to be closed.
+func (r *relays) dropNextBytes(from, to string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lossy[route{from, to}] = true
+	r.dropNext[direction{from, to}] = true
 }
 
-// join ends all cuts.
-func (r *relays) join() {
+// clearFaults ends all cuts and pending drops.
+func (r *relays) clearFaults() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.cuts)
-	clear(r.lossy)
+	clear(r.dropNext)
 }
 
-// close ends the relays and all that they carry.
+// close ends the relays and their connections.
 func (r *relays) close() {
-	for _, ln := range r.ends {
+	for _, ln := range r.listeners {
 		ln.Close()
 	}
-	r.join()
+	r.clearFaults()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for c := range r.open {
+	for c := range r.connections {
 		c.Close()
 	}
 }
--- a/examples/mesh/removal.go
+++ b/examples/mesh/removal.go
@@ -12,177 +12,180 @@
 	"time"
 )
 
-// server is a toy host with its record: how often each key ran here.
-type server struct {
+// toyHost is a host of the example. It records how often each key ran.
+type toyHost struct {
 	id, carrier string
 	ln          net.Listener
-	grey        atomic.Bool // most of its answers are lost after the run
-	total       atomic.Int64
-	stopped     atomic.Bool // it sends no more beats
+	failing     atomic.Bool  // nine of ten responses are lost after the run
+	runs        atomic.Int64 // number of all runs
+	stopped     atomic.Bool  // the host sends no more heartbeats
 
-	mu   sync.Mutex
-	keys map[string]int
+	mu        sync.Mutex
+	runsByKey map[string]int
 }
 
-var servers []*server
+// toyHosts are all hosts that were started.
+var toyHosts []*toyHost
 
-// stop ends a host.
-func (s *server) stop() {
-	s.stopped.Store(true)
-	s.ln.Close()
+// stop ends the host.
+func (h *toyHost) stop() {
+	h.stopped.Store(true)
+	h.ln.Close()
 }
 
-// ran notes a run, and says whether its answer is to be lost.
-func (s *server) ran(key string) (lost bool) {
-	s.total.Add(1)
+// recordRun records a run and reports whether its response is to be lost.
+func (h *toyHost) recordRun(key string) (lost bool) {
+	h.runs.Add(1)
 	if key != "" {
-		s.mu.Lock()
-		if s.keys == nil {
-			s.keys = map[string]int{}
+		h.mu.Lock()
+		if h.runsByKey == nil {
+			h.runsByKey = map[string]int{}
 		}
-		s.keys[key]++
-		s.mu.Unlock()
+		h.runsByKey[key]++
+		h.mu.Unlock()
 	}
-	return s.grey.Load() && rand.IntN(10) > 0
+	return h.failing.Load() && rand.IntN(10) > 0
 }
 
-// event is something that happens to the mesh at a time.
+// event is an action at a time after the start of the test.
 type event struct {
 	at   time.Duration
 	what string
 	do   func() error
 }
 
-// prove removes hosts under live traffic, by agreement, by death and by hand, and kills a proxy; the hosts' records judge: each operation
-// at most once, each that was answered with success exactly once, nothing at a host that is out.
-func prove(proxies []*process, seeds []string) error {
-	var tills []*server
-	for _, s := range servers {
+// testRemoval ejects hosts under traffic (by a vote of the proxies, after the death of a host, and by an operator) and kills a
+// proxy. It checks with the hosts' records that each operation ran at most once, that each successful one ran exactly once, and
+// that no request reached a host while it was ejected by the operator.
+func testRemoval(proxies []*process, seeds []string) error {
+	var tillHosts []*toyHost
+	for _, s := range toyHosts {
 		if s.carrier == "till" {
-			tills = append(tills, s)
+			tillHosts = append(tillHosts, s)
 		}
 	}
-	if len(tills) < 4 {
-		return fmt.Errorf("-removal needs 8 -proxies or more: four hosts that take operations")
+	if len(tillHosts) < 4 {
+		return fmt.Errorf("-removal needs -proxies of 8 or more, for four hosts that run operations")
 	}
-	grey, dies, hand := tills[0], tills[1], tills[2]
+	failing, dying, ejected := tillHosts[0], tillHosts[1], tillHosts[2]
 	var onset time.Time
-	var before int64
-	order := func(out bool) func() error {
+	var runsAtOnset int64
+	orderEjection := func(eject bool) func() error {
 		return func() error {
-			body, err := json.Marshal(map[string]any{"out": out, "by": "example", "why": "removal under traffic"})
+			body, err := json.Marshal(map[string]any{"out": eject, "by": "example", "why": "removal under traffic"})
 			if err != nil {
 				return err
 			}
-			if got := put("http://"+seeds[0]+"/-/orders/"+hand.id, string(body)); got/100 != 2 {
-				return fmt.Errorf("the order on %s: %d", hand.id, got)
+			if got := put("http://"+seeds[0]+"/-/orders/"+ejected.id, string(body)); got/100 != 2 {
+				return fmt.Errorf("ejection order for %s: status %d", ejected.id, got)
 			}
 			return nil
 		}
 	}
-	var atHand int64
+	var runsAtEjection int64
 	events := []event{
-		{2 * time.Second, grey.id + " loses nine answers of ten, its health is good", func() error {
-			onset, before = time.Now(), grey.total.Load()
-			grey.grey.Store(true)
-			return until(4*time.Second, func() bool { return out(seeds[0], grey.id) })
+		{2 * time.Second, failing.id + " loses nine of ten responses, its health checks succeed", func() error {
+			onset, runsAtOnset = time.Now(), failing.runs.Load()
+			failing.failing.Store(true)
+			return waitUntil(4*time.Second, func() bool { return isEjected(seeds[0], failing.id) })
 		}},
-		{5 * time.Second, grey.id + " is well again", func() error { grey.grey.Store(false); return nil }},
-		{8 * time.Second, dies.id + " dies without a word", func() error { return dies.ln.Close() }},
-		{11 * time.Second, hand.id + " is taken out by hand", order(true)},
-		{11500 * time.Millisecond, "from here nothing may reach " + hand.id, func() error { atHand = hand.total.Load(); return nil }},
+		{5 * time.Second, failing.id + " works again", func() error { failing.failing.Store(false); return nil }},
+		{8 * time.Second, dying.id + " dies without signing off", func() error { return dying.ln.Close() }},
+		{11 * time.Second, ejected.id + " is ejected by the operator", orderEjection(true)},
+		{11500 * time.Millisecond, "from now on no request may reach " + ejected.id,
+			func() error { runsAtEjection = ejected.runs.Load(); return nil }},
 		{12 * time.Second, "a proxy is killed", func() error { return proxies[0].cmd.Process.Signal(syscall.SIGKILL) }},
-		{14 * time.Second, hand.id + " is called back", func() error {
-			if n := hand.total.Load() - atHand; n > 0 {
-				return fmt.Errorf("%d operations reached it while it was out", n)
+		{14 * time.Second, ejected.id + " is restored by the operator", func() error {
+			if n := ejected.runs.Load() - runsAtEjection; n > 0 {
+				return fmt.Errorf("%d operations reached the host while it was ejected", n)
 			}
-			return order(false)()
+			return orderEjection(false)()
 		}},
 	}
 	const length = 16 * time.Second
-	began := time.Now()
-	failed := make(chan error, len(events))
-	var plan sync.WaitGroup
-	plan.Go(func() {
+	startedAt := time.Now()
+	errs := make(chan error, len(events))
+	var schedule sync.WaitGroup
+	schedule.Go(func() {
 		for _, e := range events {
-			time.Sleep(time.Until(began.Add(e.at)))
-			fmt.Printf("%5.1f s  %s\n", time.Since(began).Seconds(), e.what)
+			time.Sleep(time.Until(startedAt.Add(e.at)))
+			fmt.Printf("%5.1f s  %s\n", time.Since(startedAt).Seconds(), e.what)
 			if err := e.do(); err != nil {
-				failed <- fmt.Errorf("%s: %w", e.what, err)
+				errs <- fmt.Errorf("%s: %w", e.what, err)
 			}
 			if e.at == events[0].at {
-				fmt.Printf("%5.1f s  agreed %v after that; it ran %d operations meanwhile\n", time.Since(began).Seconds(),
-					time.Since(onset).Round(10*time.Millisecond), grey.total.Load()-before)
+				fmt.Printf("%5.1f s  ejected by vote after %v, in which the host ran %d operations\n",
+					time.Since(startedAt).Seconds(), time.Since(onset).Round(10*time.Millisecond), failing.runs.Load()-runsAtOnset)
 			}
 		}
 	})
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	succeeded, ended := map[string]bool{}, map[int]int{}
-	asked, n := 0, 0
+	succeeded, countByStatus := map[string]bool{}, map[int]int{}
+	sent, n := 0, 0
 	tick := time.NewTicker(time.Second / time.Duration(*rate))
 	defer tick.Stop()
-	for time.Since(began) < length {
+	for time.Since(startedAt) < length {
 		<-tick.C
 		n++
 		number := n
 		key := fmt.Sprintf("op-%d", number)
-		asked++
+		sent++
 		wg.Go(func() {
 			status := 0
-			for try := range 4 { // a client asks again, with the same key, at any proxy
-				res, _, err := ask(proxies[rand.IntN(len(proxies))].ip, "/pay/seat", key, 1000+number*10+try)
+			for attempt := range 4 { // a client retries with the same key at a random proxy
+				res, _, err := sendRequest(proxies[rand.IntN(len(proxies))].ip, "/pay/seat", key, 1000+number*10+attempt)
 				if status = 0; err == nil {
 					status = res.StatusCode
 				}
-				if status == 200 || status == 502 { // of the latter nobody knows, and it never runs again
+				if status == 200 || status == 502 { // 502: the result is unknown, and the operation never runs again
 					break
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			ended[status]++
+			countByStatus[status]++
 			succeeded[key] = status == 200
 		})
 	}
 	wg.Wait()
-	plan.Wait()
+	schedule.Wait()
 	runs := map[string]int{}
-	for _, s := range servers {
+	for _, s := range toyHosts {
 		s.mu.Lock()
-		for key, n := range s.keys {
+		for key, n := range s.runsByKey {
 			runs[key] += n
 		}
 		s.mu.Unlock()
 	}
-	twice, never := 0, 0
+	ranTwice, notOnce := 0, 0
 	for key, ok := range succeeded {
 		if runs[key] > 1 {
-			twice++
+			ranTwice++
 		}
 		if ok && runs[key] != 1 {
-			never++
+			notOnce++
 		}
 	}
-	fmt.Printf("%d operations by %d proxies: ended %v (0: no answer), ran twice %d, answered with success and not run once %d\n", asked, len(proxies),
-		ended, twice, never)
+	fmt.Printf("%d operations through %d proxies: by status %v (0: no response), ran twice %d, successful but not run exactly once %d\n",
+		sent, len(proxies), countByStatus, ranTwice, notOnce)
 	select {
-	case err := <-failed:
+	case err := <-errs:
 		return err
 	default:
 	}
-	if twice+never > 0 {
-		return fmt.Errorf("the records say: %d twice, %d not once", twice, never)
+	if ranTwice+notOnce > 0 {
+		return fmt.Errorf("by the hosts' records, %d operations ran twice and %d successful ones did not run exactly once", ranTwice, notOnce)
 	}
-	if ended[200] < asked*9/10 {
-		return fmt.Errorf("only %d of %d operations succeeded", ended[200], asked)
+	if countByStatus[200] < sent*9/10 {
+		return fmt.Errorf("only %d of %d operations succeeded", countByStatus[200], sent)
 	}
 	return nil
 }
 
-// out asks a control process whether a host is out by agreement.
-func out(server, station string) bool {
+// isEjected asks a control server whether a host is ejected by a vote.
+func isEjected(server, station string) bool {
 	res, err := client.Get("http://" + server + "/-/state")
 	if err != nil || res.StatusCode != http.StatusOK {
 		return false
@@ -199,9 +202,9 @@
 	if json.NewDecoder(res.Body).Decode(&s) != nil {
 		return false
 	}
-	for _, b := range s.EjectionLists {
-		for _, r := range b.Ejections {
-			if r.Station == station && r.LeftMs > 0 {
+	for _, list := range s.EjectionLists {
+		for _, ejection := range list.Ejections {
+			if ejection.Station == station && ejection.LeftMs > 0 {
 				return true
 			}
 		}
--- a/examples/mesh/soak.go
+++ b/examples/mesh/soak.go
@@ -13,61 +13,61 @@
 	"time"
 )
 
-// A soak plays real processes on real sockets under troubles by lot, two or three of which overlap: processes killed, stopped for a
-// while and cut off, both ways or one, answers lost, all control processes killed at once, and a disk lost at a time. Hosts, clients
-// and an operator judge by what they saw, and the processes by the invariants that they check themselves.
+// A soak test runs real processes on real sockets under random faults, two or three of which overlap: processes are killed,
+// paused or cut off in one or both directions, responses are lost, all control servers are killed at once, and one disk at a time
+// is wiped. The test checks what hosts, clients and an operator observed, and the invariants that the processes check themselves.
 
 const (
-	soakTrouble  = 12 * time.Second
-	soakCalm     = 7 * time.Second // from the end of all troubles until everything has to work: catchUpS and one more
-	soakJudged   = 4 * time.Second // in which it is looked whether it does
-	soakAck      = 4 * time.Second // until an order is acknowledged in calm times
-	soakServed   = 0.95            // of the operations that are asked for in calm times
-	troubleLeast = 300 * time.Millisecond
-	troubleMore  = 900 * time.Millisecond
-	lasts        = 2500 * time.Millisecond // the longest trouble
+	faultTime      = 12 * time.Second        // during which faults are injected
+	recoveryTime   = 7 * time.Second         // from the end of all faults until everything has to work: catchUpS and 1 s more
+	checkTime      = 4 * time.Second         // during which it is checked that everything works
+	ackTimeout     = 4 * time.Second         // for the acknowledgement of a configuration after recovery
+	minServedShare = 0.95                    // minimum share of the operations that have to succeed after recovery
+	minFaultGap    = 300 * time.Millisecond  // minimum time between the starts of two faults
+	faultGapSpread = 900 * time.Millisecond  // random time in addition
+	maxFaultLength = 2500 * time.Millisecond // maximum duration of a fault
 )
 
-// soak is one seed's run.
+// soak is a run with one seed.
 type soak struct {
 	*fleet
-	random *rand.Rand
-	began  time.Time
-	logs   *safeBuffer
-
-	mu        sync.Mutex
-	broken    []string
-	succeeded map[string]bool // keys
-	asked     int             // in calm times
-	served    int
-	newest    atomic.Int64 // version that was acknowledged
-	sent      atomic.Int64 // that was sent
-	wiped     *machine     // that lost its disk last
-	calm      atomic.Bool
-	over      atomic.Bool
-	clients   sync.WaitGroup
-	troubles  sync.WaitGroup
+	random    *rand.Rand
+	startedAt time.Time
+	logs      *lockedBuffer
+
+	mu           sync.Mutex
+	failures     []string
+	succeeded    map[string]bool // by key
+	requested    int             // operations after recovery
+	served       int             // of these, the successful ones
+	acknowledged atomic.Int64    // newest configuration version that was acknowledged
+	lastSent     atomic.Int64    // newest configuration version that was sent
+	lastWiped    *machine        // machine whose disk was wiped last
+	recovered    atomic.Bool     // the time for recovery is over
+	finished     atomic.Bool     // clients stop sending
+	clients      sync.WaitGroup
+	faults       sync.WaitGroup
 }
 
-// safeBuffer keeps what several processes log.
-type safeBuffer struct {
+// lockedBuffer collects the logs of several processes.
+type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (b *safeBuffer) Write(p []byte) (int, error) {
+func (b *lockedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
-func (b *safeBuffer) bytes() []byte {
+func (b *lockedBuffer) bytes() []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return bytes.Clone(b.text.Bytes())
 }
 
-// soakAll plays seeds one after the other, from the one that -seed names, and keeps the logs of those that fail.
+// soakAll runs the test for a number of seeds, starting with the flag -seed, and keeps the logs of the seeds that fail.
 func soakAll(seeds int) error {
 	failed := 0
 	for seed := *firstSeed; seed < *firstSeed+uint64(seeds); seed++ {
@@ -76,16 +76,16 @@
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
 		verdict := "ok"
-		if len(s.broken) > 0 {
+		if len(s.failures) > 0 {
 			failed++
-			verdict = fmt.Sprintf("FAILED: %q", s.broken)
+			verdict = fmt.Sprintf("FAILED: %q", s.failures)
 			path := fmt.Sprintf("%s/soak-%d.log", os.TempDir(), seed)
 			if err := os.WriteFile(path, s.logs.bytes(), 0o644); err == nil {
 				verdict += ", logs in " + path
 			}
 		}
-		fmt.Printf("seed %d: %d operations served in all, %d of %d in calm, version %d acknowledged: %s\n", seed, len(s.succeeded),
-			s.served, s.asked, s.newest.Load(), verdict)
+		fmt.Printf("seed %d: %d operations served in total, %d of %d after recovery, version %d acknowledged: %s\n",
+			seed, len(s.succeeded), s.served, s.requested, s.acknowledged.Load(), verdict)
 	}
 	if failed > 0 {
 		return fmt.Errorf("%d of %d seeds failed", failed, seeds)
@@ -93,164 +93,168 @@
 	return nil
 }
 
-// soakOnce plays one seed.
+// soakOnce runs the test for one seed.
 func soakOnce(seed uint64) (*soak, error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	s := &soak{random: rand.New(rand.NewPCG(seed, 3)), logs: &safeBuffer{}, succeeded: map[string]bool{}}
-	if s.fleet, err = startFleet(dir, s.logs, *controls, *proxies, *share); err != nil {
+	s := &soak{random: rand.New(rand.NewPCG(seed, 3)), logs: &lockedBuffer{}, succeeded: map[string]bool{}}
+	if s.fleet, err = startFleet(dir, s.logs, *controls, *proxies, *cpuShare); err != nil {
 		s.fleet.stop()
 		return nil, err
 	}
 	defer s.stop()
-	s.began = time.Now()
-	s.newest.Store(1)
-	s.sent.Store(1)
-	s.clients.Go(s.operate)
-	s.clients.Go(s.order)
-	s.trouble()
-	s.heal()
-	time.Sleep(soakCalm)
-	s.calm.Store(true)
-	s.orderInCalm()
-	time.Sleep(soakJudged)
-	s.over.Store(true)
+	s.startedAt = time.Now()
+	s.acknowledged.Store(1)
+	s.lastSent.Store(1)
+	s.clients.Go(s.sendOperations)
+	s.clients.Go(s.sendConfigurations)
+	s.injectFaults()
+	s.endFaults()
+	time.Sleep(recoveryTime)
+	s.recovered.Store(true)
+	s.checkConfigurationAccepted()
+	time.Sleep(checkTime)
+	s.finished.Store(true)
 	s.clients.Wait()
-	s.judge()
+	s.check()
 	return s, nil
 }
 
+// fail records a failure.
 func (s *soak) fail(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.broken = append(s.broken, fmt.Sprintf(format, args...))
+	s.failures = append(s.failures, fmt.Sprintf(format, args...))
 }
 
-// say notes a trouble among the logs.
-func (s *soak) say(format string, args ...any) {
-	fmt.Fprintf(s.logs, "%6.2f s  %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, args...))
+// logFault writes a line about a fault to the logs.
+func (s *soak) logFault(format string, args ...any) {
+	fmt.Fprintf(s.logs, "%6.2f s  %s\n", time.Since(s.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// ---- troubles
+// ---- faults
 
-func (s *soak) trouble() {
-	for time.Since(s.began) < soakTrouble {
-		length := time.Duration(s.random.Float64() * float64(lasts))
+// injectFaults starts random faults for faultTime and waits until they have ended.
+func (s *soak) injectFaults() {
+	for time.Since(s.startedAt) < faultTime {
+		length := time.Duration(s.random.Float64() * float64(maxFaultLength))
 		m := s.controls[s.random.IntN(len(s.controls))]
 		if s.random.IntN(3) == 0 {
 			m = s.proxies[s.random.IntN(len(s.proxies))]
 		}
-		s.befall(s.random.IntN(9), m, length)
-		time.Sleep(troubleLeast + time.Duration(s.random.Float64()*float64(troubleMore)))
+		s.injectFault(s.random.IntN(9), m, length)
+		time.Sleep(minFaultGap + time.Duration(s.random.Float64()*float64(faultGapSpread)))
 	}
-	s.troubles.Wait()
+	s.faults.Wait()
 }
 
-// befall begins a trouble, which ends by itself.
-func (s *soak) befall(kind int, m *machine, length time.Duration) {
+// injectFault starts a fault, which ends by itself after the given time.
+func (s *soak) injectFault(kind int, m *machine, length time.Duration) {
 	other := s.controls[s.random.IntN(len(s.controls))]
 	switch kind {
 	case 0, 1:
-		s.say("%s is killed for %v", m.ip, length)
+		s.logFault("%s is killed for %v", m.ip, length)
 		m.kill()
-		s.later(length, func() { s.restart(m) })
+		s.after(length, func() { s.restart(m) })
 	case 2, 3:
-		s.say("%s is stopped for %v", m.ip, length)
+		s.logFault("%s is paused for %v", m.ip, length)
 		m.pause()
-		s.later(length, m.resume)
+		s.after(length, m.resume)
 	case 4:
-		s.say("%s is cut off", m.ip)
+		s.logFault("%s is cut off from the control servers", m.ip)
 		s.cutOff(m, true, true)
-		s.later(length, s.relays.join)
+		s.after(length, s.relays.clearFaults)
 	case 5:
 		out := s.random.IntN(2) == 0
-		s.say("%s is cut off one way, out: %v", m.ip, out)
+		s.logFault("%s is cut off in one direction, outgoing: %v", m.ip, out)
 		s.cutOff(m, out, !out)
-		s.later(length, s.relays.join)
+		s.after(length, s.relays.clearFaults)
 	case 6:
-		s.say("answers of %s to %s are lost", other.ip, m.ip)
-		s.relays.lose(other.known(), m.known())
+		s.logFault("the next bytes from %s to %s are lost", other.ip, m.ip)
+		s.relays.dropNextBytes(other.address(), m.address())
 	case 7:
 		s.killControls(length)
 	case 8:
-		s.loseDisk(other, length)
+		s.killAndWipe(other, length)
 	}
 }
 
-// later does something when a trouble has lasted for its time.
-func (s *soak) later(length time.Duration, do func()) {
-	s.troubles.Go(func() {
+// after calls a function when a fault has lasted for its time.
+func (s *soak) after(length time.Duration, do func()) {
+	s.faults.Go(func() {
 		time.Sleep(length)
 		do()
 	})
 }
 
+// restart starts the process of a machine again.
 func (s *soak) restart(m *machine) {
 	if err := m.start(false); err != nil {
-		s.fail("%s does not start: %v", m.ip, err)
+		s.fail("start of %s failed: %v", m.ip, err)
 	}
 }
 
-// cutOff cuts a machine off from all control processes.
+// cutOff blocks the messages from a machine to all control servers (out), or in the other direction (in).
 func (s *soak) cutOff(m *machine, out, in bool) {
 	for _, other := range s.controls {
 		if out && other != m {
-			s.relays.cut(m.known(), other.known())
+			s.relays.cut(m.address(), other.address())
 		}
 		if in && other != m {
-			s.relays.cut(other.known(), m.known())
+			s.relays.cut(other.address(), m.address())
 		}
 	}
 }
 
-// killControls kills all control processes at once. Often one of them is back with an empty disk.
+// killControls kills all control servers at once. In half of the cases, one of them returns with an empty disk.
 func (s *soak) killControls(length time.Duration) {
-	s.say("all control processes are killed for %v", length/2)
+	s.logFault("all control servers are killed for %v", length/2)
 	for _, m := range s.controls {
 		m.kill()
 	}
 	if s.random.IntN(2) == 0 {
-		s.takeDisk(s.controls[s.random.IntN(len(s.controls))])
+		s.wipeDisk(s.controls[s.random.IntN(len(s.controls))])
 	}
-	s.later(length/2, func() {
+	s.after(length/2, func() {
 		for _, m := range s.controls {
 			s.restart(m)
 		}
 	})
 }
 
-// loseDisk kills a control process and takes its disk.
-func (s *soak) loseDisk(m *machine, length time.Duration) {
+// killAndWipe kills a control server and wipes its disk.
+func (s *soak) killAndWipe(m *machine, length time.Duration) {
 	m.kill()
-	s.takeDisk(m)
-	s.later(length, func() { s.restart(m) })
+	s.wipeDisk(m)
+	s.after(length, func() { s.restart(m) })
 }
 
-// takeDisk empties a disk, unless one that was lost before is not made up for yet: so long its loss counts, and the site bears one.
-func (s *soak) takeDisk(m *machine) {
-	if s.wiped != nil && !s.votes(s.wiped) {
+// wipeDisk wipes a disk, unless the server whose disk was wiped before does not vote yet. Until then that loss counts, and the
+// mesh tolerates the loss of one machine only.
+func (s *soak) wipeDisk(m *machine) {
+	if s.lastWiped != nil && !s.votes(s.lastWiped) {
 		return
 	}
-	s.say("%s loses its disk", m.ip)
-	s.wiped = m
+	s.logFault("disk of %s is wiped", m.ip)
+	s.lastWiped = m
 	if err := m.wipe(); err != nil {
-		s.fail("disk of %s: %v", m.ip, err)
+		s.fail("wiping the disk of %s failed: %v", m.ip, err)
 	}
 }
 
-// votes says whether a control process tells that it votes.
+// votes reports whether a control server votes, according to its state.
 func (s *soak) votes(m *machine) bool {
 	state, err := m.state()
 	return err == nil && state.Voting
 }
 
-// heal ends all troubles.
-func (s *soak) heal() {
-	s.say("all troubles end")
-	s.relays.join()
+// endFaults ends all faults.
+func (s *soak) endFaults() {
+	s.logFault("all faults end")
+	s.relays.clearFaults()
 	for _, m := range s.machines() {
 		m.resume()
 		s.restart(m)
@@ -259,90 +263,90 @@
 
 // ---- clients and the operator
 
-// operate has clients send operations, each again with its key until it has an end.
-func (s *soak) operate() {
-	each := time.Second / time.Duration(*rate)
-	tick := time.NewTicker(each)
+// sendOperations sends operations at the rate of the flag -rate until the test has finished.
+func (s *soak) sendOperations() {
+	interval := time.Second / time.Duration(*rate)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
-	var under sync.WaitGroup
-	for n := 1; !s.over.Load(); n++ {
+	var pending sync.WaitGroup
+	for n := 1; !s.finished.Load(); n++ {
 		<-tick.C
-		calm := s.calm.Load()
-		at := s.proxies[rand.IntN(len(s.proxies))]
-		under.Go(func() { s.operation(n, at, calm) })
+		recovered := s.recovered.Load()
+		proxy := s.proxies[rand.IntN(len(s.proxies))]
+		pending.Go(func() { s.sendOperation(n, proxy, recovered) })
 	}
-	under.Wait()
+	pending.Wait()
 }
 
-// operation is one client with one key.
-func (s *soak) operation(n int, at *machine, calm bool) {
+// sendOperation sends an operation as a client with its own key, and retries up to two times at other proxies.
+func (s *soak) sendOperation(n int, proxy *machine, recovered bool) {
 	key, status := fmt.Sprintf("soak-%d", n), 0
-	for try := range 3 {
-		res, _, err := ask(at.ip, "/pay/seat", key, n*10+try)
+	for attempt := range 3 {
+		res, _, err := sendRequest(proxy.ip, "/pay/seat", key, n*10+attempt)
 		if status = 0; err == nil {
 			status = res.StatusCode
 		}
-		if status == 200 || status == 502 { // of the latter nobody knows, and it never runs again
+		if status == 200 || status == 502 { // 502: the result is unknown, and the operation never runs again
 			break
 		}
 		time.Sleep(200 * time.Millisecond)
-		at = s.proxies[rand.IntN(len(s.proxies))]
+		proxy = s.proxies[rand.IntN(len(s.proxies))]
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if status == 200 {
 		s.succeeded[key] = true
 	}
-	if calm {
-		s.asked++
+	if recovered {
+		s.requested++
 		if status == 200 {
 			s.served++
 		}
 	}
 }
 
-// order has an operator send configurations until the troubles are over, each until it is acknowledged or a while is over.
-func (s *soak) order() {
-	for !s.calm.Load() {
-		s.configure(2 * time.Second)
+// sendConfigurations sends configurations as an operator until recovery, each until it is acknowledged or 2 s have passed.
+func (s *soak) sendConfigurations() {
+	for !s.recovered.Load() {
+		s.sendConfiguration(2 * time.Second)
 		time.Sleep(400 * time.Millisecond)
 	}
 }
 
-// configure sends the next configuration to one control process after another, and says whether it was acknowledged.
-func (s *soak) configure(within time.Duration) bool {
-	version := s.sent.Add(1)
+// sendConfiguration sends the next configuration to one control server after another, and reports whether it was acknowledged.
+func (s *soak) sendConfiguration(timeout time.Duration) bool {
+	version := s.lastSent.Add(1)
 	text, err := configText(int(version))
 	if err != nil {
 		s.fail("configuration: %v", err)
 		return false
 	}
 	n := int(version)
-	err = until(within, func() bool {
+	err = waitUntil(timeout, func() bool {
 		n++
-		return put(fmt.Sprintf("http://%s:%d/-/timetable", s.controls[n%len(s.controls)].ip, control), text) == 200
+		return put(fmt.Sprintf("http://%s:%d/-/timetable", s.controls[n%len(s.controls)].ip, controlPort), text) == 200
 	})
 	if err == nil {
-		s.newest.Store(max(s.newest.Load(), version))
+		s.acknowledged.Store(max(s.acknowledged.Load(), version))
 	}
 	return err == nil
 }
 
-// orderInCalm sends one more configuration, which has to be acknowledged.
-func (s *soak) orderInCalm() {
-	if !s.configure(soakAck) {
-		s.fail("SHORT: an order in calm times has no acknowledgement within %v", soakAck)
+// checkConfigurationAccepted sends one more configuration after recovery, which has to be acknowledged.
+func (s *soak) checkConfigurationAccepted() {
+	if !s.sendConfiguration(ackTimeout) {
+		s.fail("SHORT: a configuration was not acknowledged within %v after recovery", ackTimeout)
 	}
 }
 
-// ---- the end
+// ---- checks at the end
 
-// judge looks at what the hosts ran, what is read back, and what the processes say of themselves.
-func (s *soak) judge() {
+// check checks the runs recorded by the hosts, the configuration that is read back, and the state of the control servers.
+func (s *soak) check() {
 	runs := map[string]int{}
 	for _, h := range s.hosts {
 		h.mu.Lock()
-		for key, n := range h.keys {
+		for key, n := range h.runsByKey {
 			runs[key] += n
 		}
 		h.mu.Unlock()
@@ -354,24 +358,24 @@
 	}
 	for key := range s.succeeded {
 		if runs[key] == 0 {
-			s.fail("MIXED: %s was answered with success and never ran", key)
+			s.fail("MIXED: %s succeeded but never ran", key)
 		}
 	}
-	if float64(s.served) < soakServed*float64(s.asked) {
-		s.fail("SHORT: %d of %d operations served in calm times", s.served, s.asked)
+	if float64(s.served) < minServedShare*float64(s.requested) {
+		s.fail("SHORT: only %d of %d operations served after recovery", s.served, s.requested)
 	}
-	s.readBack()
+	s.checkReadBack()
 	for _, m := range s.controls {
-		s.judgeServer(m)
+		s.checkServer(m)
 	}
 }
 
-// readBack reads the configuration from every control process: none may be older than what was acknowledged.
-func (s *soak) readBack() {
+// checkReadBack reads the configuration from every control server. None may be older than the newest acknowledged one.
+func (s *soak) checkReadBack() {
 	for _, m := range s.controls {
 		var c struct{ Edition string }
 		var version int64
-		text, err := get(fmt.Sprintf("http://%s:%d/-/timetable", m.ip, control))
+		text, err := get(fmt.Sprintf("http://%s:%d/-/timetable", m.ip, controlPort))
 		if err == nil {
 			err = json.Unmarshal(text, &c)
 		}
@@ -380,48 +384,48 @@
 		}
 		switch sent, _ := configText(int(version)); {
 		case err != nil:
-			s.fail("CONFIG: no configuration is read back from %s: %v", m.ip, err)
-		case version < s.newest.Load():
-			s.fail("CONFIG: %s reads back version %d, %d was acknowledged", m.ip, version, s.newest.Load())
+			s.fail("CONFIG: reading the configuration from %s failed: %v", m.ip, err)
+		case version < s.acknowledged.Load():
+			s.fail("CONFIG: %s returned version %d, but %d was acknowledged", m.ip, version, s.acknowledged.Load())
 		case string(text) != sent:
-			s.fail("CONFIG: %s reads back another text under version %d", m.ip, version)
+			s.fail("CONFIG: %s returned a different text for version %d", m.ip, version)
 		}
 	}
 }
 
-// serverState is what the soak wants to know of a control process's state.
+// serverState is the part of a control server's state that the test needs.
 type serverState struct {
 	Voting bool
 	Counts struct{ Violations map[string]int }
 }
 
-// state asks a control process for its state.
+// state requests the state of a control server.
 func (m *machine) state() (state serverState, err error) {
-	text, err := get(fmt.Sprintf("http://%s:%d/-/state", m.ip, control))
+	text, err := get(fmt.Sprintf("http://%s:%d/-/state", m.ip, controlPort))
 	if err == nil {
 		err = json.Unmarshal(text, &state)
 	}
 	return state, err
 }
 
-// judgeServer looks at a control process's state: it votes, and no invariant was violated.
-func (s *soak) judgeServer(m *machine) {
+// checkServer checks that a control server votes and has found no violated invariant.
+func (s *soak) checkServer(m *machine) {
 	state, err := m.state()
 	switch {
 	case err != nil:
-		s.fail("%s does not tell its state: %v", m.ip, err)
+		s.fail("state of %s not available: %v", m.ip, err)
 	case !state.Voting:
-		s.fail("SHORT: %s does not vote %v after all troubles", m.ip, soakCalm+soakJudged)
+		s.fail("SHORT: %s does not vote %v after the end of all faults", m.ip, recoveryTime+checkTime)
 	}
 	for name, n := range state.Counts.Violations {
 		s.fail("INVARIANT: %s: %s, %d times", m.ip, name, n)
 	}
 	if m == s.controls[0] && bytes.Contains(s.logs.bytes(), []byte("invariant violated")) {
-		s.fail("INVARIANT: the logs tell of a violation")
+		s.fail("INVARIANT: the logs report a violation")
 	}
 }
 
-// get asks for a page.
+// get returns the body of a GET request. A status other than 200 is an error.
 func get(url string) ([]byte, error) {
 	res, err := client.Get(url)
 	if err != nil {
