--- a/examples/mesh/main.go
+++ b/examples/mesh/main.go
@@ -258,17 +258,17 @@
 // configText returns the configuration of a version. All versions have the same two routes, one for reads and one for operations.
 func configText(version int) (string, error) {
 	var c struct {
-		Edition     string           `json:"edition"`
-		Itineraries []map[string]any `json:"itineraries"`
-		Carriers    []map[string]any `json:"carriers"`
+		Version  string           `json:"edition"`
+		Routes   []map[string]any `json:"itineraries"`
+		Services []map[string]any `json:"carriers"`
 	}
-	c.Edition = fmt.Sprintf("r%d", version)
+	c.Version = fmt.Sprintf("r%d", version)
 	for _, r := range []struct{ name, kind, carrier string }{{"read", "safe", "shop"}, {"pay", "tracked", "till"}} {
-		c.Itineraries = append(c.Itineraries, map[string]any{"name": r.name, "depot": "shop.example", "lanePrefix": "/" + r.name + "/",
+		c.Routes = append(c.Routes, map[string]any{"name": r.name, "depot": "shop.example", "lanePrefix": "/" + r.name + "/",
 			"routeKind": r.kind, "timeoutMs": 1000, "targetMs": 200, "precedence": 1, "carrier": r.carrier, "tries": 2})
 	}
 	for _, name := range []string{"shop", "till"} {
-		c.Carriers = append(c.Carriers, map[string]any{"name": name, "healthPath": "/health", "berthCap": 110})
+		c.Services = append(c.Services, map[string]any{"name": name, "healthPath": "/health", "berthCap": 110})
 	}
 	text, err := json.Marshal(c)
 	return string(text), err
--- a/internal/mesh/routeconfig/validate/validate.go
+++ b/internal/mesh/routeconfig/validate/validate.go
@@ -89,26 +89,26 @@
 // Check returns the version of a valid configuration, or an error that names the invalid field.
 func (v *Validator) Check(text []byte) (uint64, error) {
 	var config struct {
-		Edition     string            `json:"edition"`
-		Itineraries []json.RawMessage `json:"itineraries"`
-		Carriers    []json.RawMessage `json:"carriers"`
-		SizeLimits  json.RawMessage   `json:"sizeLimits"`
+		Version  string            `json:"edition"`
+		Routes   []json.RawMessage `json:"itineraries"`
+		Services []json.RawMessage `json:"carriers"`
+		Limits   json.RawMessage   `json:"sizeLimits"`
 	}
 	if err := strictJSON(text, &config); err != nil {
 		return 0, err
 	}
-	version, err := routeconfig.ParseVersion(config.Edition)
+	version, err := routeconfig.ParseVersion(config.Version)
 	if err != nil {
 		return 0, err
 	}
-	if config.Itineraries == nil || config.Carriers == nil {
+	if config.Routes == nil || config.Services == nil {
 		return 0, errors.New("itineraries and carriers: both have to be there")
 	}
 	if len(v.valid) > maxCached {
 		v.reset()
 	}
 	services := map[string]bool{}
-	for _, raw := range config.Carriers {
+	for _, raw := range config.Services {
 		if err := v.checkPart("carriers", v.service, raw); err != nil {
 			return 0, err
 		}
@@ -118,7 +118,7 @@
 		}
 		services[s.Name] = true
 	}
-	for _, raw := range config.Itineraries {
+	for _, raw := range config.Routes {
 		if err := v.checkPart("itineraries", v.route, raw); err != nil {
 			return 0, err
 		}
@@ -130,8 +130,8 @@
 			return 0, errors.Wrapf(err, "itineraries, %s", r.Name)
 		}
 	}
-	if config.SizeLimits != nil {
-		if err := v.checkPart("sizeLimits", v.limits, config.SizeLimits); err != nil {
+	if config.Limits != nil {
+		if err := v.checkPart("sizeLimits", v.limits, config.Limits); err != nil {
 			return 0, err
 		}
 	}
