--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// shedEarly refuses less valuable work with some probability while more valuable work finds no capacity.
-// Otherwise the two would get freed capacity by chance.
+// shedEarly sheds the plan's refused share and, with some probability, work that is less valuable than other
+// work that finds no capacity: otherwise chance would decide which of the two gets freed capacity.
 func (b *Balancer) shedEarly(o *openRequest) bool {
 	chance, highest := b.planRefused, o.valueDensity
 	if b.cfg.ServerSideLimits { // the hosts enforce their own limits
@@ -24,7 +24,7 @@
 }
 
 // enqueue queues a request until a host has capacity, if at the recent rate of answered work the queue ahead
-// of it should drain within its wait. Otherwise it is shed at once; the lowest value density goes first.
+// of it should drain within its wait. If not, it is shed at once, so work of low value density is shed first.
 func (b *Balancer) enqueue(o *openRequest) {
 	maxWait := min(maxQueueShare*o.class.Aim, o.deadline-b.now)
 	workAhead, at := 0.0, 0
@@ -134,10 +134,10 @@
 	}
 }
 
-// send starts an attempt. Its timeout ends the wait where a late answer is worth nothing.
+// send starts an attempt. Where a late answer is worth nothing, the attempt times out when the aim ends.
 func (b *Balancer) send(o *openRequest, h *host) {
 	timeout := 0.0
-	if o.class.LateWorth <= 0 && o.aimAt < o.deadline { // for a body still arriving, from its last byte
+	if o.class.LateWorth <= 0 && o.aimAt < o.deadline { // if the body still arrives: from its last byte
 		timeout = max(o.aimAt-b.now, 0.001)
 	}
 	if len(o.attempts) == 0 {
@@ -161,8 +161,8 @@
 	b.actions.Timer(lateMarkShare*o.class.Aim, timerLate<<kindShift|uint64(n)<<attemptShift|uint64(o.ID))
 }
 
-// worthRetry reports whether a retry could still be worth anything. An attempt that reached no host may
-// always be retried; other failures get one retry, so that they cannot multiply the load.
+// worthRetry reports whether a retry could still be worth anything. While it could, attempts that reached no
+// host are always retried. Other failures get one retry, so that they cannot multiply the load.
 func (b *Balancer) worthRetry(o *openRequest, r Result) bool {
 	worthless := r == TimedOut || r == Skipped || b.now >= o.aimAt && o.class.LateWorth <= 0
 	atNoHost := r == ConnectFailed || r == Rejected && b.cfg.ServerSideLimits // it reached no host
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -69,7 +69,7 @@
 	actions       Actions
 	rngState      uint64
 	now           float64
-	hosts         []*host // by ID: listed, or removed with attempts still pending
+	hosts         []*host // sorted by ID: listed, or removed with inflight > 0
 	hostByID      map[HostID]*host
 	zones         map[int]*zone
 	candidates    []candidate // of the current pick
@@ -227,7 +227,7 @@
 		}
 	case timerTick:
 		const keep = 1 - tickAims/memoryAims
-		for c := range b.shedShare { // also by time: with low traffic a past overload would last
+		for c := range b.shedShare { // decay by time too: with low traffic a past overload would last
 			b.shedShare[c] *= keep
 		}
 		b.warmWork, b.workDone, b.workSpan = b.warmWork*keep, b.workDone*keep, b.workSpan*keep+b.tick()
@@ -244,7 +244,7 @@
 	}
 }
 
-// ClientLeft handles a client that left: it gets no answer, and its pending attempts are cancelled.
+// ClientLeft handles a client that left: it gets no answer. Attempts are cancelled unless one is streaming.
 func (b *Balancer) ClientLeft(now float64, id RequestID) {
 	b.now = now
 	if o := b.requests[id]; o != nil && !o.done {
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -46,7 +46,7 @@
 	h.lossesDecayedAt = b.now
 }
 
-// dropsClass reports whether a host leaves this class unanswered but serves others: health is kept by class.
+// dropsClass reports whether a host leaves mainly this class unanswered, so that only this class avoids it.
 func (b *Balancer) dropsClass(h *host, class int) bool {
 	if h.losses[class] < minLosses { // usual case; decay only lowers the count
 		return false
@@ -104,7 +104,7 @@
 // the attempt was sent may hang; the late mark shows that well before the deadline.
 func (b *Balancer) markLate(a *attempt) {
 	a.late = true
-	if 2*a.host.answeredSentAt > a.sentAt+b.now { // lost: one sent in the later half of its wait was answered
+	if 2*a.host.answeredSentAt > a.sentAt+b.now { // lost: one sent in this wait's later half was answered
 		a.host.inflight, a.slot = a.host.inflight-a.slot, 0
 		return
 	}
@@ -118,7 +118,7 @@
 	b.adjustShares(a.host, b.lateWeight(), b.lateWeight())
 }
 
-// recordHealth does outlier ejection; failure is 1 for a failure of a kind, 0 for a good answer.
+// recordHealth suspects and ejects hosts; failure is 0 for a good answer, 1 for a failure, less for lateness.
 func (b *Balancer) recordHealth(h *host, kind int, failure float64) {
 	h.observed = true
 	eject := ejectAims * b.longestAim
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -17,9 +17,9 @@
 	return true
 }
 
-// adjustShares moves a host's admitShare by overload, how far its load is above the wanted one, and tells
-// peers. It moves latencyShare by aboveMean, how far an answer took longer than its class's mean. In general
-// overload admitShare applies: less valuable work is shed, and keys keep their hosts.
+// adjustShares moves a host's admitShare by overload (how far its load is above the wanted one) and tells
+// peers. It moves latencyShare by aboveMean (how far an answer's time is above its class's mean). In general
+// overload, admitShare is the one in use: less valuable work is shed, and keys keep their hosts.
 func (b *Balancer) adjustShares(h *host, overload, aboveMean float64) {
 	step := admitGain * min(b.now-h.admitChangedAt, b.longestAim)
 	if b.cfg.PeerMessages { // peers adjust alike, so keys move together and each learns from all
@@ -34,8 +34,8 @@
 	}
 }
 
-// recordLatency measures a host's load by how close its answer came to being late. Traffic and hosts may be
-// uneven over zones: a proxy sees too little of one host to tell, but all answers here show it.
+// recordLatency measures a host's load by how close its answer came to being late. meanLoad is by locality:
+// load may be uneven over zones, and a proxy sees too few answers of one host, but enough of all, to tell.
 func (b *Balancer) recordLatency(h *host, o *openRequest, took float64) {
 	util := min(1, took/(lateMarkShare*max(minAim, o.class.Aim)))
 	b.meanLoad[h.locality] += loadStep * (util - b.meanLoad[h.locality])
@@ -49,17 +49,17 @@
 	return (coldSafety + growth*warmth*warmth) * b.cfg.FallMultiple * warmth
 }
 
-// earnColdCredit adds to the work that cold hosts may get without being overloaded. Its rate follows what
-// warm hosts answer to this balancer, so that the sum over all proxies stays under the limit, however unequal
-// they are. Credit for FallAfter is kept at the most.
+// earnColdCredit adds to the work that cold hosts may get without being overloaded. Its rate follows the work
+// answered to this balancer per weight of warm hosts, so that the sum over all proxies stays under the limit,
+// however unequal they are. Credit for FallAfter is kept at the most.
 func (b *Balancer) earnColdCredit(budget float64) {
 	rate := budget * b.warmWork / max(b.workSpan, b.longestAim)
 	b.coldCredit = min(rate*b.cfg.FallAfter, b.coldCredit+rate*(b.now-b.coldCreditAt))
 	b.coldCreditAt = b.now
 }
 
-// spendColdCredit reports whether a request may go to a cold host. If the credit does not cover it, it passes
-// with proportional probability and leaves a debt, or else uses up the credit: retries gain nothing.
+// spendColdCredit reports whether a request may go to a cold host. Credit for only a part of its work lets it
+// pass with that probability, which leaves a debt; else the credit is used up, so that retries gain nothing.
 func (b *Balancer) spendColdCredit(o *openRequest) bool {
 	paid := b.coldCredit
 	if b.warmWeight <= 0 { // no warm host to learn from
--- a/balancer/roll.go
+++ b/balancer/roll.go
@@ -40,7 +40,7 @@
 	b.recomputeWeights()
 }
 
-// updateHost applies one list entry. A new start time means a new process, so health data is reset.
+// updateHost applies one list entry. A ready host with a new start time is a new process: health is reset.
 func (b *Balancer) updateHost(entry Host) {
 	h := b.hostByID[entry.ID]
 	if h == nil {
--- a/balancer/tuning.go
+++ b/balancer/tuning.go
@@ -58,8 +58,8 @@
 	lateMarkShare = 0.45 // of the aim: an attempt pending for longer counts as late
 
 	// initialLimit is the first concurrency limit of a host of mean size. Answers within limitGrowBelow of
-	// their aim raise a limit in use by about one in that time; a late attempt multiplies it by limitCut,
-	// once for all that were pending together. Short queues keep hosts below the load that slows them.
+	// their aim raise a limit in use by about one per limitGrowBelow aims; a late attempt multiplies it by
+	// limitCut, once for all pending together. Short queues keep hosts below the load that slows them.
 	initialLimit, limitGrowBelow, limitCut = 2.0, 0.22, 0.5
 
 	shedFactor       = 5.0 // times the shed share of more valuable work: probability of shedding early
@@ -69,8 +69,8 @@
 	maxTries = 2 // attempts of a request, unless the last one reached no host
 
 	// coldSafety is the part used of a cold host's budget: the rest covers chance and the warm keys it lacks.
-	// It grows with warmth to maxColdSafety, or to what makes its share a warm host's. With a fifth until the
-	// end, nearly warm hosts idle while a few others carry a mostly new fleet.
+	// It grows with warmth to maxColdSafety, or only until a host gets as much as a warm one. With a fifth
+	// until the end, nearly warm hosts would idle while a few others carry a mostly new fleet.
 	coldSafety, maxColdSafety = 0.2, 1.0 / 3
 
 	memoryAims       = 8.0   // decay time of rates, in longest aims
