--- a/internal/failover/agent.go
+++ b/internal/failover/agent.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// Members choose their report interval so that the leader gets this many reports per second, whatever the size of
-	// the fleet: the idle rate as a rule, and up to the urgent rate while members have something new to report.
+	// Members choose their report interval so that the leader gets at most this many reports per second, whatever the size
+	// of the fleet: the idle rate as a rule, and up to the urgent rate while members have something new to report.
 	idleReportRate, urgentReportRate                 = 40.0, 150.0
 	minIdleIntervalSeconds, minUrgentIntervalSeconds = 0.5, 0.25 // seconds between two reports of one member
 
--- a/internal/failover/capacity.go
+++ b/internal/failover/capacity.go
@@ -41,8 +41,8 @@
 // loadThreshold is the load at which each capacity is reached.
 var loadThreshold = [2]float64{0.6, 0.85}
 
-// totals sums up the current reports about one zone or the fleet: mean load, served and failed requests per second, and
-// the number of answers.
+// totals sums up the current reports about one zone or the fleet: mean load, requests per second that were served and
+// that failed other than by a time-out, and the number of answers.
 type totals struct{ load, served, failed, answers float64 }
 
 // zoneState is what is known of a zone as a target.
--- a/internal/failover/leader.go
+++ b/internal/failover/leader.go
@@ -84,7 +84,7 @@
 }
 
 // sendReport sends this proxy's report to the leader when it is due. Once the leader has timed out, the report goes to
-// the deputy too.
+// the deputy too, or this member takes over if it is the deputy.
 func (a *Agent) sendReport(now float64, own Report, leader string) {
 	memberCount := float64(len(a.members))
 	sinceReport := now - a.reportedAt
--- a/internal/failover/message.go
+++ b/internal/failover/message.go
@@ -53,7 +53,8 @@
 	return ok
 }
 
-// valid reports whether a received plan can be used: it is bounded, and the shares of each zone sum to one.
+// valid reports whether a received plan can be used: it is bounded, and the shares and the refused fraction of each zone
+// sum to one.
 func (p *Plan) valid() bool {
 	ok := len(p.Zones) > 0 && len(p.Zones) <= maxZones && p.Leader != "" && inRange(p.SoftCapacity, p.HardCapacity) &&
 		len(p.Leader) <= maxNameLength
--- a/internal/failover/orders.go
+++ b/internal/failover/orders.go
@@ -121,8 +121,8 @@
 	return drained
 }
 
-// WhatIf tells what taking zones out of service, or returning them, would do: the resulting shares according to the
-// plan in force, and the fraction of the fleet's weight that would remain.
+// WhatIf tells what taking zones out of service, or returning them, would do: the resulting shares, estimated from the
+// zones' weights and the demand in the last plan, and the fraction of the fleet's weight that would remain.
 func (a *Agent) WhatIf(zones []Zone, names []string, out bool) (text string, remaining float64) {
 	zones = slices.SortedFunc(slices.Values(zones), func(x, y Zone) int { return cmp.Compare(x.Name, y.Name) })
 	total := 0.0
--- a/internal/failover/paths.go
+++ b/internal/failover/paths.go
@@ -12,7 +12,7 @@
 	evidenceTTLSeconds                      = 2.0  // after which a failure or an answer is no longer evidence
 
 	minEjectionSeconds, maxEjectionSeconds = 1.0, 30.0 // doubled each time while the last ejection is recent
-	ejectionMemory                         = 3.0       // an ejection is recent for 3 times its length plus 3 s
+	ejectionMemory                         = 3.0       // recent: up to 3 times its length plus 3 s after the last ramp step
 	initialRampFraction, rampFactor        = 0.06, 2.5 // first fraction after an ejection, and its growth per step
 	rampIntervalSeconds                    = 0.5       // of good answers between two ramp steps
 	provenSeconds                          = 1.0       // for which an answer proves that a path works
@@ -42,8 +42,8 @@
 	return 3
 }
 
-// evidence is what members report about a path: how many get no answer, tried it recently, and have a fresh answer, and
-// how many attempts failed in a row.
+// evidence is what members report about a path: how many get no answer (against), how many got none or one recently
+// (witnesses), how many have a fresh answer (proven), and the sum of the failure streaks of those against.
 type evidence struct{ against, witnesses, proven, failures int }
 
 // gatherEvidence sums up the reports about each path and returns the number of witnesses that each source zone needs.
@@ -87,7 +87,7 @@
 }
 
 // updatePaths ejects paths and readmits them, and returns the reasons. Few members try a path that the plan does not
-// use, so that a few false reports could close all such paths. Unused paths to other zones therefore keep their state
+// use, so that a few false reports could close all such paths. Unused paths to other zones are therefore not ejected
 // until they are used.
 func (pl *Planner) updatePaths(now float64, zones []Zone, members int) (reasons []string) {
 	found, needed := pl.gatherEvidence(now, members)
--- a/internal/failover/placement.go
+++ b/internal/failover/placement.go
@@ -152,8 +152,8 @@
 	return parts
 }
 
-// forceAssign assigns the rest of a source's demand to its open paths, whatever their load, as in panic mode. It leaves
-// out the target except, and returns false if there is no other open path.
+// forceAssign assigns the rest of a source's demand to its open paths, whatever their load (as the balancer does with
+// hosts when too few are healthy). It leaves out the target except, and returns false if there is no other open path.
 func (p *placement) forceAssign(s int, remaining float64, except int) bool {
 	weights, sum := make([]float64, len(p.hard)), 0.0
 	for d := range weights {
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -26,7 +26,7 @@
 // ZonePlan is what a plan says about one zone, as a source of requests and as a target.
 type ZonePlan struct {
 	Zone    string  `codec:"z"`
-	Shares  []Share `codec:"s"` // of its requests, its own zone first; other zones get none
+	Shares  []Share `codec:"s"` // of its requests, its own zone first; zones not listed get none
 	Refused float64 `codec:"r"` // fraction of its requests for which no zone has capacity
 
 	// State that the next leader needs to continue from this plan.
--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -215,7 +215,8 @@
 	return 1 - capacity/total
 }
 
-// usableWeight returns the weight of all zones that their own proxies can reach, less what operators have drained.
+// usableWeight returns the weight that counts, of all zones that their own proxies can reach, less what operators have
+// drained.
 func (pl *Planner) usableWeight(zones []Zone) (sum float64) {
 	for _, z := range zones {
 		if state := pl.paths[pathKey{z.Name, z.Name}]; state == nil || !state.ejected {
--- a/internal/failover/window.go
+++ b/internal/failover/window.go
@@ -40,8 +40,8 @@
 	FailedRate    float64 `codec:"l"` // per second: no connection, no answer in time, a truncated answer, an error
 	TimedOutRate  float64 `codec:"w"` // the failures that timed out, per second
 	Load          float64 `codec:"u"` // mean of the answer time relative to the late limit; 1: late, or rejected
-	FailureStreak int     `codec:"r"` // failures since the last answer: 1 for each time-out, 2 for any other
-	SinceAnswer   float64 `codec:"s"` // seconds since the last answer
+	FailureStreak int     `codec:"r"` // failures since the last answer or rejection: 1 for each time-out, 2 for any other
+	SinceAnswer   float64 `codec:"s"` // seconds since the last answer or rejection
 	SinceFailure  float64 `codec:"g"` // seconds since the last failure
 }
 
