--- a/balancer/attempt_test.go
+++ b/balancer/attempt_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestOneMoreTry guards against retry storms on full hosts: only failed connections are retried without
-// limit.
+// TestOneMoreTry guards against retry storms on full hosts: only failed connections are retried more than
+// once, up to MaxAttempts.
 func TestOneMoreTry(t *testing.T) {
 	for _, c := range []struct {
 		result Result
--- a/balancer/hardening_test.go
+++ b/balancer/hardening_test.go
@@ -111,7 +111,8 @@
 	}
 }
 
-// TestStream: a streamed answer that has started is neither cancelled nor counted as late.
+// TestStream: a streamed answer that has started is not cancelled, failed or refused, however long it takes
+// and even if its client leaves.
 func TestStream(t *testing.T) {
 	b, r := startBalancer(testConfig(), fleet(2))
 	h := r.request(b, 1, 0, 5)
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -98,8 +98,9 @@
 	}
 }
 
-// TestOvertaken guards against a lost attempt blocking its host. Once an attempt sent well after it has been
-// answered, it neither cuts the host's limit nor takes a slot of it. Without such an answer it does both.
+// TestOvertaken guards against a lost attempt blocking its host. If the host answers another attempt, sent
+// well after the lost one, the lost one neither cuts the host's limit nor takes a slot of it. Without such an
+// answer it does both.
 func TestOvertaken(t *testing.T) {
 	for _, overtaken := range []bool{false, true} {
 		b, r := startBalancer(testConfig(), fleet(1))
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -75,8 +75,8 @@
 }
 
 // TestZoneOut guards against sending to a lost or partitioned zone in panic, and against detecting its loss
-// host by host. After several failed connections in a row the whole zone is left out, also of the healthy
-// share, and one request from time to time detects its return.
+// host by host. After several failed connections in a row the whole zone is left out, and its hosts do not
+// count for the panic threshold. One request from time to time detects the zone's return.
 func TestZoneOut(t *testing.T) {
 	b, r := startBalancer(testConfig(), fleet(10))
 	for _, h := range b.hosts {
