--- a/internal/failover/agent_test.go
+++ b/internal/failover/agent_test.go
@@ -187,13 +187,13 @@
 	}
 }
 
-// TestAuthorSilent has a leader that receives messages and sends none, while membership still reports it as live. The
-// deputy must take over, and a zone that fails meanwhile must be left.
+// TestAuthorSilent has a leader that answers and sends nothing, while membership still reports it as live. The deputy
+// must take over, and a zone that fails meanwhile must be left.
 func TestAuthorSilent(t *testing.T) {
 	n := newNetwork(t, 6, 180)
 	n.run(12)
 	leader := n.agents["a00"].Status().Leader
-	n.agents[leader] = NewAgent(n.now, leader, "x", 0) // takes messages and does nothing with them
+	n.agents[leader] = NewAgent(n.now, leader, "x", 0) // plays no part: the leader is stopped and gets no messages
 	for _, p := range n.proxies {
 		if p.name == leader {
 			n.setRunning(p, false)
@@ -339,7 +339,7 @@
 	if have, others := issuer.Confirmed(); have < 2 || others != 23 {
 		t.Errorf("order known to %d of %d other members after 1 s, want at least 2 of 23", have, others)
 	}
-	n.setRunning(n.proxies[21], false) // d03, and later the leader
+	n.setRunning(n.proxies[21], false) // d03, the issuer; further below the leader and zone c restart
 	n.run(6)
 	fractionToB := func() (fraction float64) {
 		n.resetCounts()
--- a/internal/failover/planner_test.go
+++ b/internal/failover/planner_test.go
@@ -186,7 +186,7 @@
 	}
 }
 
-// TestFlapping makes a zone fail and recover periodically. Its ejections must become longer up to a bound, and plan
+// TestFlapping makes a zone fail and recover periodically. Its ejections must not be longer than the bound, and plan
 // changes must be few. Hard case 9.
 func TestFlapping(t *testing.T) {
 	for _, period := range []float64{0.5, 2, 8, 30} {
@@ -240,8 +240,8 @@
 	m.expect("demand back to normal", 0.99, 0.01, 0.3)
 }
 
-// TestSmallHome has one zone with a tenth of the hosts and half of the traffic, and another with the reverse.
-// Hard case 13.
+// TestSmallHome has one zone with a fifteenth of the capacity and half of the traffic, and another with half of the
+// capacity and a sixth of the traffic. Hard case 13.
 func TestSmallHome(t *testing.T) {
 	m, planner := newModel(t, 12, 180), NewPlanner()
 	m.zones[0].WarmWeight, m.capacity["a"] = 2, 100
