--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -137,7 +137,7 @@
 	for name, c := range map[string]struct {
 		serve          func(c *cluster, h *fakeHost) (Result, time.Duration)
 		most, lost     float64 // limits: attempts per bad host and proxy in 20 s; share of requests lost
-		recoveredShare float64 // least share of its usual attempts that a host gets in 20 s after its recovery
+		recoveredShare float64 // least share of its usual attempts that a host gets in 20 s after recovery
 	}{
 		"failing": {func(c *cluster, h *fakeHost) (Result, time.Duration) {
 			if h.bad {
