--- a/internal/mesh/sidecar/admission.go
+++ b/internal/mesh/sidecar/admission.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	spareSlots        = 0     // beyond the host's own; a spare slot would keep the host busy between two requests
+	spareSlots        = 0     // slots beyond the host's own number; a spare slot would keep the host busy between two requests
 	defaultSlots      = 4     // for a host that has not reported its own number
 	maxJobs           = 4096  // requests in progress or waiting here
 	meanRunStep       = 0.05  // weight of one run in the mean run time
 	initialRunSeconds = 0.03  // seconds; mean run time before any run was measured
 	minWait           = 0.01  // seconds that any request may wait for a slot
 	runTimeFactor     = 1.8   // multiple of the class's mean run time: the expected length of a run, with a margin
-	replyTransit      = 0.015 // seconds reserved for the way of the response
+	replyTransit      = 0.015 // seconds reserved for sending the response back
 	minRetryWindow    = 0.25  // seconds; a client with less time left can hardly retry
-	lastTryWaitShare  = 0.5   // share of its time left that such a request may wait
+	lastTryWaitShare  = 0.5   // share of its time left that a request with less than minRetryWindow left may wait
 	maxClasses        = 256
 	largeBody         = 16 << 10 // bytes; larger responses wait for the machine's network link
-	lateQueueShare    = 0.5      // share of the slots; so many late requests may wait while their rate of service is unknown
+	lateQueueShare    = 0.5      // share of the slots; at least so many late requests may wait, however few were served lately
 	lateSlotShare     = 0.5      // share of the slots; while that many are in use, late requests get none
 	firstAttemptWait  = 0.8      // share of the mean run time that a first attempt may wait
 	hostDeadlineGrace = 0.15     // seconds after the deadline in which the host may still send its own response
@@ -38,7 +38,7 @@
 	seen               seenRequests
 	keys               keyRPCs
 	queue              []*job    // waiting for a slot and still in time for the soft deadline
-	lateQueue          lateQueue // past their soft deadline; served when no request in time waits
+	lateQueue          lateQueue // too late for their soft deadline; served when no request in time waits
 	slotsInUse         int
 	fillingSlots       bool
 	meanRunSeconds     float64            // of all requests
@@ -57,11 +57,11 @@
 	forward      *meshpb.Forward
 	arrivedAt    float64
 	deadline     float64
-	softDeadline float64 // the response loses worth after this time
+	softDeadline float64 // after this time the response is worth less
 	claim        claim
 	hasSlot      bool    // it occupies a slot of the host
 	late         bool    // it cannot be answered by its soft deadline any more
-	startedAt    float64 // when it went to the host, on the clock of the seconds that this process has run
+	startedAt    float64 // when it went to the host, by pauses.runSeconds
 	finished     bool
 }
 
@@ -89,7 +89,7 @@
 		return
 	}
 	if incarnation := m.Forward.GateLife; incarnation != 0 && incarnation != adm.sidecar.incarnation {
-		// The former process may have run it.
+		// The request was sent to the former process at this address, which may have run it.
 		adm.sidecar.drop(from, m, dropFormerProcess)
 		broken := &meshpb.Forwarded{Verdict: uint32(outcome.Broken), Why: "it was for the process before this one"}
 		adm.sidecar.respond(from, m, &meshpb.Message{Forwarded: broken})
@@ -243,8 +243,7 @@
 // reports whether it did. A request with little time left, such as a call made by a run at another host, keeps its
 // place.
 //
-// If the host is idle the request runs in any case: if the host was slow, nothing else would show that it has
-// recovered.
+// While the host is idle, the request keeps its place in any case: only a run can show that a slow host has recovered.
 func (adm *admission) demoteIfLate(j *job) bool {
 	if !adm.pastSoftDeadline(j) || adm.slotsInUse == 0 {
 		return false
@@ -284,8 +283,8 @@
 }
 
 // lateQueueHasRoom reports whether a request that is too late for its soft deadline may wait here. As many may wait as
-// would be served, at the recent rate for late requests, in the time that this one has left. While that rate is not
-// known a few may wait.
+// would be served, at the recent rate for late requests, in the time that this one has left. However low that rate is,
+// lateQueueShare of the slots may wait.
 func (adm *admission) lateQueueHasRoom(j *job) bool {
 	spareSeconds := j.deadline - adm.sidecar.now - runTimeFactor*adm.classRunSeconds[j.forward.Class] - replyTransit -
 		adm.linkDelay(j.forward.Class)
@@ -305,8 +304,9 @@
 		Exchange{Job: j.id, Forward: forward, Deadline: j.deadline + hostDeadlineGrace})
 }
 
-// reject ends a request of which no byte went to the host. The reason why is the value of a metric label. backMs is not 0
-// if the host is full, and 0 if it is gone.
+// reject ends a request of which no byte went to the host. The reason why is the value of a metric label. backMs is 0 if
+// the host is gone or leaves. It is greater if the host stays but cannot take the request now, for instance because it is
+// full.
 func (adm *admission) reject(j *job, why string, backMs uint32) {
 	adm.sidecar.counts.Rejected[why]++
 	adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.TurnedAway), Why: why, BackMs: backMs})
@@ -394,7 +394,7 @@
 		adm.queue = slices.Delete(adm.queue, late, late+1)
 		adm.finish(j, &meshpb.Forwarded{Verdict: uint32(outcome.Expired)})
 	}
-	// Requests do not wait for a slot that would come too late.
+	// A late request does not wait any longer once its run could not end before the deadline.
 	for _, j := range adm.lateQueue.removeIf(func(j *job) bool { return !adm.canFinish(j) }) {
 		adm.reject(j, "no berth before its deadline", 1)
 	}
--- a/internal/mesh/sidecar/attempts.go
+++ b/internal/mesh/sidecar/attempts.go
@@ -41,7 +41,7 @@
 	if verdict == outcome.Answered && forwarded.Status < 500 {
 		p.services[req.service].recordLatency(a.host, req.class, float64(forwarded.TookUs)/1e6)
 	}
-	// Admission records the outcomes of the host here.
+	// For the host beside this sidecar, admission has recorded the outcome already.
 	if ep := p.services[req.service].hosts[a.host]; ep != nil && a.peer != p.opts.Self {
 		p.recordOutcome(ep.instance, forwarded)
 	}
@@ -67,7 +67,7 @@
 			p.endAttempt(a, balancer.OK, forwarded, why)
 		}
 	case outcome.TurnedAway:
-		if forwarded.BackMs > 0 { // the host is full
+		if forwarded.BackMs > 0 { // the host stays but cannot take the request now
 			p.endAttempt(a, balancer.Rejected, nil, why)
 		} else {
 			p.endAttempt(a, balancer.ConnectFailed, nil, why)
@@ -76,7 +76,8 @@
 		p.endAttempt(a, balancer.Rejected, nil, why)
 	case outcome.Unclaimed:
 		if p.now > p.discovery.serverHeardAt+controlSilentAfter || a.number > 0 || forwarded.BackMs > 0 {
-			// Another sidecar would reach no more of the control plane than the first one did.
+			// Another sidecar would hardly reach more of the control plane: no control server answers this sidecar, this
+			// attempt is already a retry, or the control plane has no capacity.
 			p.endAttempt(a, balancer.Skipped, nil, why)
 		} else {
 			p.endAttempt(a, balancer.Rejected, nil, why)
@@ -190,7 +191,8 @@
 
 // peerFailed ends an attempt to which no response is expected any more. A repeatable request is retried. For a request
 // with an idempotency key, the register is asked to void the token. If no claim of the token was granted, the request
-// has not run and never will, and is retried with a new token. Otherwise it is unknown whether the request ran.
+// has not run and never will, and is retried with a new token. If a claim was granted, it is unknown whether the request
+// ran. The same holds for a request that is neither repeatable nor has a key.
 func (p *Sidecar) peerFailed(a *attempt, why string) {
 	req := a.request
 	if !a.voidRequested {
@@ -233,8 +235,9 @@
 	return all
 }
 
-// watchPeers pings peers that are silent while they have attempts of this sidecar, since a machine that is cut off does
-// not close its connections. If a peer does not answer in time, the attempts sent before the ping are given up.
+// watchPeers pings peers that are silent while attempts of this sidecar are in flight at them, since a machine that is
+// cut off does not close its connections. If a peer does not answer in time, the attempts sent before the ping are given
+// up.
 func (p *Sidecar) watchPeers() {
 	for _, proxy := range slices.Sorted(maps.Keys(p.peers)) { // in a fixed order, so that a run can be replayed from its seed
 		peer := p.peers[proxy]
--- a/internal/mesh/sidecar/claims.go
+++ b/internal/mesh/sidecar/claims.go
@@ -24,10 +24,10 @@
 	hedgeDelayFactor     = 2.0  // that delay, as a multiple of the server's mean answer time
 	maxHedgeDelay        = 0.24 // seconds; upper bound of that delay
 	meanAnswerStep       = 0.1  // weight of one answer in the mean answer time
-	claimTimeout         = 0.36 // seconds until a claim is given up; nothing has been sent to the host then
+	claimTimeout         = 0.36 // seconds until a claim is given up; nothing has been sent to the host by then
 	hedgeBudgetEarn      = 0.1  // hedges earned by each answered claim
 	maxHedgeBudget       = 5.0  // hedges that can be saved up
-	overloadRetryAfterMs = 300  // for a client whose claim the control plane has no capacity for
+	overloadRetryAfterMs = 300  // milliseconds after which the sender may retry, if the control plane has no capacity for the claim
 	settleRetryDelay     = 0.25 // seconds until a settle message is sent again; doubles with each attempt
 	maxSettleAttempts    = 6
 	maxSettles           = 4096
@@ -38,7 +38,7 @@
 	claims             map[uint64]*claimRPC
 	settles            map[uint64]*settleRPC
 	deprioritizedUntil map[string]float64 // by control server that did not answer: the time until which it is asked last
-	throttle           throttle.Throttle  // of claims
+	throttle           throttle.Throttle  // of claims and settle messages
 	meanAnswerSeconds  map[string]float64 // until a control server answers a claim, by server
 	hedgeBudget        float64            // hedges that may be sent now
 }
@@ -79,7 +79,8 @@
 	overdue bool // its hedge was sent, or the budget did not allow one
 }
 
-// settleRPC records the outcome of a run, and is retried until a control server acknowledges it.
+// settleRPC records the outcome of a run or voids a token. It is tried until a control server acknowledges it, but at most
+// maxSettleAttempts times.
 type settleRPC struct {
 	key      string
 	receipt  *meshpb.Receipt
@@ -91,7 +92,8 @@
 	attempts int
 }
 
-// urgent reports whether this is the first message with a run's response, for which repeats of the request wait.
+// urgent reports whether this is the first message with a run's outcome. Repeats of the request wait for that outcome, so
+// the throttle does not hold this message back.
 func (settling *settleRPC) urgent() bool {
 	return settling.attempts == 1 && settling.receipt.State != register.Void
 }
@@ -121,8 +123,9 @@
 	adm.claimAtNextServer(j)
 }
 
-// claimAtNextServer sends the claim to the next control server. If there is none, or the throttle allows no claim, the
-// job ends as soon as no outstanding claim can be granted any more.
+// claimAtNextServer sends the claim to the next control server. If there is none left, or the throttle allows no claim,
+// the job ends, unless a claim is outstanding. The job also ends if a control server may have bound the key, no claim is
+// outstanding and all servers left have failed to answer lately, or if the claim has taken too long.
 func (adm *admission) claimAtNextServer(j *job) {
 	c := &j.claim
 	allDeprioritized := len(c.outstanding) == 0 && c.mayBeHeld && !slices.ContainsFunc(c.servers,
@@ -248,7 +251,7 @@
 func (adm *admission) claimUndecided(rpc *claimRPC, claimed *meshpb.Claimed) {
 	j := rpc.job
 	j.claim.mayBeHeld = j.claim.mayBeHeld || !claimed.Untouched
-	if !rpc.overdue { // an overdue claim was counted before
+	if !rpc.overdue { // an overdue claim was counted as failed when it became overdue
 		adm.keys.throttle.Failed(adm.sidecar.now)
 	}
 	if claimed.Overloaded {
@@ -273,7 +276,7 @@
 	return true
 }
 
-// settle records how a run ended, with retries until a control server acknowledges it.
+// settle records how a run ended, with retries until a control server acknowledges it or maxSettleAttempts is reached.
 func (adm *admission) settle(key string, receipt *meshpb.Receipt) {
 	if len(adm.keys.settles) >= maxSettles {
 		return // the key stays claimed, and its run ends as lost
@@ -282,6 +285,7 @@
 }
 
 // voidIfFree voids a token unless its claim was granted, and passes the resulting state of the key to done.
+// If no control server decides, done is never called.
 func (adm *admission) voidIfFree(key string, token uint64, done func(state uint32)) {
 	if len(adm.keys.settles) < maxSettles {
 		adm.sendSettle(&settleRPC{key: key, receipt: &meshpb.Receipt{Token: token, State: register.Void}, ifFree: true, done: done})
@@ -312,7 +316,7 @@
 	adm.sidecar.send(settling.server, adm.sidecar.newRPC(id, &meshpb.Message{Settle: settle}))
 }
 
-// settleAnswered ends a settle message by its answer. If no majority was found, the retries go on.
+// settleAnswered ends a settle message by its answer. If the server found no majority, the retries go on.
 func (adm *admission) settleAnswered(id uint64, settling *settleRPC, state uint32) {
 	if state == register.Unsure {
 		return
@@ -324,7 +328,8 @@
 	}
 }
 
-// connectionLost moves the messages that were not sent to a lost control server on to the next one.
+// connectionLost handles the loss of the connection to a control server. The messages of which nothing was sent to that
+// server go to the next one.
 func (adm *admission) connectionLost(lost transport.Disconnected) {
 	for _, id := range lost.Unsent {
 		if rpc := adm.keys.claims[id]; rpc != nil && rpc.server == lost.Peer {
--- a/internal/mesh/sidecar/discovery.go
+++ b/internal/mesh/sidecar/discovery.go
@@ -140,8 +140,8 @@
 	return true
 }
 
-// ProbeDone handles the host's answer to a probe. It saves a sidecar that has just started the wait for the next
-// heartbeat.
+// ProbeDone handles the host's answer to a probe. The probe lets a sidecar that has just started learn of its host without
+// waiting for the next heartbeat.
 func (p *Sidecar) ProbeDone(now float64, instance string, healthy bool) {
 	p.beginInput(now)
 	if d := &p.discovery; instance != "" && healthy && d.own.Station == "" {
@@ -161,7 +161,8 @@
 	p.runPending()
 }
 
-// nextRecord returns the record of the host here under another version, as other processes may hold the present one.
+// nextRecord returns a copy of the record of the host here under another version. The present version cannot be
+// used again, as other processes may hold the present record.
 func (d *discovery) nextRecord(version uint64) *meshpb.Record {
 	record := proto.Clone(d.own).(*meshpb.Record)
 	record.Version, record.Leaving = version, d.announcedLeaving
@@ -282,7 +283,7 @@
 	return pull
 }
 
-// receiveUpdate applies what another process knows. Older versions than the known ones have no effect.
+// receiveUpdate applies the answer of another process to a pull. Versions older than the known ones have no effect.
 func (d *discovery) receiveUpdate(from string, m *meshpb.Message) {
 	p, update := d.sidecar, m.Update
 	asked, fromServer := d.pullTarget(m.Id, from)
@@ -394,7 +395,7 @@
 	p.respond(from, m, &meshpb.Message{Update: update})
 }
 
-// connectionLost moves on to the next control server.
+// connectionLost moves on to the next control server if the connection to the present one was lost.
 func (d *discovery) connectionLost(from string) {
 	servers := d.servers
 	if len(servers) == 0 {
@@ -427,7 +428,7 @@
 		d.missedPulls++
 		d.sendPull(false)
 	}
-	if d.own.Station == "" && !d.shuttingDown && p.table != nil && p.now >= d.nextProbeAt { // its next heartbeat may be a while away
+	if d.own.Station == "" && !d.shuttingDown && p.table != nil && p.now >= d.nextProbeAt { // the next heartbeat may be a while away
 		if s := p.table.Service(p.opts.Service); s != nil && s.HealthPath != "" {
 			d.nextProbeAt = p.now + probeInterval
 			p.output.Commands = append(p.output.Commands, Probe{s.HealthPath})
--- a/internal/mesh/sidecar/dispatch.go
+++ b/internal/mesh/sidecar/dispatch.go
@@ -30,7 +30,7 @@
 	minRetryAfter       = 0.05 // seconds; lower bound of the delay after which a client is told to retry
 	maxRetryAfter       = 0.3
 	crossZonePrice      = 0.051  // price of crossing zones for the balancer; corresponds to 0.15 of the weight
-	crossZonePriceLarge = 0.0588 // the same for services with large responses; corresponds to a fiftieth
+	crossZonePriceLarge = 0.0588 // the same for services with large responses; corresponds to a fiftieth of the weight
 	classMeanStep       = 0.02   // weight of one response in the mean time of its class
 	slownessStep        = 0.06   // weight of one response in the slowness of its host
 	maxSlownessSample   = 4.0    // bound of one sample, as a multiple of the class's mean time
@@ -38,11 +38,11 @@
 	weightInterval      = 0.5    // seconds
 	lateWorth           = 0.3    // worth of a response after its soft deadline, relative to one before
 	pingAfter           = 0.06   // seconds of silence after which a peer with attempts in flight is pinged
-	minPongTimeout      = 0.15   // seconds after the ping until a silent peer counts as lost, where pongs normally come at once
-	pongTimeoutFactor   = 3.0    // multiple of the mean pong time that is added to that
-	maxPongTimeout      = 0.6
-	meanPongStep        = 0.05 // weight of one pong in the mean pong time
-	strayTimeout        = 3.0  // seconds after the deadline until an attempt without an end is forgotten
+	minPongTimeout      = 0.15   // seconds after the ping until a silent peer counts as lost, if its pongs come at once
+	pongTimeoutFactor   = 3.0    // multiple of the mean pong time that is added to minPongTimeout
+	maxPongTimeout      = 0.6    // upper bound of that sum
+	meanPongStep        = 0.05   // weight of one pong in the mean pong time
+	strayTimeout        = 3.0    // seconds after the deadline until an attempt without an end is forgotten
 	noHostsRetryAfter   = 0.15
 	controlSilentAfter  = 1.0   // seconds without an answer of any control server until the control plane counts as unreachable
 	deadlineGrace       = 0.004 // seconds after the deadline in which the sidecar of the host may report the expiry first
@@ -157,7 +157,7 @@
 	return uint32(h)
 }
 
-// Submit takes a client's request. The request gets exactly one Respond.
+// Submit takes a client's request. The request gets exactly one Respond command.
 func (p *Sidecar) Submit(now float64, req *Request) {
 	p.beginInput(now)
 	req.receivedAt = now
--- a/internal/mesh/sidecar/duplicates.go
+++ b/internal/mesh/sidecar/duplicates.go
@@ -44,9 +44,9 @@
 	return seenRequests{seen: map[messageID]bool{}, watermarks: map[senderProcess]watermark{}}
 }
 
-// admit remembers a request. It returns the reason why the request may have arrived before, or the empty string if it
-// has not. Processes of an older version send no incarnation and reuse their IDs after a restart, so their requests
-// cannot be checked.
+// admit remembers a request. If the request has arrived before, or may have, admit returns the reason to drop it, and
+// otherwise the empty string. Processes of an older version send no incarnation and reuse their IDs after a restart, so
+// their requests cannot be checked.
 func (s *seenRequests) admit(now float64, message messageID) string {
 	s.prune(now)
 	switch {
@@ -81,8 +81,8 @@
 	s.watermarks[sender] = watermark{max(s.watermarks[sender].id, entry.message.id), entry.seenAt}
 }
 
-// evictWatermarks drops the watermarks of processes that have sent nothing for long, and at least the oldest one where
-// there are too many.
+// evictWatermarks drops the watermarks of processes that have sent nothing for long. If there are still too many, it also
+// drops the oldest one that is left.
 func (s *seenRequests) evictWatermarks(now float64) {
 	var oldest senderProcess
 	oldestAt := math.Inf(1)
--- a/internal/mesh/sidecar/keylease.go
+++ b/internal/mesh/sidecar/keylease.go
@@ -12,14 +12,14 @@
 
 // A sharded service assigns each shard key to one host. This file grants the host here the key ranges that it is
 // assigned. All requests to the host pass this sidecar, so the sidecar can guarantee that the host begins nothing on a
-// key without a lease. A lease rests on the control plane's answer to which assignment is in force, and its time counts
-// from when the request for it was sent. Ranges that the host loses are released at once, and the control plane is told
-// when that is done. Until then, or until all leases have expired, the new holder gets nothing.
+// key without a lease. A lease rests on an answer of the control plane that tells which assignment is in force, and its
+// time counts from when the request for that answer was sent. Ranges that the host loses are released at once, and the
+// control plane is told when that is done. Until then, or until all leases have expired, the new holder gets nothing.
 
 const (
 	leaseRetryDelay   = 0.3  // seconds without an answer until another control server is asked
 	releaseRetryDelay = 0.15 // seconds until a failed release is tried again
-	maxGrantBatch     = 16   // grant calls at once
+	maxGrantBatch     = 16   // grant calls in one command
 	msPerSecond       = 1000
 	statusOK          = 200
 )
@@ -57,11 +57,11 @@
 
 	table         *sharding.Table            // the newest assignment that was confirmed to be in force
 	tableAskedAt  float64                    // when the request was sent whose answer confirmed it
-	ownRanges     []sharding.Range           // assigned to the host by that table
-	heldUntil     map[sharding.Range]float64 // until when requests may begin on each range that the host holds
+	ownRanges     []sharding.Range           // assigned to the host by the field table
+	heldUntil     map[sharding.Range]float64 // by range that the host holds: until when requests may begin on it
 	grantedAt     map[sharding.Range]float64 // by range: the tableAskedAt on which its last grant was based
 	pendingGrants map[uint64]sharding.Range  // calls in progress, by ID
-	grantsAskedAt float64                    // the tableAskedAt on which these calls are based
+	grantsAskedAt float64                    // the tableAskedAt on which the pendingGrants are based
 
 	request          leaseRPC
 	nextRequestAt    float64 // when the next request is due
@@ -230,8 +230,8 @@
 	p.grantRanges()
 }
 
-// confirmTable records that the newest known assignment was in force at some moment after the given time, at which the
-// lease request was sent.
+// confirmTable records that the newest known assignment was in force at some moment after the time at, when the lease
+// request was sent.
 func (p *Sidecar) confirmTable(at float64) {
 	lease, table := &p.lease, p.shards.tables[p.lease.service]
 	if table == nil {
@@ -327,7 +327,7 @@
 }
 
 // markHostLost records that no process listens at the host's address. The host's keys have to go to other hosts, which
-// cannot serve them before. A further heartbeat of the same host instance reverses it.
+// cannot serve them until this host counts as gone. A further heartbeat of the same host instance brings the host back.
 func (p *Sidecar) markHostLost() {
 	if p.discovery.own.Condition == Serving {
 		p.opts.Log("host lost", "station", p.discovery.own.Station, "why", "nobody listens at its address")
@@ -389,7 +389,7 @@
 	Releasing        int     `json:"releasing"` // lost and not released yet
 }
 
-// keyState returns the state of the shard keys here, nil if there are none.
+// keyState returns the state of the shard keys here, nil while no assignment of the service was confirmed.
 func (p *Sidecar) keyState() *KeyState {
 	lease := &p.lease
 	if lease.table == nil {
