--- a/internal/mesh/sidecar/actions.go
+++ b/internal/mesh/sidecar/actions.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// Refuse ends a request that the client may safely repeat.
+// Refuse ends a request that the client may safely repeat. In a sharded service the request may instead be passed to the
+// holder of its key again.
 func (s *service) Refuse(id balancer.RequestID, coolDown float64) {
 	p := s.sidecar
 	req := p.requests[uint64(id)]
@@ -150,7 +151,7 @@
 func (s *service) Watch() {}
 func (s *service) Fetch() {}
 
-// Tell does nothing: balancers exchange no messages here.
+// Broadcast does nothing: balancers exchange no messages here.
 func (s *service) Broadcast([]byte) {}
 
 // Log writes a log message of the balancer.
--- a/internal/mesh/sidecar/pause.go
+++ b/internal/mesh/sidecar/pause.go
@@ -18,7 +18,7 @@
 // afterwards.
 type pauseDetector struct {
 	inputAt    float64 // time of the newest input
-	runSeconds float64 // seconds for which this process has run, without pauses
+	runSeconds float64 // seconds for which this process has run; each pause counts as minPause
 	pauseBegan float64 // the newest input before the last long pause
 	pauseEnded float64 // the first input after that pause; 0: there was none
 }
@@ -28,7 +28,7 @@
 	gap := now - pd.inputAt
 	switch {
 	case gap > minPause && pd.mayBeBuffered(pd.inputAt):
-		// Messages sent before the long pause may still be in a buffer, so this shorter pause extends it.
+		// Messages sent before the long pause may still be in a buffer, so this pause, however short, extends the long one.
 		pd.pauseEnded = now
 	case gap > minLongPause:
 		pd.pauseBegan, pd.pauseEnded = pd.inputAt, now
@@ -37,7 +37,7 @@
 	pd.inputAt = now
 }
 
-// mayBeBuffered reports whether a message that arrives now may have been sent before or during a pause.
+// mayBeBuffered reports whether a message that arrives now may have been sent before or during a long pause.
 func (pd *pauseDetector) mayBeBuffered(now float64) bool {
 	return pd.pauseEnded > 0 && now < pd.pauseEnded+bufferedFor
 }
--- a/internal/mesh/sidecar/pause_test.go
+++ b/internal/mesh/sidecar/pause_test.go
@@ -65,7 +65,7 @@
 	f.wantCondition(Draining, "an outdated heartbeat after a freeze")
 }
 
-// No heartbeat brings back a host that has signed off, also if it counted as gone for missed heartbeats before.
+// No heartbeat brings back a host that has signed off, even if it counted as gone for missed heartbeats before.
 func TestHostThatSignedOffStaysGone(t *testing.T) {
 	for name, missed := range map[string]bool{"serving": false, "counted as gone": true} {
 		f := newHostFixture(t)
@@ -78,9 +78,9 @@
 	}
 }
 
-// A request that arrives right after a long pause may be as old as the pause, and runs only if its deadline is later
-// still. Otherwise it is rejected, so that its sender can send it elsewhere. One second after the pause, requests count
-// as fresh again.
+// A request that arrives right after a long pause may have been sent when the pause began. It runs only if its deadline,
+// counted from then, is still ahead. Otherwise it is rejected, so that its sender can send it elsewhere. One
+// second after the pause, requests count as fresh again.
 func TestRequestsFoundAfterAFreezeAreOld(t *testing.T) {
 	f := newHostFixture(t)
 	f.advance(0.1)
@@ -108,8 +108,8 @@
 	}
 }
 
-// A short pause, as they occur on a crowded machine, makes no request old, as fresh requests would suffer more from
-// that.
+// After a short pause, which is frequent on a crowded machine, no request counts as old, as fresh requests would suffer
+// more from being treated as old.
 func TestRequestsAfterAShortPauseAreFresh(t *testing.T) {
 	f := newHostFixture(t)
 	f.advance(0.1)
--- a/internal/mesh/sidecar/pulls.go
+++ b/internal/mesh/sidecar/pulls.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// maxPulls bounds the number of pulls from control servers that are outstanding at once. A further pull is sent only
-// after the one before it went unanswered for a while.
+// maxPulls bounds the number of pulls from control servers that are outstanding at once. A further pull is sent when the
+// newest one went unanswered for a while or its server was lost, and at once when something changed here that the servers
+// need to know.
 const maxPulls = 8
 
 // outstandingPull is an unanswered pull from a control server.
--- a/internal/mesh/sidecar/rpc_test.go
+++ b/internal/mesh/sidecar/rpc_test.go
@@ -157,7 +157,7 @@
 	if c.runs > 0 || c.sidecar.counts.Dropped[dropOtherToken] != 1 {
 		t.Fatalf("%d runs without a valid grant, dropped %v", c.runs, c.sidecar.counts.Dropped)
 	}
-	right.Life = 0 // older control servers do not return it
+	right.Life = 0 // older control servers do not return the incarnation
 	c.receive(peer, right)
 	c.receive(peer, right)
 	if c.runs != 1 {
--- a/internal/mesh/sidecar/shards.go
+++ b/internal/mesh/sidecar/shards.go
@@ -18,7 +18,7 @@
 	noHolderRetryAfter     = 0.15 // seconds after which a client is told to retry if nobody holds the key
 	noKey                  = -1
 	reasonKeyNotHeld       = "its key is not held here"
-	keyNotHeldRetryAfterMs = 50 // when the sender may try again
+	keyNotHeldRetryAfterMs = 50 // milliseconds after which the sender may try again
 	reasonNoHolder         = "nobody holds the keys of this service yet"
 )
 
@@ -90,8 +90,8 @@
 	p.submitToBalancer(req)
 }
 
-// retriesAtHolder reports whether a refused request is passed to the holder of its key again, and schedules that. The
-// holder may be about to change, and the request has run nowhere.
+// retriesAtHolder reports whether a refused request is passed to the holder of its key again, and schedules that
+// retry. The holder may be about to change, and the request has run nowhere.
 func (p *Sidecar) retriesAtHolder(req *Request) bool {
 	if req.holder == 0 || req.arrivals > 0 || req.lastResponse != nil || req.mayHoldClaim ||
 		p.now+holderRetryDelay > req.receivedAt+holderRetryShare*req.class.target {
@@ -101,7 +101,7 @@
 	return true
 }
 
-// resubmit passes a request to the balancer again. It uses a new ID, as the balancer has refused the old one.
+// resubmit passes a request to the balancer again. The request gets a new ID, as the balancer has refused the old one.
 func (p *Sidecar) resubmit(req *Request) {
 	if req.answered || p.requests[req.id] != req {
 		return
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -12,7 +12,7 @@
 // The fields of messages have the names of the operators' protocol. A carrier is a service, a station is the ID of a host
 // instance, and berths are the slots of a host, the number of requests that it runs at once. A life is a process
 // incarnation, and the gate life is that of the receiving sidecar. The source of a record is the address of the sidecar
-// that publishes it. The aim of a request is its soft deadline, after which its response loses worth.
+// that publishes it. The aim of a request is its soft deadline, after which its response is worth less.
 //
 // sidecar.go joins the parts. dispatch.go follows a client request to the sidecar of the picked host, with actions.go
 // (what the balancer orders), attempts.go (how attempts end), heldattempts.go (attempts that wait for a peer's
@@ -239,8 +239,8 @@
 	p.runPending()
 }
 
-// Ready reports whether clients may send requests here: a configuration is in force and the process is not shutting
-// down.
+// Ready reports whether clients may send requests here: a configuration is in force, a control server has answered since
+// the start, and the process is not shutting down.
 func (p *Sidecar) Ready() bool {
 	return p.table != nil && !p.discovery.shuttingDown && p.discovery.serverAnswered
 }
@@ -272,17 +272,17 @@
 // Counts are counters since the start of the process.
 type Counts struct {
 	Replies             map[int]uint64    `json:"answers"` // sent to clients, by status
-	Attempts            map[string]uint64 `json:"tries"`   // sent to sidecars, by outcome
+	Attempts            map[string]uint64 `json:"tries"`   // to which a sidecar has responded, by outcome
 	Rejected            map[string]uint64 `json:"turned"`  // requests rejected before they reached the host here, by reason
 	Runs                uint64            `json:"runs"`    // requests passed to the host here
-	LateRuns            uint64            `json:"late"`    // of these, past their soft deadline when they began
-	PeerFailures        uint64            `json:"doubts"`  // attempts given up because the peer is silent or lost
+	LateRuns            uint64            `json:"late"`    // of these, too late for their soft deadline before they began
+	PeerFailures        uint64            `json:"doubts"`  // attempts given up because the peer is silent, lost or replaced
 	Dropped             map[string]uint64 `json:"dropped"` // messages without effect, by reason
 	ClientsLeft         map[string]uint64 `json:"left"`    // requests whose clients left before the reply, by where the request was
 	SentAfterClientLeft uint64            `json:"unasked"` // attempts sent although the client had left: expected to stay 0
 
-	Grants        uint64 `json:"grants"`     // of shard key ranges to the host here
-	GrantsRefused uint64 `json:"notGranted"` // of these, not accepted by the host
+	Grants        uint64 `json:"grants"`     // calls that grant shard key ranges to the host here, with or without success
+	GrantsRefused uint64 `json:"notGranted"` // of these, without effect: not accepted, or the assignment or host changed
 
 	Cancelled map[string]uint64 `json:"cancelled"` // requests cancelled by other sidecars, by their state here
 }
@@ -304,7 +304,7 @@
 	AvoidedHosts map[string]int   `json:"avoided"`        // by service, hosts to which the balancer sends nothing
 	Ejected      []string         `json:"condemned"`      // host instances that are out by agreement
 	Suspects     []string         `json:"accused"`        // host instances on which the control servers want observations
-	Keys         *KeyState        `json:"keys,omitempty"` // nil: the host holds no shard keys and is not assigned any
+	Keys         *KeyState        `json:"keys,omitempty"` // nil: no assignment of the host's service was confirmed yet
 }
 
 // State returns the current status.
