--- a/internal/mesh/control/assignment.go
+++ b/internal/mesh/control/assignment.go
@@ -114,7 +114,8 @@
 	return names
 }
 
-// handleLeaseRequest queues a proxy's request. It is answered once the register has been read.
+// handleLeaseRequest queues a proxy's request, which is answered once the register has been read. The request is refused at once
+// if this server cannot read the register, the service is not sharded, or too many requests wait.
 func (s *Server) handleLeaseRequest(now float64, from string, m *meshpb.Message) {
 	if !s.canCommit(now) || s.assignments.services[m.LeaseRequest.Carrier] == nil {
 		s.answerLease(leaseRequest{from, m}, nil)
@@ -159,7 +160,7 @@
 }
 
 // computeTargetMembers returns the proxies beside the hosts of a service that are listed and not leaving. A present member
-// without a known record, because this server or the proxy has just started, stays until it counts as silent.
+// whose record or host is not known here, because this server or the proxy has just started, stays until it counts as silent.
 func (s *Server) computeTargetMembers(now float64, a *assignment) (members []string) {
 	for source, r := range s.propagation.records {
 		if r.Carrier == a.service && r.Station != "" && r.Condition == meshpb.Serving && !s.isSilentSource(now, source) {
--- a/internal/mesh/control/catchup.go
+++ b/internal/mesh/control/catchup.go
@@ -39,7 +39,7 @@
 	member        view.Member
 
 	part          register.Part              // the part of the registers whose values the member sends
-	lastPageEpoch uint64                     // epoch of its last page while values named there are missing; 0: none are
+	lastPageEpoch uint64                     // epoch of its last page, until no value that its pages named is missing; else 0
 	missing       map[string]register.Ballot // by key: ballots of newer values that the member named without sending them
 	fetchingKeys  []string                   // keys of the open request; nil: it asks for a page
 }
@@ -48,7 +48,7 @@
 	sources     map[string]*syncSource // by address
 	caughtUp    bool                   // a majority of the members has been read completely
 	syncedEpoch uint64                 // joint epoch for which everything was read
-	syncRetryAt float64                // while the marker of a complete read is being synced: when to put it again
+	syncRetryAt float64                // while the marker of a complete read (nameSynced) is being synced: when to put it again
 	startedAt   float64
 }
 
@@ -71,8 +71,8 @@
 	}
 }
 
-// tickCatchup reads from as many members as make a majority, in a rendezvous order specific to this server. A member that does
-// not answer is passed over.
+// tickCatchup reads from as many members as make a majority, in a rendezvous order specific to this server. For each
+// member that does not answer, one more is asked.
 func (s *Server) tickCatchup(now float64) {
 	c := &s.catchup
 	if !s.view().Known() || s.Voting() || s.membership.foreign || s.membership.leaving {
@@ -115,7 +115,7 @@
 	return 0
 }
 
-// requestIfDue asks a member for the next page when its time has come.
+// requestIfDue sends the next request to a member, or sends the open one again, if it is due.
 func (s *Server) requestIfDue(now float64, address string, from *syncSource) {
 	if now >= s.nextRequestAt(from) {
 		s.sendSyncRequest(now, address, from)
@@ -154,8 +154,8 @@
 	s.effects.After = append(s.effects.After, after(from, &meshpb.Message{Id: id, SyncPage: answer}))
 }
 
-// handleSyncPage processes the answer to the open request. Any other page may answer a request of an earlier run of this process,
-// which had already read the preceding pages.
+// handleSyncPage processes the answer to the open request. Any other page is ignored: it may answer a request of an earlier run
+// of this process, which had already read the preceding pages.
 func (s *Server) handleSyncPage(now float64, member view.Member, id uint64, p *meshpb.SyncPage) {
 	from := s.catchup.sources[member.Address]
 	if from == nil || id != from.requestID || s.Voting() || !slices.Contains(s.view().Members, member) {
@@ -197,7 +197,7 @@
 }
 
 // fetchMissing requests by key the values that members named but no member has sent. It first waits for members that are still
-// sending pages, which contain most of these values.
+// sending pages, which contain most of these values. A member from which nothing is missing counts as read completely.
 func (s *Server) fetchMissing(now float64) {
 	for _, from := range s.catchup.sources {
 		if from.requestOpen && from.fetchingKeys == nil && now < from.heardAt+pageTimeout {
@@ -255,7 +255,7 @@
 	}
 	c.syncRetryAt = now + syncTimeout
 	epoch := s.view().Epoch
-	s.whenSynced(func(float64) { // in a later batch: after a power loss any part of a batch may be on disk
+	s.whenSynced(func(float64) { // the marker is put after the values are synced: a power loss may keep any part of a batch
 		if s.view().Epoch != epoch {
 			return
 		}
--- a/internal/mesh/control/configuration.go
+++ b/internal/mesh/control/configuration.go
@@ -24,7 +24,7 @@
 	maxHistory               = 1024 // versions whose hashes are kept; an older version counts as taken
 	resolveAfter             = 0.25 // seconds for which a value may stay without being known to be chosen
 	fetchRetryAfter          = 0.2  // seconds between requests for a newer configuration; doubles with each retry
-	maxFetchBackoffDoublings = 4    // number of times that the delay doubles: a resend of this large message delays others
+	maxFetchBackoffDoublings = 4    // number of times that the delay doubles: each answer is large and delays other messages
 	maxOpenOrders            = 64
 )
 
@@ -37,7 +37,7 @@
 type OrderResult int
 
 const (
-	OrderTaken     OrderResult = iota // this version or a newer one is in force, or this one was
+	OrderTaken     OrderResult = iota // the version counts as taken: it or a newer one is in force
 	OrderConflict                     // another configuration was taken under this version: this one never takes effect
 	OrderNoContact                    // no quorum is reachable from here: the order may or may not take effect
 	OrderNotMember                    // this server is not a member and takes no orders
@@ -56,7 +56,7 @@
 	heldVersion     uint64          // version synced to this server's disk
 	notedBallot     register.Ballot // ballot of the newest value on this server, synced or not
 	unresolvedSince float64         // since when it has been unknown whether the newest value is chosen; 0: it is known
-	resolving       bool            // a read that resolves this is in progress
+	resolving       bool            // a read that finds out whether the newest value is chosen is in progress
 	openOrders      int             // orders in progress
 	nextFetchAt     float64
 	fetchAttempts   int // since the last configuration arrived
@@ -75,8 +75,8 @@
 	return sum[:hashBytes]
 }
 
-// checkOrder compares an order with the chosen configuration. open is true if no text has been taken under its version yet, so
-// that the order has to be written first: its version is either newer, or older but skipped.
+// checkOrder compares an order with the chosen configuration. open is true if the order still has to be written, because no text
+// has been taken under its version yet: the version is newer than all versions taken, or is an older one that was skipped.
 func checkOrder(chosen *meshpb.Config, version uint64, hash []byte) (result OrderResult, open bool) {
 	history := chosen.GetHistory()
 	at, found := findVersion(history, version)
@@ -248,7 +248,7 @@
 	}
 }
 
-// checkConfirmed determines whether the known configuration is the newest. It is if no member of a quorum holds a newer one,
+// checkConfirmed determines whether the known configuration is the newest: it is if no member of a quorum holds a newer one,
 // because a newer chosen configuration would be held by at least one of them.
 func (s *Server) checkConfirmed(now float64) {
 	c := &s.configuration
@@ -307,8 +307,8 @@
 	s.checkConfirmed(now)
 }
 
-// learnFromHolders concludes that a value is chosen when a quorum reports holding it at the same ballot of this epoch. The value
-// is skipped if this disk already has a newer one, which no digest has reported yet.
+// learnFromHolders concludes that a value is chosen when a quorum reports holding it at the same ballot of this epoch. Nothing
+// is concluded while the newest value on this server is not synced, because digests do not report that value yet.
 func (s *Server) learnFromHolders(now float64) {
 	c := &s.configuration
 	value, ballot := s.registers.LocalValue(configKey)
@@ -332,7 +332,8 @@
 	}
 }
 
-// tickConfiguration reads the register if a value has not been known to be chosen for long: its proposer may be gone.
+// tickConfiguration makes the coordinator read the register if it has been unknown for resolveAfter whether a value is chosen:
+// the proposer of the value may be gone.
 func (s *Server) tickConfiguration(now float64) {
 	c := &s.configuration
 	s.trackHeld()
--- a/internal/mesh/control/contact.go
+++ b/internal/mesh/control/contact.go
@@ -11,7 +11,7 @@
 
 // A server is in contact while a quorum has recently acknowledged one of its digests. The age of the contact counts from the
 // sending of the digest, not from the arrival of the acknowledgement, and an acknowledgement shows that both directions work. A
-// server that is not in contact confirms nothing, refers proxies to other servers and refuses orders at once.
+// server that is not in contact refuses claims and orders at once and refers proxies to other servers.
 
 const (
 	// contactTimeout is the number of seconds after the sending of a digest for which its acknowledgement shows that a member is
@@ -28,19 +28,19 @@
 	life       uint32  // identifies the run of its process
 	sequence   uint64  // of its newest digest
 	heardAt    float64 // when this server last received a new digest from it
-	seenAt     float64 // when this server, or another member by its own account, last received a new digest from it
+	seenAt     float64 // when this server last received a new digest from it, or learned that another member had
 	ackedAt    float64 // sending time of the newest digest of this server that the peer acknowledged
 	fullSentAt float64 // when a full digest was last sent to it at its request
 	leaving    bool
 	config     *meshpb.ConfigState
-	echoed     map[string]uint64 // by address: sequence of the newest digest that the peer acknowledged
+	echoed     map[string]uint64 // by sender's address: sequence of the newest digest that the peer acknowledged
 }
 
 type contact struct {
 	peers        map[string]*peer         // by address
 	sequence     uint64                   // of this server's newest digest
 	sentAt       [digestTimesKept]float64 // sending times of this server's digests, by sequence modulo digestTimesKept
-	answeredAt   map[string]float64       // when a server last sent its view
+	answeredAt   map[string]float64       // by address: when a server last sent its view
 	wasInContact bool
 }
 
@@ -104,12 +104,14 @@
 }
 
 // silent reports whether neither this server nor any peer that it hears has received a digest from a member for the given time.
+// An address without a member counts as silent.
 func (s *Server) silent(now float64, address string, seconds float64) bool {
 	p := s.contact.peers[address]
 	return p == nil || now > p.seenAt+seconds
 }
 
-// recordDigest records what a digest says about reachability. fresh is false for a late or duplicate digest.
+// recordDigest records what a digest says about reachability. fresh is false for a late or duplicate
+// digest and for one from a server that is not a member.
 func (s *Server) recordDigest(now float64, from view.Member, d *meshpb.Digest) (fresh bool) {
 	p := s.contact.peers[from.Address]
 	if p == nil || !s.view().Has(from) {
--- a/internal/mesh/control/coordinator.go
+++ b/internal/mesh/control/coordinator.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// canChangeView reports whether a change of the view proposed here can complete. That takes a majority of the members, or of the
-// old members in a joint view; contact with the new members is not needed.
+// canChangeView reports whether a change of the view proposed here can complete. The register of the view needs a majority of the
+// members, or of the old members in a joint view; contact with the new members is not needed.
 func (s *Server) canChangeView(now float64) bool {
 	return s.Voting() && !s.disk.failing && s.view().OldQuorum(func(m view.Member) bool { return s.isReachable(now, m) })
 }
@@ -127,7 +127,8 @@
 }
 
 // planReplacement selects a joiner and the member that it replaces. A member whose disk was lost is replaced first, by the server
-// at its own address, then a silent member, then a leaving one.
+// at its own address, then a silent member, then a leaving one. If none of these can be replaced, a joiner is added while there
+// are fewer members than the tolerance requires.
 func (s *Server) planReplacement(now float64) (next view.View, change bool) {
 	v := s.view()
 	var joiners []view.Member
@@ -163,8 +164,9 @@
 	return view.View{}, false
 }
 
-// survivesWithout reports whether the joint view would have its quorums now and would keep them if the joiner were lost. That
-// takes a reachable majority of the new members other than the joiner.
+// survivesWithout reports whether the joint view would have a majority of its new members now and would keep it if the joiner
+// were lost: the members that are reachable now have to form that majority without the joiner. canChangeView checks the old
+// members.
 func (s *Server) survivesWithout(now float64, joiner, leaver view.Member) bool {
 	joint := s.view().Join(joiner, leaver)
 	return joint.NewQuorum(func(m view.Member) bool { return m != joiner && s.isReachable(now, m) })
--- a/internal/mesh/control/ejection.go
+++ b/internal/mesh/control/ejection.go
@@ -167,7 +167,8 @@
 }
 
 // decodeHeldEjections decodes a register's value, whose age is unknown. An ejection that this server knows keeps the end known
-// here. Any other counts as ended, so that no host stays ejected because the start of its ejection is unknown.
+// here. Any other counts as ended unless an operator ordered it, so that no host stays ejected because the start of its
+// ejection is unknown.
 func (s *Server) decodeHeldEjections(now float64, list *ejectionList, body []byte) (entries []ejection.Ejection) {
 	message := &meshpb.EjectionList{}
 	if proto.Unmarshal(body, message) != nil {
--- a/internal/mesh/control/homed.go
+++ b/internal/mesh/control/homed.go
@@ -13,8 +13,8 @@
 // other keys take one round trip again (register.HomedKeyHashes). Until the answers are complete, all its claims take two round
 // trips.
 
-// homedRetryAfter is the number of seconds after which a member that has not answered is asked again, and one more member with
-// it. Larger: claims take two round trips for longer after a loss. Smaller: a busy member scans its registers twice.
+// homedRetryAfter is the number of seconds after which a member that has not answered is asked again, and one more member is
+// asked as well. Larger: claims take two round trips for longer after a loss. Smaller: a busy member scans its registers twice.
 const homedRetryAfter = 0.4
 
 // homedSource is a member that is asked for its keys.
--- a/internal/mesh/control/membership.go
+++ b/internal/mesh/control/membership.go
@@ -12,11 +12,11 @@
 // one successor. A server adopts a view once the view is on its disk, and takes part only in ballots of that epoch. A message
 // from an older epoch is answered with the present view and has no other effect.
 //
-// A change of the view replaces one member. A server that asks to join reads all registers from the members while it waits (a
-// standby). It joins when a member has lost its disk, is silent or is leaving, or when there are fewer members than the tolerance
-// requires. A silent member is not removed unless a standby can replace it. The change first makes a joint view of the old and
-// the new members, in which the joiner reads the remaining values, and then the stable view of the new members. If the joiner is
-// lost meanwhile, the old members continue.
+// A change of the view replaces or adds one member. A server that asks to join is a standby: while it waits, it reads all
+// registers from the members. It joins when a member has lost its disk, is silent or is leaving, or when there are fewer members
+// than the tolerance requires. A silent member is not removed unless a standby can replace it. The change first makes a joint
+// view of the old and the new members, in which the joiner reads the remaining values, and then the stable view of the new
+// members. If the joiner is lost meanwhile, the old members continue.
 
 // Times are in seconds.
 const (
@@ -27,11 +27,11 @@
 	bootstrapQuietPeriod = 0.6
 
 	// joinInterval is the time between the join requests of a server that is not a member. Larger: a joiner is admitted later,
-	// and lost requests exceed standbyTimeout and joinerTimeout sooner. Smaller: more messages to every member.
+	// and fewer requests lost in a row exceed standbyTimeout or joinerTimeout. Smaller: more messages to every member.
 	joinInterval = 0.15
 
 	// viewRequestInterval is the least time between requests for a newer view. Larger: a member that missed a view votes later.
-	// Smaller: several answers, each with the whole view, arrive for one need.
+	// Smaller: the same view is requested several times, and each answer carries the whole view.
 	viewRequestInterval = 0.05
 
 	// seedRequestInterval is the time between requests to the seeds while no quorum is reachable. Larger: a member that was
@@ -121,8 +121,8 @@
 	s.options.Log("view", "epoch", v.Epoch, "members", v.Members, "next", v.Next, "member", s.isMember(), "voting", s.Voting())
 }
 
-// resetMembership discards the state of a member that was removed from the view. The server takes a new incarnation, so it can
-// ask to join as a new member.
+// resetMembership discards the registers of a member that was removed from the view, and what it has read to catch up. The server
+// takes a new incarnation, so it can ask to join as a new member.
 func (s *Server) resetMembership(now float64) {
 	s.drawIncarnation()
 	s.registers.Reset(now, s.self)
@@ -304,7 +304,7 @@
 	}
 }
 
-// broadcastView sends the present view to all members of v.
+// broadcastView sends the present view to all members of v except this server.
 func (s *Server) broadcastView(v view.View) {
 	for _, address := range v.Addresses() {
 		if address != s.options.Self {
--- a/internal/mesh/control/propagation.go
+++ b/internal/mesh/control/propagation.go
@@ -153,7 +153,8 @@
 	})
 }
 
-// answerHeldPulls answers the held pulls that are due or lack something by now.
+// answerHeldPulls answers the held pulls whose time is up or whose proxy lacks something by now, and all of them if the data here
+// may be stale.
 func (s *Server) answerHeldPulls(now float64) {
 	p := &s.propagation
 	changed, stale := p.changed, s.mayBeStale(now)
@@ -196,8 +197,8 @@
 	s.answerHeldPulls(now)
 }
 
-// answerFullRequest sends a full digest to a member that has no records yet. Such a member asks in each of its digests until one
-// arrives.
+// answerFullRequest sends a full digest to a member that has no records yet. Such a member asks in each of its digests until a
+// full digest arrives or informTimeout has passed.
 func (s *Server) answerFullRequest(now float64, to string) {
 	known := s.contact.peers[to]
 	if known == nil || len(s.propagation.records) == 0 || known.fullSentAt > 0 && now < known.fullSentAt+fullResendAfter {
