--- a/internal/mesh/control/configuration.go
+++ b/internal/mesh/control/configuration.go
@@ -308,7 +308,7 @@
 }
 
 // learnFromHolders concludes that a value is chosen when a quorum reports holding it at the same ballot of this epoch. Nothing
-// is concluded while the newest value on this server is not synced, because digests do not report that value yet.
+// is concluded while the newest value on this server is not synced, because digests report synced values only.
 func (s *Server) learnFromHolders(now float64) {
 	c := &s.configuration
 	value, ballot := s.registers.LocalValue(configKey)
--- a/internal/mesh/control/contact.go
+++ b/internal/mesh/control/contact.go
@@ -11,7 +11,7 @@
 
 // A server is in contact while a quorum has recently acknowledged one of its digests. The age of the contact counts from the
 // sending of the digest, not from the arrival of the acknowledgement, and an acknowledgement shows that both directions work. A
-// server that is not in contact refuses claims and orders at once and refers proxies to other servers.
+// server that is not in contact refuses claims, lease requests and orders at once and refers proxies to other servers.
 
 const (
 	// contactTimeout is the number of seconds after the sending of a digest for which its acknowledgement shows that a member is
