--- a/internal/mesh/register/homed.go
+++ b/internal/mesh/register/homed.go
@@ -15,7 +15,7 @@
 // majority, itself included, has answered. A member answers once it uses the new view, and from then on takes part in no ballot
 // of an earlier epoch, so nothing more can be chosen there. Whatever was chosen before is held by a majority of the members of
 // the new view, so at least one of the members that answered holds it. Answers are valid only in the epoch in which they were
-// given: a home that changes again asks again.
+// given: after another change of the view the home asks again.
 
 // maxHomedPageKeys is the maximum number of keys in one answer: 16 KB of hashes.
 const maxHomedPageKeys = 2048
--- a/internal/mesh/register/operation.go
+++ b/internal/mesh/register/operation.go
@@ -125,8 +125,8 @@
 }
 
 // Settle records how a claimed run ended. A receipt with the state Void releases the key and rejects late claims of its token.
-// With ifFree, Settle only does the latter, and only if the token has not been granted the claim. A caller whose request went
-// to a proxy that no longer answers uses this to learn whether the request may still run.
+// With ifFree, Settle does not end a granted claim: it rejects late claims of a token that has not been granted the key. A
+// caller whose request went to a proxy that no longer answers uses this to learn whether the request may still run.
 func (rs *Registers) Settle(now float64, key string, r *meshpb.Receipt, ifFree bool,
 	answer func(state State, held *meshpb.Receipt)) {
 	if !rs.voting || rs.overloaded(maxLateShareForSettles) || !isEndState(r) {
--- a/internal/mesh/register/proposer.go
+++ b/internal/mesh/register/proposer.go
@@ -94,7 +94,8 @@
 	c.prepares++
 	c.localAccepted, c.localValue = Ballot{}, nil
 	request := &meshpb.Prepare{Key: c.key, Ballot: c.ballot.Wire()}
-	// Ballots of other keys are reused after the keys have expired, so they do not identify a value.
+	// Only for permanent registers: after any other key has expired, its ballots may be used again for another value, so they do
+	// not identify a value.
 	if e := rs.entries[c.key]; e != nil && isPermanent(c.key) && e.accepted != (Ballot{}) {
 		c.localAccepted, c.localValue = e.accepted, e.value
 		request.Held = c.localAccepted.Wire()
@@ -181,7 +182,7 @@
 	return until
 }
 
-// widen sends the message to the members in reserve.
+// widen sends the message to the members in reserve. For slowPeriod, recipients that have not answered come last in later phases.
 func (rs *Registers) widen(now float64, c *change) {
 	for _, m := range rs.view.All() {
 		if _, answered := c.votes[m]; !answered && slices.Contains(c.recipients, m.Address) {
@@ -238,7 +239,8 @@
 	}
 }
 
-// Abort ends all changes in progress as Unsure, because no quorum can be reached from this server.
+// Abort ends all changes, in progress and waiting, as Unsure. It is called when this server can complete no change: no quorum is
+// reachable, its disk accepts no writes, or it does not vote.
 func (rs *Registers) Abort(now float64) {
 	waiting := rs.waiting
 	rs.waiting = map[string][]*change{}
--- a/internal/mesh/register/registers.go
+++ b/internal/mesh/register/registers.go
@@ -14,7 +14,7 @@
 // joined, see sync.go.
 //
 // After a change of the view, other members may hold values that the home of a key has not seen. A server takes the fast path
-// for the first ballot of a key once it knows which keys those are, see homed.go, or once the retention window of keys has
+// for the first ballot of a key once it knows which keys have such values, see homed.go, or once the retention window of keys has
 // passed in that epoch.
 package register
 
@@ -134,7 +134,7 @@
 
 // SetView sets the view in force. fastPathFrom is the time from which the home of a key may skip the prepare phase of the key's
 // first ballot, whatever the other members hold: immediately in the founding view, and after the retention window in later
-// views. Changes in progress start again in the new epoch.
+// views. Changes in progress start again in the new epoch, or are aborted if this server does not vote in it.
 func (rs *Registers) SetView(now float64, v view.View, fastPathFrom float64) {
 	if v.Epoch == rs.view.Epoch {
 		return
@@ -268,7 +268,8 @@
 	}
 }
 
-// overloaded reports whether more than the given share of the changes is late. Further changes would only delay all of them.
+// overloaded reports whether maxChanges are in progress, or more than toleratedLateChanges and more than the given share of the
+// changes are late. Further changes would only delay all of them.
 func (rs *Registers) overloaded(share float64) bool {
 	return len(rs.changes) >= maxChanges ||
 		rs.lateChanges > toleratedLateChanges && float64(rs.lateChanges) > share*float64(len(rs.changes))
--- a/internal/mesh/register/sync.go
+++ b/internal/mesh/register/sync.go
@@ -15,8 +15,8 @@
 // that changes after its page was read appears in a later page, so a second pass costs only what changed since the first, and
 // the cost of catching up depends on the live entries and not on the history.
 //
-// Each member sends the values of one part of the registers. Of the others it sends only the ballot that was accepted, and the
-// joiner requests the values that it lacks by key, so most values are sent once.
+// Each member sends the values of one part of the registers. Of the registers outside that part it sends the ballots without the
+// value, and the joiner requests the values that it lacks by key, so most values are sent once.
 //
 // The joiner needs, from a quorum of the old members that use the joint view, everything up to the moment at which they adopted
 // that view. Then it holds whatever was chosen before, as none of those members takes part in older ballots any more.
@@ -78,7 +78,8 @@
 }
 
 // Page returns the entries that changed after a position, oldest first. position is where the next page starts, and last
-// reports whether no further page follows. The cost is proportional to the entries returned.
+// reports whether no further page follows. The cost is proportional to the entries returned and the outdated positions among
+// them, whose number compact limits.
 func (rs *Registers) Page(after uint64) (page []*meshpb.Entry, position uint64, last bool) {
 	return rs.PartialPage(after, Part{})
 }
