--- a/internal/mesh/sharding/sharding.go
+++ b/internal/mesh/sharding/sharding.go
@@ -119,7 +119,8 @@
 	return members[at]
 }
 
-// Available reports whether the holder of a range may use it: there was no other holder, or that holder has no lease any more.
+// Available reports whether the holder of a range may use it: no other member held the range in the previous epoch, or that
+// member has released its lost ranges or has no lease any more.
 func (t *Table) Available(r Range) bool {
 	previous := t.PreviousHolder(r)
 	return previous == "" || previous == t.Holder(r) || slices.Contains(t.Cleared, previous)
@@ -148,7 +149,7 @@
 	return ranges
 }
 
-// AwaitedMembers returns the previous holders that have not released a range that another member gained, in order.
+// AwaitedMembers returns, in order, the previous holders of the ranges that are not available to their new holders yet.
 func (t *Table) AwaitedMembers() (members []string) {
 	for r := range Range(Ranges) {
 		if previous := t.PreviousHolder(r); !t.Available(r) && !slices.Contains(members, previous) {
--- a/internal/mesh/view/view.go
+++ b/internal/mesh/view/view.go
@@ -25,7 +25,7 @@
 
 // View is the membership of one epoch. It is immutable.
 type View struct {
-	Mesh    uint64   // random identity of the mesh, drawn when it was founded; a disk of another mesh has another
+	Mesh    uint64   // random identity of the mesh, drawn when the mesh was founded; a disk of another mesh has another identity
 	Epoch   uint64   // 0: no view is known
 	Members []Member // in order of address
 	Next    []Member // of a joint view: the members of the coming stable view
@@ -96,14 +96,15 @@
 	return v.Members
 }
 
-// Addresses returns the addresses of all members, each once: a replaced disk has the address of its predecessor.
+// Addresses returns the addresses of all members, each once: in a joint view a lost disk and the disk that replaces it may have
+// the same address.
 func (v View) Addresses() []string { return addresses(v.All()) }
 
 // OldAddresses returns the addresses of the members before the change.
 func (v View) OldAddresses() []string { return addresses(v.Members) }
 
-// RetainedAddresses returns the addresses of the members that belong to every set. One of these members coordinates, and proxies
-// send their requests to them.
+// RetainedAddresses returns the addresses of the members that belong to both sets, or to the one set of a stable view. One
+// of these members coordinates, and proxies send their requests to them.
 func (v View) RetainedAddresses() []string {
 	if !v.Joint() {
 		return addresses(v.Members)
@@ -135,7 +136,8 @@
 // OldQuorum reports whether the members for which has is true form a majority of the members before the change.
 func (v View) OldQuorum(has func(Member) bool) bool { return majority(v.Members, has) }
 
-// NewQuorum reports whether the members for which has is true form a majority of the members after the change.
+// NewQuorum reports whether the members for which has is true form a majority of the members after the change. In a
+// stable view it returns false.
 func (v View) NewQuorum(has func(Member) bool) bool { return majority(v.Next, has) }
 
 func majority(members []Member, has func(Member) bool) bool {
