--- a/internal/mesh/register/model_cluster_test.go
+++ b/internal/mesh/register/model_cluster_test.go
@@ -230,8 +230,8 @@
 	}
 }
 
-// stop ends the process. After a kill the disk has everything that was written to it, and after a loss of power any part of
-// that.
+// stop ends the process. After a kill the disk has the whole batch that was being written, and after a loss of power any part of
+// it. The queued batch is lost.
 func (s *modelServer) stop(power bool) {
 	puts := s.syncingBatch.puts
 	if power {
@@ -381,7 +381,7 @@
 	s.startVotingIfAllowed()
 }
 
-// startVotingIfAllowed lets a server vote that was a member before or has read everything.
+// startVotingIfAllowed starts voting if this server is an old member of the view, or is the joiner and has read everything.
 func (s *modelServer) startVotingIfAllowed() {
 	joiner, _ := s.view.Joiner()
 	member := slices.Contains(s.view.Members, s.self)
@@ -420,7 +420,7 @@
 
 // ---- joining
 
-// requestState reads the members' registers, or, at a voting server, the keys that they hold whose home this server is.
+// requestState asks the members for their registers or, at a voting server, for the keys whose home this server is.
 func (s *modelServer) requestState() {
 	if s.registers.Voting() {
 		s.requestHomedKeys()
@@ -501,8 +501,8 @@
 	s.registers.AddHomedKeys(m.from, m.message.Homed.Hashes, m.message.Homed.Last)
 }
 
-// checkSyncComplete checks whether a majority of the old members has sent everything. The server announces that only once
-// everything is on its disk.
+// checkSyncComplete checks whether a majority of the old members has sent everything. The joiner announces this only
+// once everything that it read is on its disk.
 func (s *modelServer) checkSyncComplete() {
 	joiner, _ := s.view.Joiner()
 	if joiner != s.self || s.syncFinishing || !s.view.OldQuorum(func(m view.Member) bool {
--- a/internal/mesh/register/model_decision_test.go
+++ b/internal/mesh/register/model_decision_test.go
@@ -105,7 +105,7 @@
 	proposer := w.servers[alive[0]].registers
 	for _, i := range alive {
 		if w.servers[i].registers.view.Epoch > 2 {
-			return true // it passes the view on to the others
+			return true // this server already uses the successor and passes it on to the others
 		}
 	}
 	proposer.Tick(1 + 2*ChangeTimeout) // changes in progress are given up
--- a/internal/mesh/register/model_exhaustive_test.go
+++ b/internal/mesh/register/model_exhaustive_test.go
@@ -228,7 +228,7 @@
 	return all
 }
 
-// mayStart reports whether a server would start the change now. Only the coordinator of a joint view proposes its successor,
+// mayStart reports whether a server would start the change now. Only a server that uses the joint view proposes its successor,
 // and it proposes the view of the new members only once the joiner has read everything.
 func (x *stateSearch) mayStart(w *searchState, c searchChange) bool {
 	return c.key != ViewKey || w.servers[c.server].registers.view.Epoch == 2 && (c.body != completedBody || x.stableViewAllowed(w))
--- a/internal/mesh/register/model_scripted_test.go
+++ b/internal/mesh/register/model_scripted_test.go
@@ -178,8 +178,8 @@
 	}
 }
 
-// The end of a run reached only one disk, and a second ballot records it again. It must not be reported as recorded before a
-// quorum has it.
+// The end of a run first reaches only one disk, and its messages are sent again later. The end must not be reported as recorded
+// before a quorum has it.
 func TestRecordedMeansAQuorumHasIt(t *testing.T) {
 	c := newModelCluster(1, 3, 0, noFault)
 	key := modelOperation(0)
--- a/internal/mesh/register/model_test.go
+++ b/internal/mesh/register/model_test.go
@@ -245,7 +245,8 @@
 	}
 }
 
-// chooseExchange chooses a server that waits to join, and a member that it replaces.
+// chooseExchange chooses a server that waits to join, and a member that it replaces. To a view of fewer than five
+// members it may add the server without replacing one.
 func (r *modelRun) chooseExchange(s *modelServer) (next view.View, found bool) {
 	var waiting []view.Member
 	for _, other := range r.servers {
--- a/internal/mesh/register/register_test.go
+++ b/internal/mesh/register/register_test.go
@@ -254,13 +254,13 @@
 	run(func(rs *Registers) { rs.Claim(b.now, &meshpb.Claim{Key: "k", Token: 5}, recordState) })
 	run(func(rs *Registers) { rs.Settle(b.now, "k", &meshpb.Receipt{Token: 5, State: Void}, false, recordState) })
 	for token := range uint64(5) {
-		if token != 2 { // token 3 was never voided
+		if token != 2 { // the claim would be for token 3, which was never voided
 			run(func(rs *Registers) {
 				rs.Claim(b.now, &meshpb.Claim{Key: "k", Token: token + 1, Attempt: 7}, recordState)
 			})
 		}
 	}
-	// The same while another token holds the key.
+	// Token 7 is voided while token 6 holds the key, and must not claim after token 6 has released it.
 	run(func(rs *Registers) { rs.Claim(b.now, &meshpb.Claim{Key: "k", Token: 6}, recordState) })
 	run(func(rs *Registers) { rs.Settle(b.now, "k", &meshpb.Receipt{Token: 7, State: Void}, false, recordState) })
 	run(func(rs *Registers) { rs.Settle(b.now, "k", &meshpb.Receipt{Token: 6, State: Void}, false, recordState) })
@@ -271,7 +271,7 @@
 	}
 }
 
-// Registers older than the retention window are deleted from memory and disk, and not before.
+// Registers older than the retention window and windowSlack are deleted from memory and disk, and not before.
 func TestForgets(t *testing.T) {
 	b := newTestCluster(1, 1)
 	rs := b.servers["m0"]
@@ -334,8 +334,8 @@
 	}
 }
 
-// A server that granted a claim and missed the end of its run asks the other members a second later. It does not answer a
-// repeated claim that the run is still in progress.
+// A server granted a claim and missed the end of its run. When the claim is repeated a second later, the server asks the other
+// members and does not answer that the run is still in progress.
 func TestRepeatIsAnsweredByAServerThatMissedTheEnd(t *testing.T) {
 	for seed := range uint64(20) {
 		b := newTestCluster(seed, 3)
--- a/internal/mesh/register/registers.go
+++ b/internal/mesh/register/registers.go
@@ -248,8 +248,8 @@
 	return nil, Ballot{}
 }
 
-// Tick advances changes that have no quorum yet, gives up those that exceeded ChangeTimeout, and deletes registers older than
-// the retention window.
+// Tick advances changes that have no quorum yet, gives up those that exceeded ChangeTimeout, and deletes the registers of
+// operations that are older than the retention window with its slack.
 func (rs *Registers) Tick(now float64) {
 	rs.minRoundTrip *= 1 + roundTripGrowth*(now-rs.lastTick)
 	rs.lastTick = now
--- a/internal/mesh/register/slow_test.go
+++ b/internal/mesh/register/slow_test.go
@@ -238,8 +238,8 @@
 	}
 }
 
-// All pages together contain each register once, in the order of its last change. Their cost is that of the entries returned:
-// earlier changes are not read again.
+// All pages together contain each register once, in the order of its last change. A reader that continues from a position causes
+// no work for earlier changes.
 func TestPagesFollowTheOrderOfChanges(t *testing.T) {
 	const registers, changedAgain = 2000, 100
 	c := newDelayedCluster(1, 0)
@@ -300,9 +300,9 @@
 	}
 }
 
-// Each of three members sends a joiner the values of a third of the registers, and only the accepted ballot of the others, so
-// most values are sent once. The joiner requests by key what it still lacks, because a member holds something newer or did not
-// send its part.
+// Each of three members sends a joiner the values of a third of the registers, and the ballots without the value of all other
+// registers, so most values are sent once. The joiner requests by key what it still lacks, because a member holds something newer
+// or did not send its part.
 func TestJoinerReadsInParts(t *testing.T) {
 	const registers, newerRegisters = 900, 50
 	c := newDelayedCluster(3, 0)
