--- a/internal/mesh/control/catchup_test.go
+++ b/internal/mesh/control/catchup_test.go
@@ -68,7 +68,7 @@
 	return s, joint, members, asked
 }
 
-// sendPage delivers a member's answer that it has one register and no more.
+// sendPage delivers a member's only page, which contains one register.
 func sendPage(s *Server, from view.Member, id, epoch uint64) {
 	held := &meshpb.Entry{Key: register.Permanent("x"), Accepted: register.Ballot{Epoch: 1, Round: 1, Node: 1, Life: 1}.Wire(),
 		Value: &meshpb.Receipt{Token: 1}}
--- a/internal/mesh/control/model_cases_test.go
+++ b/internal/mesh/control/model_cases_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// The joiner's message that it has read everything is lost, or overtaken by an older one. The joiner repeats it and must not be
-// abandoned.
+// The joiner's message that it has read everything may be overtaken by an older one. The joiner repeats the message and must not
+// be abandoned.
 func TestJoinerIsNotAbandoned(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newModelCluster(seed, 1, 1)
--- a/internal/mesh/control/model_cluster_test.go
+++ b/internal/mesh/control/model_cluster_test.go
@@ -347,8 +347,8 @@
 	return newest
 }
 
-// inForce returns the views that servers may act by: the newest view that is on the disks of a majority of its members, and all
-// later ones.
+// inForce returns the views that servers may act by: the newest view that is on the disks of a majority of its members (in a
+// joint view, of its old members), and all later ones.
 func (c *modelCluster) inForce() (all []view.View) {
 	known := map[uint64]view.View{}
 	epochs := map[view.Member]uint64{} // by member: epoch on disk
