--- a/internal/mesh/control/model_cluster_test.go
+++ b/internal/mesh/control/model_cluster_test.go
@@ -250,7 +250,7 @@
 	}
 }
 
-// kill ends the server's process. Everything written before is on disk.
+// kill ends the server's process. The whole batch that was being written is on disk.
 func (m *modelMachine) kill() {
 	m.cluster.trace("%.3f %s is killed", m.cluster.now, m.address)
 	m.apply(m.writing)
--- a/internal/mesh/register/model_cluster_test.go
+++ b/internal/mesh/register/model_cluster_test.go
@@ -303,7 +303,8 @@
 	}
 }
 
-// voteByVersionOnly is an injected fault: it accepts a value whose version is the one held. It reports whether it did.
+// voteByVersionOnly is an injected fault: it answers that a value is accepted, without storing it, if this server holds the same
+// version. It reports whether it answered.
 func (s *modelServer) voteByVersionOnly(m modelMessage) bool {
 	accept := m.message.Accept
 	held, _ := s.registers.LocalValue(accept.Key)
