--- a/internal/mesh/control/model_cluster_test.go
+++ b/internal/mesh/control/model_cluster_test.go
@@ -250,7 +250,7 @@
 	}
 }
 
-// kill ends the server's process. Everything written before is on disk.
+// kill ends the server's process. The whole batch that was being written is on disk.
 func (m *modelMachine) kill() {
 	m.cluster.trace("%.3f %s is killed", m.cluster.now, m.address)
 	m.apply(m.writing)
@@ -347,8 +347,8 @@
 	return newest
 }
 
-// inForce returns the views that servers may act by: the newest view that is on the disks of a majority of its members, and all
-// later ones.
+// inForce returns the views that servers may act by: the newest view that is on the disks of a majority of its members (in a
+// joint view, of its old members), and all later ones.
 func (c *modelCluster) inForce() (all []view.View) {
 	known := map[uint64]view.View{}
 	epochs := map[view.Member]uint64{} // by member: epoch on disk
