--- a/internal/proxy/idle_test.go
+++ b/internal/proxy/idle_test.go
@@ -85,7 +85,7 @@
 	g.openIdleConns(1)
 	goroutines, buffers := runtime.NumGoroutine(), g.p.bufs.Live()
 	conns := g.openIdleConns(200)
-	// Those that are left are mostly goroutines of the host.
+	// The 20 allowed beyond the first count are mostly goroutines of the host.
 	g.waitUntil("the other goroutines have ended", func() bool { return runtime.NumGoroutine() <= goroutines+20 })
 	if n := g.p.bufs.Live(); n > buffers+4 {
 		t.Errorf("%d buffers with 200 more idle connections, %d before", n, buffers)
@@ -338,7 +338,7 @@
 }
 
 // TestLent: clients hold connections beyond their guaranteed share. When hosts need one, an idle client connection is
-// closed and the waiting attempt gets its place. Both sides together never exceed the total.
+// closed and the waiting attempt may open a connection instead. Both sides together never exceed the total.
 func TestLent(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h, callersByAddress, func(p *Proxy) { p.cfg.Limits.Sockets = 240 })
@@ -347,7 +347,7 @@
 	g.p.hosts.closeIdle(total)
 	g.waitUntil("no connection to the host is left", func() bool { return budget.hostCount() == 0 })
 	most := total - hosts
-	g.openIdleConns(most - 1) // one place is held by the connection to the host that serves them
+	g.openIdleConns(most - 1) // the connection to the host that serves them takes one
 	if most-1 <= clients {
 		t.Fatalf("clients hold only %d of %d connections beyond their share", most-1-clients, total)
 	}
@@ -367,8 +367,8 @@
 	}
 }
 
-// TestSlowHeads: connections that never complete their first request head use up the concurrency limit. One of them is
-// closed for a connection that sends a complete request, well before its own deadline.
+// TestSlowHeads: connections that never complete their first request head use up the limit of requests served at once.
+// One of them is closed for a connection that sends a complete request, well before its own deadline.
 func TestSlowHeads(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	g := startOneHost(t, h, callersByAddress, func(p *Proxy) {
--- a/internal/proxy/long_test.go
+++ b/internal/proxy/long_test.go
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%d %x %v", n, h.Sum(nil)[:4], err)
 }
 
-// bulkHost reads bodies as they arrive, posts their digests to seen, and responds with what answer writes.
+// bulkHost reads bodies as they arrive, posts their digests to seen, and calls answer to write the response.
 func bulkHost(t testing.TB, seen eventChan[string], answer func(c net.Conn, got string) bool) *fakeServer {
 	return newFakeServer(t, func(c net.Conn, br *bufio.Reader) {
 		for {
@@ -106,7 +106,7 @@
 			if got, want := digest(sampled), digest(randomBytes(2, bulkSize)); got != want {
 				t.Fatalf("the client got %s, want %s", got, want)
 			}
-			// Readers and heads of both sides, the kept part of the request, and a full stream.
+			// The limit allows for the readers and heads of both sides, the buffered part of the request, and a full stream.
 			if limit := int64(8 + bodies.MaxBuffered/wire.BufferSize + maxStreamBuffers + 2); most > limit {
 				t.Fatalf("%d buffers held, want at most %d", most, limit)
 			}
--- a/internal/proxy/owner_test.go
+++ b/internal/proxy/owner_test.go
@@ -15,7 +15,7 @@
 	"beechwing/balancer"
 )
 
-// startWithTwoHosts starts a proxy with a scripted balancer and two hosts, h1 and h2.
+// startWithTwoHosts starts a proxy with a fake balancer and two hosts, h1 and h2.
 func startWithTwoHosts(t *testing.T, s *fakeBalancer, h1, h2 *fakeHost) *testProxy {
 	t.Helper()
 	l := newFakeDiscovery(t, entry("h1", h1.addr()), entry("h2", h2.addr()))
@@ -296,7 +296,7 @@
 	}
 }
 
-// timerScript is a script that passes timer events to a function.
+// timerScript is a fake balancer that passes timer events to a function.
 type timerScript struct {
 	*fakeBalancer
 	fired func(uint64)
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestReloadRefused checks that nothing changes by a file that is unreadable, invalid or unchanged, or that only changes what
+// TestReloadRefused checks that a file changes nothing if it is unreadable, invalid or unchanged, or if it only changes what
 // takes effect at the next start. Each case is logged, and the watch continues.
 func TestReloadRefused(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -96,7 +96,7 @@
 }
 
 // TestReplacedHosts: thousands of hosts are replaced by hosts with new IDs at the same address, and hundreds of clients
-// send one request each. No upstream, request ID, flight or connection beyond the current ones is left.
+// send one request each. No upstream, request ID, pending request or connection beyond the current ones is left.
 func TestReplacedHosts(t *testing.T) {
 	h := newFakeHost(t, respondWith(okResponse))
 	l := newFakeDiscovery(t, entry("h1", h.addr()))
