--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -68,7 +68,7 @@
 }
 
 // responseStarted takes the first part of a long response. From here on the deadline no longer applies; the attempt
-// ends only if one of the two peers stops making progress.
+// ends only if one of the two peers stops making progress. It returns false if the deadline has already passed.
 func (a *attempt) responseStarted(r hostResponse) bool {
 	if !a.stopTimer() {
 		return false
@@ -85,8 +85,8 @@
 
 // write sends the request on a connection. The last byte is held back, because a host starts to process the request
 // only when it has that byte. If the connection was already dead, or the host resets it on the first bytes,
-// confirmAlive detects this, and it is certain that the request has not run. After the last byte that can no longer be
-// told. Without an error, all bytes have been written.
+// confirmAlive detects this, and it is certain that the request has not run. Once the last byte has been sent, a failure
+// no longer shows whether the request ran. Without an error, all bytes have been written.
 func (a *attempt) write(l messageConn) error {
 	q := a.request
 	if q.upload != nil {
@@ -169,7 +169,7 @@
 var errBroken = errors.New("the connection broke before the last byte was sent")
 
 // confirmAlive waits long enough for a reset from the host to arrive, which takes a round trip, and fails if the
-// connection is broken.
+// connection is broken or the host has already responded.
 func (c *hostConn) confirmAlive(ctx context.Context, call *call) error {
 	wait := time.NewTimer(c.upstream.pool.lastByteDelay)
 	defer wait.Stop()
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -63,7 +63,7 @@
 	return d
 }
 
-// applyConfig sets the wait and the call budget by the settings.
+// applyConfig derives the wait of watch calls and the pauses between calls from the settings.
 func (d *discovery) applyConfig(c *balancer.Config) {
 	wait := seconds(c.AskWithin / 2) // half, so that a silent discovery is detected while the list still counts as current
 	if wait <= 0 {
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -176,8 +176,8 @@
 
 func (e shutdownScheduled) apply(o *owner) { o.endsAt = e.at }
 
-// dropCheck drops a flight if nothing is pending for it. It is queued when the balancer answers a request, and runs once
-// the balancer has returned.
+// dropCheck removes a pending request if none of its attempts is outstanding. It is queued when the balancer answers the
+// request, and runs once the balancer has returned.
 type dropCheck struct{ flight *pendingRequest }
 
 func (e dropCheck) apply(o *owner) { o.release(e.flight) }
--- a/internal/proxy/idle.go
+++ b/internal/proxy/idle.go
@@ -197,7 +197,8 @@
 	return next
 }
 
-// shedForHosts closes idle client connections, where clients hold borrowed connections that hosts need.
+// shedForHosts closes idle client connections if clients have borrowed from the share of the hosts (see connBudget) and
+// attempts wait for connections.
 func (f *frontend) shedForHosts() {
 	n := f.budget.excess(places.ClientSide)
 	if n == 0 {
--- a/internal/proxy/long.go
+++ b/internal/proxy/long.go
@@ -86,9 +86,9 @@
 }
 
 // pumpBody reads the rest of a long body from the connection, as fast as the attempt passes it on, and reports whether
-// the body is complete. It posts the result to the owner. A body whose request is answered early is still read to its
-// end: a client might not read the response before it has sent everything, and closing the connection would reset it
-// and lose the response.
+// the body is complete. It posts the result to the owner, unless the rest of the body is no longer wanted. A body whose
+// request is answered early is still read to its end: a client might not read the response before it has sent everything,
+// and closing the connection would reset it and lose the response.
 func (c *clientConn) pumpBody(q *request) bool {
 	err := q.upload.fill(wire.TruncationReader{Reader: q.upload.source}, func() {})
 	switch {
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -25,7 +25,7 @@
 	localEvents   []event // events caused by actions; an action must not call back into the balancer
 	timers        timerHeap
 	pending       map[balancer.RequestID]*pendingRequest
-	openIDs       map[string]bool // request IDs from clients, of all pending requests
+	openIDs       map[string]bool // the IDs that clients gave to the pending requests
 	pendingProbes int
 	lastID        balancer.RequestID
 	hosts         *hostPool
@@ -80,7 +80,7 @@
 	}
 }
 
-// run processes events and timers until a stop event, and then until no request or probe is pending. cached is the host
+// run processes events and timers until stopRequested, and then until no request or probe is pending. cached is the host
 // list from the configuration.
 func (o *owner) run(newHandler func(float64, balancer.Config, balancer.Actions) balancer.Handler, cached catalog) {
 	defer close(o.done)
@@ -119,7 +119,7 @@
 }
 
 // complete answers a request, at most once. Nothing may be sent for the request from then on, so its outstanding attempts
-// are cancelled.
+// are cancelled, except one whose response is being passed on.
 func (o *owner) complete(pending *pendingRequest, a clientResponse) {
 	if pending.answered {
 		return
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -25,7 +25,7 @@
 	return err
 }
 
-// begun rejects responses that are too long for a load report.
+// responseStarted rejects responses that are too long for a load report.
 func (probeRequest) responseStarted(hostResponse) bool { return false }
 
 // run probes a host and returns the result. It asks for the load report if the settings name columns of one.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -3,8 +3,8 @@
 // service provides.
 //
 // The main type is Proxy. LoadConfig reads the configuration, New creates a proxy, and Run serves until its context is
-// cancelled. Package balancer does no I/O: it runs in a single goroutine, the owner, which passes it events from the
-// network and carries out the actions that it requests.
+// cancelled. Package balancer does no I/O. A single goroutine, the owner, passes it events from the network and carries
+// out the actions that it requests.
 //
 // The files follow the stages of a request: accept, client (reads requests and detects disconnects), parse, owner (event
 // queue and balancer), attempt, upstream (connections to hosts), reply (from a host), answer (to the client). Other files
@@ -38,8 +38,8 @@
 const (
 	Starting    Phase = iota // binds the listening address and starts the goroutines
 	Serving                  // accepts connections and serves requests
-	Draining                 // told to stop: still accepts connections, and closes each one after its next response
-	HandingOver              // like Draining, but leaves new connections to another process on the same listening socket
+	Draining                 // told to stop: still accepts connections; closes idle ones, others after a response
+	HandingOver              // told to stop: keeps idle connections, leaves new ones to another process on the socket
 	Finishing                // accepts nothing new and waits for open requests
 	Stopped
 )
@@ -172,8 +172,8 @@
 	return max(minAdmissionRate, admissionsPerCore*cmp.Or(cores, 1))
 }
 
-// maxQueueWait returns how long a request may wait before the proxy reads it: a quarter of the shortest deadline, so that
-// after a rejection the client still has time to go elsewhere.
+// maxQueueWait returns how long a request may wait before the proxy reads it: a quarter of the shortest deadline, and at
+// most a quarter of a second, so that after a rejection the client still has time to go elsewhere.
 func maxQueueWait(classes []balancer.Class) time.Duration {
 	shortest := 1.0
 	for _, c := range classes {
@@ -300,7 +300,7 @@
 }
 
 // longestDeadline returns the longest class deadline since the start, in seconds. Requests accepted under earlier settings
-// keep their deadlines, so that a reload with shorter ones does not lower it.
+// keep their deadlines, so a reload that shortens the deadlines does not lower this value.
 func (p *Proxy) longestDeadline() float64 { return time.Duration(p.maxDeadlineNanos.Load()).Seconds() }
 
 // setActiveConfig stores the settings in force from now on.
@@ -321,8 +321,8 @@
 	return Finishing, nil
 }
 
-// finish waits for open requests, at most until the longest deadline and a margin have passed, and then stops all
-// goroutines.
+// finish waits for open requests, at most until the longest deadline and a margin have passed since the proxy was told to
+// stop, and then stops all goroutines.
 func (p *Proxy) finish(context.Context) (Phase, error) {
 	if p.cfg.ListenFD == "" {
 		p.front.close()
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -32,7 +32,7 @@
 
 // reloadConfig reads the configuration and applies what may change in a running proxy: the settings, the address of
 // discovery, and the operator's connection limits. The environment stays that of the start, so an address of discovery that
-// has changed in the file takes precedence over PROXY_DISCOVERY. An unchanged one has no effect.
+// has changed in the file takes precedence over PROXY_DISCOVERY. An unchanged address in the file has no effect.
 func (p *Proxy) reloadConfig() error {
 	if p.cfg.reload == nil {
 		return errors.New("configuration was not read from a file")
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -26,7 +26,7 @@
 }
 
 // fire runs one timer that is due and returns how long to wait for the next event. It runs only one, because the
-// events that the balancer causes in it are processed first.
+// events that the balancer causes while it handles a timer are applied before the next timer.
 func (o *owner) fire() time.Duration {
 	const idle = time.Second
 	if len(o.timers) == 0 {
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -26,8 +26,8 @@
 	// How long a watch is held open after its last answer. Discovery takes a call that comes 200 ms or more after an
 	// answer as a new watch.
 	watchHold time.Duration
-	// How much longer than its wait a watch call may take. Discovery counts what the call should tell as delivered
-	// after 2 s.
+	// How much longer than its wait a watch call may take. After 2 s, discovery counts the changes that the
+	// call should report as delivered.
 	watchGrace time.Duration
 
 	firstListTimeout time.Duration // after this, the process serves with the host list it was given, without one from discovery
@@ -38,7 +38,7 @@
 	backlogPeriod     time.Duration // to accept what is then still in the listen backlog
 	lastRequestPeriod time.Duration // for the connections accepted last to send their request
 	finalWritePeriod  time.Duration // part of shutdownSpare, to write the last responses
-	shutdownSpare     time.Duration // after the longest deadline; SIGKILL may follow 0.7 s after it
+	shutdownSpare     time.Duration // after the longest deadline; SIGKILL may follow 0.7 s after that deadline
 }
 
 func defaultTiming() timing {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -112,7 +112,8 @@
 	if moved {
 		u.addr = addr
 	}
-	// A host that lost its network for a time resets the connections to its old process only when they are used.
+	// After a restart, the connections to the old process are of no use. A host that has lost its network for a time
+	// resets them only when they are used, so they are closed here.
 	restarted := e.Started != 0 && e.Started != u.startedAt
 	u.startedAt = e.Started
 	if e.Status == balancer.Ready {
--- a/internal/proxy/zone_observer.go
+++ b/internal/proxy/zone_observer.go
@@ -71,7 +71,7 @@
 	case balancer.ConnectFailed, balancer.Reset, balancer.Malformed, balancer.Errored:
 		s.window.Failed(now, a.zone, false)
 	case balancer.TimedOut, balancer.Cancelled:
-		if load >= 0.99 { // otherwise the client left early, which says nothing about the host
+		if load >= 0.99 { // otherwise it ended early, as when the client left, which says nothing about the host
 			s.window.Failed(now, a.zone, true)
 		}
 	}
