--- a/internal/failover/leader.go
+++ b/internal/failover/leader.go
@@ -133,7 +133,7 @@
 	a.startLeading(now)
 	a.fleetPlanner.AddReport(now, own)
 	if p := a.fleetPlan; p != nil {
-		a.publish(now, &Plan{Reason: "the previous leader did not respond", Zones: p.Zones,
+		a.publish(now, &Plan{Reason: "the author before gives no answer", Zones: p.Zones,
 			SoftCapacity: p.SoftCapacity, HardCapacity: p.HardCapacity})
 	}
 }
